--- a/crates/admission/src/coordination/broadcast.rs
+++ b/crates/admission/src/coordination/count_reports.rs
@@ -2,7 +2,7 @@
 use crate::action::Action;
 use crate::gateway::Gateway;
 use crate::id::CustomerTag;
-use crate::messages::counts::{
+use crate::messages::counts_message::{
     CeilingTransfer, ConsumedUnits, CountEntry, CountsMessage, QuotaFill, WatermarkOnWire, MAX_CUSTOMER_LEN,
 };
 use crate::policy::coordination::{
--- a/crates/admission/src/coordination/gossip.rs
+++ b/crates/admission/src/coordination/gossip_exchange.rs
@@ -1,7 +1,7 @@
 //! Large fleets: fleet-wide means and observations of endpoints travel with the quota messages.
 use crate::action::Action;
 use crate::gateway::Gateway;
-use crate::messages::gossip::{GossipMessage, MeansOnWire};
+use crate::messages::gossip_message::{GossipMessage, MeansOnWire};
 use crate::policy::coordination::{mean_attempt_age_ms, MEAN_GAIN, MEAN_GAIN_PER_SECOND, RECEIVED_MEAN_GAIN};
 use crate::policy::in_flight_band::MAX_WATERMARK;
 use crate::policy::quota_owner::{max_quota_messages, quota_messages_per_second, QUOTA_RATE_SPAN_S};
--- a/crates/admission/src/coordination/observations.rs
+++ b/crates/admission/src/coordination/observations.rs
@@ -4,7 +4,7 @@
 use crate::id::EndpointId;
 use crate::mechanism::backoff::jitter_factor;
 use crate::mechanism::splitmix64::short_tag;
-use crate::messages::observation::{Observation, ObservationKind, ResponseTimeCode};
+use crate::messages::observation_code::{Observation, ObservationKind, ResponseTimeCode};
 use crate::policy::outlier_detection::{
     fails_class, CLASS_FAILURE_GAIN, EJECTION_JITTER, MAX_OBSERVATIONS, MAX_RELATIVE_SAMPLE,
     OBSERVATION_SPAN_S, OBSERVED_RESPONSE_TIME_GAIN, SCOPED_EJECTION,
--- a/crates/admission/src/coordination/quota_grants.rs
+++ b/crates/admission/src/coordination/quota_ownership.rs
@@ -2,8 +2,8 @@
 use crate::action::Action;
 use crate::gateway::Gateway;
 use crate::id::CustomerTag;
-use crate::messages::gossip::GossipMessage;
-use crate::messages::quota::{
+use crate::messages::gossip_message::GossipMessage;
+use crate::messages::quota_message::{
     QuotaRelease, QuotaRequest, QuotaRequestNumber, QuotaResponse, QuotaVerdict, SamplingFraction,
 };
 use crate::policy::quota_owner::{
--- a/crates/admission/src/coordination/quota_requests.rs
+++ b/crates/admission/src/coordination/quota_requests.rs
@@ -2,8 +2,10 @@
 use crate::action::Action;
 use crate::gateway::Gateway;
 use crate::id::RequestId;
-use crate::messages::gossip::GossipMessage;
-use crate::messages::quota::{QuotaRequest, QuotaResponse, QuotaVerdict, SamplingFraction, WaitBudget};
+use crate::messages::gossip_message::GossipMessage;
+use crate::messages::quota_message::{
+    QuotaRequest, QuotaResponse, QuotaVerdict, SamplingFraction, WaitBudget,
+};
 use crate::policy::quota_owner::{
     may_retry_quota_request, response_wait_ms, SAMPLING_TTL_MS, SUSPECT_MISSED_RESPONSES, SUSPECT_MS,
 };
--- a/crates/admission/src/event_handling.rs
+++ b/crates/admission/src/event_handling.rs
@@ -3,6 +3,7 @@
 use crate::event::Event;
 use crate::gateway::Gateway;
 use crate::policy::upkeep::UPKEEP_MS;
+use crate::state::FleetMode;
 
 impl Gateway {
     /// Takes one event in and adds what is to be done, in this order, to `actions`. Times must not fall from
@@ -21,53 +22,66 @@
 
     /// Gives an event to the part that it concerns.
     fn handle(&mut self, event: Event, actions: &mut Vec<Action>) {
-        let broadcast = self.coordination.is_broadcast();
         match event {
             Event::EndpointList { kind, entries } => {
                 self.endpoints.apply_list(kind, entries, self.clock.now_ms(), &mut self.random)
             }
             Event::Request(request) => self.on_request(request, actions),
-            Event::Timer { .. } if broadcast || self.clock.tick_is_due() => self.upkeep(actions),
-            Event::Timer { .. } => {}
+            Event::Timer { .. } => self.on_timer(actions),
             Event::AttemptEnded(end) => self.on_attempt_end(&end, actions),
             Event::ClientGone { request } => self.close(request, actions),
-            Event::PeerMessage { from, body } if broadcast => self.on_counts_message(from, &body),
-            Event::PeerMessage { from, body } => self.on_gossip_message(from, &body, actions),
+            Event::PeerMessage { from, body } => self.on_peer_message(from, &body, actions),
             Event::CounterReply { name, outcome, .. } => self.on_counter_reply(name, outcome, actions),
             Event::StreamOpened { .. } | Event::ProbeDone { .. } => {}
         }
     }
 
+    /// Passes a peer's message to the mode that it belongs to.
+    fn on_peer_message(&mut self, from: usize, body: &str, actions: &mut Vec<Action>) {
+        match self.coordination.fleet_mode() {
+            FleetMode::Broadcast => self.on_counts_message(from, body),
+            FleetMode::LargeFleet => self.on_gossip_message(from, body, actions),
+        }
+    }
+
+    /// Runs a round of upkeep. In broadcast mode every timer does; in a large fleet one that is early does not.
+    fn on_timer(&mut self, actions: &mut Vec<Action>) {
+        match self.coordination.fleet_mode() {
+            FleetMode::Broadcast => self.upkeep_in_broadcast_mode(actions),
+            FleetMode::LargeFleet if self.clock.tick_is_due() => self.upkeep_in_large_fleet(actions),
+            FleetMode::LargeFleet => {}
+        }
+    }
+
     /// Asks for the next round of upkeep.
     fn schedule_tick(&mut self, after_ms: f64, actions: &mut Vec<Action>) {
         let at_ms = self.clock.schedule_tick(after_ms);
         actions.push(Action::SetTimer { at_ms, token: 0 });
     }
 
-    /// A round of upkeep: what time alone brings about.
-    fn upkeep(&mut self, actions: &mut Vec<Action>) {
-        let broadcast = self.coordination.is_broadcast();
+    /// A round of upkeep in broadcast mode: what time alone brings about.
+    fn upkeep_in_broadcast_mode(&mut self, actions: &mut Vec<Action>) {
         self.schedule_tick(self.upkeep_interval_ms(), actions);
-        if broadcast {
-            self.update_typical_age();
-            self.detect_correlated_failure();
-            self.refill_warm_up_tokens();
-        } else if self.review_is_due() {
-            self.detect_correlated_failure();
-        }
+        self.update_typical_age();
+        self.detect_correlated_failure();
+        self.refill_warm_up_tokens();
         self.measure_saturation();
         self.finish_overdue_requests(actions);
         self.rescue_stalled(actions);
-        if !broadcast {
-            self.large_fleet_upkeep(actions);
-        }
         self.step_watermark();
         self.broadcast_counts_if_due(actions);
         self.evict_idle_customers_if_due();
     }
 
-    /// The part of upkeep that only a large fleet's gateway has.
-    fn large_fleet_upkeep(&mut self, actions: &mut Vec<Action>) {
+    /// A round of upkeep in a large fleet. Looks at all endpoints are rarer there, since each costs more.
+    fn upkeep_in_large_fleet(&mut self, actions: &mut Vec<Action>) {
+        self.schedule_tick(self.upkeep_interval_ms(), actions);
+        if self.review_is_due() {
+            self.detect_correlated_failure();
+        }
+        self.measure_saturation();
+        self.finish_overdue_requests(actions);
+        self.rescue_stalled(actions);
         if self.review_is_due() {
             self.update_means();
         }
@@ -75,6 +89,8 @@
         self.refill_dispatch_credit(seconds);
         self.refill_message_tokens(seconds);
         self.retry_quota_requests(actions);
+        self.step_watermark();
+        self.evict_idle_customers_if_due();
     }
 
     /// Forgets idle customers from time to time.
--- a/crates/admission/src/lifecycle/requests.rs
+++ b/crates/admission/src/lifecycle/requests.rs
@@ -4,8 +4,8 @@
 use crate::gateway::Gateway;
 use crate::id::{CustomerTag, RequestId};
 use crate::mechanism::virtual_finish_queue::FlowHead;
-use crate::messages::gossip::GossipMessage;
-use crate::messages::quota::{QuarterUnits, QuotaRelease, QuotaRequestNumber};
+use crate::messages::gossip_message::GossipMessage;
+use crate::messages::quota_message::{QuarterUnits, QuotaRelease, QuotaRequestNumber};
 use crate::state::{ActiveRequest, QuotaState};
 
 impl Gateway {
--- a/crates/admission/src/messages/gossip.rs
+++ b/crates/admission/src/messages/gossip_message.rs
@@ -1,8 +1,8 @@
 //! The gossip message: fleet-wide means, observations of endpoints, and quota requests, responses and
 //! releases.
 use crate::messages::base64_digits::{put, take, MAX_TWO_DIGITS};
-use crate::messages::observation::Observation;
-use crate::messages::quota::{QuotaRelease, QuotaRequest, QuotaResponse};
+use crate::messages::observation_code::Observation;
+use crate::messages::quota_message::{QuotaRelease, QuotaRequest, QuotaResponse};
 
 /// First character of every gossip message.
 const VERSION: char = 'w';
--- a/crates/admission/src/messages/mod.rs
+++ b/crates/admission/src/messages/mod.rs
@@ -1,6 +1,6 @@
 //! Codecs of the messages between gateways.
 pub(crate) mod base64_digits;
-pub(crate) mod counts;
-pub(crate) mod gossip;
-pub(crate) mod observation;
-pub(crate) mod quota;
+pub(crate) mod counts_message;
+pub(crate) mod gossip_message;
+pub(crate) mod observation_code;
+pub(crate) mod quota_message;
--- a/crates/admission/src/policy/quota_owner.rs
+++ b/crates/admission/src/policy/quota_owner.rs
@@ -2,7 +2,7 @@
 //! the others ask it.
 use crate::gateway::Gateway;
 use crate::id::{CustomerTag, RequestId};
-use crate::messages::quota::{QuotaVerdict, SamplingFraction};
+use crate::messages::quota_message::{QuotaVerdict, SamplingFraction};
 use crate::policy::coordination::PEER_MESSAGE_FRACTION;
 use crate::policy::dispatch::ATTEMPT_TIMEOUT_OBJECTIVES;
 use crate::policy::quota_counter::AMPLE_FRACTION;
--- /dev/null
+++ b/crates/admission/src/state/endpoint/mod.rs
@@ -0,0 +1,22 @@
+//! Endpoints: what the list says of them, their health, their response times and their warm-up.
+mod candidate;
+mod endpoint_health;
+mod endpoint_record;
+mod endpoint_table;
+mod latency_model;
+mod observed_health;
+mod outlier_detector;
+mod recent_observations;
+mod relative_response_time;
+mod warm_up_tokens;
+
+pub(crate) use candidate::{Candidate, ZoneCapacity};
+pub(crate) use endpoint_health::EndpointHealth;
+pub(crate) use endpoint_record::{Endpoint, EndpointSmoothing, InFlightAttempt};
+pub(crate) use endpoint_table::EndpointTable;
+pub(crate) use latency_model::{LatencyGains, LatencyModel};
+pub(crate) use observed_health::{EjectionScope, ObservedHealth};
+pub(crate) use outlier_detector::OutlierDetector;
+pub(crate) use recent_observations::RecentObservations;
+pub(crate) use relative_response_time::{KindDeviation, RelativeResponseTime};
+pub(crate) use warm_up_tokens::{FleetCapacity, SlowStart, WarmUpBudget, WarmUpTokens};
--- a/crates/admission/src/state/recent_observations.rs
+++ b/crates/admission/src/state/endpoint/recent_observations.rs
@@ -1,5 +1,5 @@
 //! Own observations of endpoints that go along with the next messages.
-use crate::messages::observation::Observation;
+use crate::messages::observation_code::Observation;
 use std::collections::VecDeque;
 
 /// The latest own observations, oldest first.
--- a/crates/admission/src/state/coordination.rs
+++ b/crates/admission/src/state/fleet/coordination_mode.rs
@@ -18,7 +18,26 @@
     Isolated,
 }
 
+/// The two ways in which gateways know of each other's work, where rules differ by it.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(crate) enum FleetMode {
+    /// Each gateway knows every other's counts.
+    Broadcast,
+    /// Gateways go by means over the fleet, received or assumed: gossip, counter and isolated mode.
+    LargeFleet,
+}
+
 impl Coordination {
+    /// Which of the two kinds of rules this gateway goes by.
+    pub(crate) fn fleet_mode(&self) -> FleetMode {
+        match self {
+            Coordination::Broadcast(_) => FleetMode::Broadcast,
+            Coordination::Gossip(_) | Coordination::Counter(_) | Coordination::Isolated => {
+                FleetMode::LargeFleet
+            }
+        }
+    }
+
     /// Whether each gateway knows every other's counts. In the other three ways a gateway goes by fleet-wide
     /// means instead.
     pub(crate) fn is_broadcast(&self) -> bool {
--- a/crates/admission/src/state/gossip.rs
+++ b/crates/admission/src/state/fleet/gossip_credit.rs
@@ -1,6 +1,6 @@
 //! The other gateways of a large fleet, and what may be sent to them.
 use crate::mechanism::decaying_rate::DecayingRate;
-use crate::messages::gossip::GossipMessage;
+use crate::messages::gossip_message::GossipMessage;
 use crate::settings::Settings;
 use crate::state::{peer_indices, GossipPeer, QuotaRequests};
 use std::collections::BTreeMap;
--- /dev/null
+++ b/crates/admission/src/state/fleet/mod.rs
@@ -0,0 +1,16 @@
+//! The fleet's other gateways, the mode in which they coordinate, and the in-flight band.
+mod band_state;
+mod broadcast_peers;
+mod coordination_mode;
+mod fleet_means;
+mod gateway_set;
+mod gossip_credit;
+mod peer_record;
+
+pub(crate) use band_state::{Band, BandLoad, BandPosition, InFlightBand};
+pub(crate) use broadcast_peers::Broadcast;
+pub(crate) use coordination_mode::{Coordination, FleetMode};
+pub(crate) use fleet_means::{FleetMeans, GatewayMeans};
+pub(crate) use gateway_set::GatewaySet;
+pub(crate) use gossip_credit::Gossip;
+pub(crate) use peer_record::{peer_indices, BroadcastPeer, GossipPeer};
--- a/crates/admission/src/state/peer.rs
+++ b/crates/admission/src/state/fleet/peer_record.rs
@@ -1,5 +1,5 @@
 //! The other gateways, as a gateway of a small fleet and as one of a large fleet knows them.
-use crate::messages::counts::{CountsMessage, SEQUENCE_MASK};
+use crate::messages::counts_message::{CountsMessage, SEQUENCE_MASK};
 use crate::settings::Settings;
 
 /// Numbers of the other gateways of the fleet.
--- a/crates/admission/src/state/mod.rs
+++ b/crates/admission/src/state/mod.rs
@@ -1,58 +1,23 @@
-//! Records, each with the methods that keep it consistent.
-mod attempt;
-mod band;
-mod broadcast;
-mod candidate;
-mod coordination;
-mod counter_account;
-mod customer;
-mod customer_table;
+//! Records, each with the methods that keep it consistent, grouped by what they are about.
 mod endpoint;
-mod endpoint_health;
-mod endpoint_table;
 mod event_clock;
-mod fleet_means;
-mod gateway_set;
-mod gossip;
-mod latency_model;
-mod observed_health;
-mod outlier_detector;
-mod peer;
-mod quota_grants;
-mod quota_requests;
-mod quota_state;
-mod recent_observations;
-mod relative_response_time;
+mod fleet;
+mod quota;
 mod request;
-mod retry_budget;
-mod slow_start;
 
-pub(crate) use attempt::{Attempt, AttemptRef, PendingAttempt};
-pub(crate) use band::{Band, BandLoad, BandPosition, InFlightBand};
-pub(crate) use broadcast::Broadcast;
-pub(crate) use candidate::{Candidate, ZoneCapacity};
-pub(crate) use coordination::Coordination;
-pub(crate) use counter_account::{
-    CatchUp, CountedRequest, CounterAccount, CounterCall, CounterCalls, CounterEpoch,
+pub(crate) use endpoint::{
+    Candidate, EjectionScope, Endpoint, EndpointHealth, EndpointSmoothing, EndpointTable, FleetCapacity,
+    InFlightAttempt, KindDeviation, LatencyGains, LatencyModel, ObservedHealth, OutlierDetector,
+    RecentObservations, RelativeResponseTime, SlowStart, WarmUpBudget, WarmUpTokens, ZoneCapacity,
 };
-pub(crate) use customer::{Customer, PeerCount};
-pub(crate) use customer_table::CustomerTable;
-pub(crate) use endpoint::{Endpoint, EndpointSmoothing, InFlightAttempt};
-pub(crate) use endpoint_health::EndpointHealth;
-pub(crate) use endpoint_table::EndpointTable;
 pub(crate) use event_clock::EventClock;
-pub(crate) use fleet_means::{FleetMeans, GatewayMeans};
-pub(crate) use gateway_set::GatewaySet;
-pub(crate) use gossip::Gossip;
-pub(crate) use latency_model::{LatencyGains, LatencyModel};
-pub(crate) use observed_health::{EjectionScope, ObservedHealth};
-pub(crate) use outlier_detector::OutlierDetector;
-pub(crate) use peer::{peer_indices, BroadcastPeer, GossipPeer};
-pub(crate) use quota_grants::{Grant, QuotaGrants};
-pub(crate) use quota_requests::{QuotaExpectation, QuotaRequests, QuotaRoute};
-pub(crate) use quota_state::{OwnBucketCheck, QuotaDecision, QuotaState};
-pub(crate) use recent_observations::RecentObservations;
-pub(crate) use relative_response_time::{KindDeviation, RelativeResponseTime};
-pub(crate) use request::{ActiveRequest, RequestTable};
-pub(crate) use retry_budget::RetryBudget;
-pub(crate) use slow_start::{FleetCapacity, SlowStart, WarmUpBudget, WarmUpTokens};
+pub(crate) use fleet::{
+    peer_indices, Band, BandLoad, BandPosition, Broadcast, BroadcastPeer, Coordination, FleetMeans,
+    FleetMode, GatewayMeans, GatewaySet, Gossip, GossipPeer, InFlightBand,
+};
+pub(crate) use quota::{
+    CatchUp, CountedRequest, CounterAccount, CounterCall, CounterCalls, CounterEpoch, Customer,
+    CustomerTable, Grant, OwnBucketCheck, PeerCount, QuotaDecision, QuotaExpectation, QuotaGrants,
+    QuotaRequests, QuotaRoute, QuotaState,
+};
+pub(crate) use request::{ActiveRequest, Attempt, AttemptRef, PendingAttempt, RequestTable, RetryBudget};
--- a/crates/admission/src/state/customer.rs
+++ b/crates/admission/src/state/quota/customer_record.rs
@@ -1,6 +1,6 @@
 //! Customers: the tokens of their quota and ceiling, and what gateways reported and granted.
 use crate::mechanism::token_bucket::TokenBucket;
-use crate::messages::counts::ConsumedUnits;
+use crate::messages::counts_message::ConsumedUnits;
 use crate::settings::PlanSettings;
 use crate::state::{CounterAccount, GatewaySet, QuotaGrants};
 use std::collections::BTreeMap;
--- a/crates/admission/src/state/quota_grants.rs
+++ b/crates/admission/src/state/quota/grant_ledger.rs
@@ -1,6 +1,6 @@
 //! What the owner of a customer's quota has granted to the other gateways.
 use crate::mechanism::decaying_rate::DecayingRate;
-use crate::messages::quota::QuotaRequestNumber;
+use crate::messages::quota_message::QuotaRequestNumber;
 use std::collections::VecDeque;
 
 /// Keeps divisions by the units requested finite.
--- a/crates/admission/src/state/quota_requests.rs
+++ b/crates/admission/src/state/quota/pending_quota_requests.rs
@@ -1,6 +1,6 @@
 //! Quota requests that this gateway sent to owners and that wait for a response.
 use crate::id::RequestId;
-use crate::messages::quota::QuotaRequestNumber;
+use crate::messages::quota_message::QuotaRequestNumber;
 use crate::state::QuotaState;
 use std::collections::BTreeMap;
 
--- a/crates/admission/src/state/quota_state.rs
+++ b/crates/admission/src/state/quota/quota_state.rs
@@ -1,5 +1,5 @@
 //! Where a request stands with its customer's quota.
-use crate::messages::quota::QuotaRequestNumber;
+use crate::messages::quota_message::QuotaRequestNumber;
 
 /// Who decides whether a request is within its customer's quota, and what was decided.
 #[derive(Debug, Clone, Copy, PartialEq)]
