--- a/crates/admission/src/action.rs
+++ b/crates/admission/src/action.rs
@@ -1,5 +1,5 @@
 //! Actions that a gateway asks its host program to carry out.
-use crate::id::{EndpointId, RequestId};
+use crate::id::{EndpointId, GatewayIndex, RequestId};
 
 /// What a gateway asks its host program to do, in the order given.
 #[derive(Debug, Clone, PartialEq)]
@@ -45,7 +45,7 @@
     /// Send a message to a peer.
     SendPeerMessage {
         /// The peer's number; `None`: all.
-        to: Option<usize>,
+        to: Option<GatewayIndex>,
         /// Up to 256 bytes.
         body: String,
     },
--- a/crates/admission/src/coordination/count_reports.rs
+++ b/crates/admission/src/coordination/count_reports.rs
@@ -1,7 +1,7 @@
 //! Small fleets: every gateway sends every other its counts.
 use crate::action::Action;
 use crate::gateway::Gateway;
-use crate::id::CustomerTag;
+use crate::id::{CustomerTag, GatewayIndex};
 use crate::messages::counts_message::{
     CeilingTransfer, ConsumedUnits, CountEntry, CountsMessage, QuotaFill, WatermarkOnWire, MAX_CUSTOMER_LEN,
 };
@@ -15,17 +15,17 @@
 /// Messages to each peer in one round of reports, without their heads.
 struct ReportRound {
     /// Messages by the peer that they go to.
-    messages: BTreeMap<usize, Vec<CountsMessage>>,
+    messages: BTreeMap<GatewayIndex, Vec<CountsMessage>>,
 }
 
 impl ReportRound {
     /// A round in which each peer gets one message at least.
-    fn new(peers: impl Iterator<Item = usize>) -> Self {
+    fn new(peers: impl Iterator<Item = GatewayIndex>) -> Self {
         ReportRound { messages: peers.map(|peer| (peer, vec![CountsMessage::default()])).collect() }
     }
 
     /// The message to a peer that has room for one more customer; `None` where there is no such peer.
-    fn message_with_room(&mut self, peer: usize) -> Option<&mut CountsMessage> {
+    fn message_with_room(&mut self, peer: GatewayIndex) -> Option<&mut CountsMessage> {
         let messages = self.messages.get_mut(&peer)?;
         if messages.last().is_none_or(|m| m.len() + MAX_CUSTOMER_LEN > MAX_MESSAGE_BYTES) {
             messages.push(CountsMessage::default());
@@ -70,7 +70,7 @@
                 self.customers.mark_reported(tag);
                 continue;
             };
-            let Some(plan) = customer.plan().map(|p| &self.settings.plans[p]) else { continue };
+            let Some(plan) = customer.plan().map(|p| self.settings.plan(p)) else { continue };
             customer.refill(plan, self.clock.now_ms());
             let fill = if plan.burst_units > 0.0 { customer.quota_tokens() / plan.burst_units } else { 1.0 };
             let entry = CountEntry {
@@ -108,7 +108,7 @@
     }
 
     /// Applies a peer's counts.
-    pub(crate) fn on_counts_message(&mut self, from: usize, body: &str) {
+    pub(crate) fn on_counts_message(&mut self, from: GatewayIndex, body: &str) {
         let Some(message) = CountsMessage::decode(body) else { return };
         let Coordination::Broadcast(broadcast) = &mut self.coordination else { return };
         let Some(peer) = broadcast.peer_mut(from) else { return };
@@ -127,10 +127,10 @@
     }
 
     /// Applies a peer's count of one customer.
-    fn apply_count(&mut self, from: usize, incarnation: u32, entry: &CountEntry) {
+    fn apply_count(&mut self, from: GatewayIndex, incarnation: u32, entry: &CountEntry) {
         let now_ms = self.clock.now_ms();
         let customer = self.customers.get_or_insert(CustomerTag::from_short(entry.tag), now_ms);
-        let plan = customer.plan().map(|p| &self.settings.plans[p]);
+        let plan = customer.plan().map(|p| self.settings.plan(p));
         let count = PeerCount {
             incarnation,
             consumed: entry.consumed,
@@ -142,9 +142,9 @@
 
     /// Gives units of a customer's ceiling to a peer that requests them. They are taken off before the peer
     /// learns of them, so that they are never there twice.
-    fn on_ceiling_request(&mut self, from: usize, tag: CustomerTag) {
+    fn on_ceiling_request(&mut self, from: GatewayIndex, tag: CustomerTag) {
         let Some(customer) = self.customers.get_mut(tag) else { return };
-        let Some(plan) = customer.plan().map(|p| &self.settings.plans[p]) else { return };
+        let Some(plan) = customer.plan().map(|p| self.settings.plan(p)) else { return };
         customer.refill(plan, self.clock.now_ms());
         let units = ceiling_transfer_units(customer.ceiling_tokens(), self.settings.max_units);
         if units > 0.0 {
@@ -155,7 +155,7 @@
     /// Adds units of a customer's ceiling that a peer gave.
     fn on_ceiling_transfer(&mut self, transfer: &CeilingTransfer) {
         let Some(customer) = self.customers.get_mut(CustomerTag::from_short(transfer.tag)) else { return };
-        let Some(plan) = customer.plan().map(|p| &self.settings.plans[p]) else { return };
+        let Some(plan) = customer.plan().map(|p| self.settings.plan(p)) else { return };
         customer.refill(plan, self.clock.now_ms());
         customer.receive_ceiling(plan, transfer.units());
     }
--- a/crates/admission/src/coordination/counter_calls.rs
+++ b/crates/admission/src/coordination/counter_calls.rs
@@ -21,7 +21,7 @@
         let request = active.request.clone();
         let now_ms = self.clock.now_ms();
         let gateways = GatewaySet::of_request(&request, self.settings.gateways);
-        let plan = self.settings.plans[request.plan].clone();
+        let plan = self.settings.plan(request.plan).clone();
         let customer = self.customer_entry(tag, request.plan, gateways);
         if plan.rate_per_second <= 0.0 {
             return;
@@ -76,7 +76,7 @@
         let epoch = CounterEpoch::at(tag, self.clock.now_ms(), COUNT_EPOCH_MS);
         let Some(customer) = self.customers.get_mut(tag) else { return };
         let Some(ended) = customer.counter.complete() else { return };
-        let Some(plan) = customer.plan().map(|p| self.settings.plans[p].clone()) else { return };
+        let Some(plan) = customer.plan().map(|p| self.settings.plan(p).clone()) else { return };
         let rejected = outcome == CounterOutcome::Rejected;
         if rejected {
             customer.counter.correct(ended.correction_units);
--- a/crates/admission/src/coordination/gossip_exchange.rs
+++ b/crates/admission/src/coordination/gossip_exchange.rs
@@ -1,6 +1,7 @@
 //! Large fleets: fleet-wide means and observations of endpoints travel with the quota messages.
 use crate::action::Action;
 use crate::gateway::Gateway;
+use crate::id::GatewayIndex;
 use crate::messages::gossip_message::{GossipMessage, MeansOnWire};
 use crate::policy::coordination::{mean_attempt_age_ms, MEAN_GAIN, MEAN_GAIN_PER_SECOND, RECEIVED_MEAN_GAIN};
 use crate::policy::in_flight_band::MAX_WATERMARK;
@@ -9,7 +10,7 @@
 
 impl Gateway {
     /// Takes a peer's message in: its means, its observations, and its quota messages.
-    pub(crate) fn on_gossip_message(&mut self, from: usize, body: &str, actions: &mut Vec<Action>) {
+    pub(crate) fn on_gossip_message(&mut self, from: GatewayIndex, body: &str, actions: &mut Vec<Action>) {
         let Some(message) = GossipMessage::decode(body) else { return };
         if !peer_indices(&self.settings).any(|peer| peer == from) {
             return;
@@ -34,7 +35,12 @@
 
     /// Sends a message with the means and observations that go along; to this gateway itself, takes its quota
     /// messages in at once.
-    pub(crate) fn send_gossip(&mut self, to: usize, mut message: GossipMessage, actions: &mut Vec<Action>) {
+    pub(crate) fn send_gossip(
+        &mut self,
+        to: GatewayIndex,
+        mut message: GossipMessage,
+        actions: &mut Vec<Action>,
+    ) {
         if to == self.settings.me {
             return self.on_quota_messages(to, message, actions);
         }
--- a/crates/admission/src/coordination/observations.rs
+++ b/crates/admission/src/coordination/observations.rs
@@ -1,7 +1,7 @@
 //! What gateways of a large fleet observe of endpoints, and learn from each other's observations.
 use crate::event::{AttemptEnd, Outcome};
 use crate::gateway::Gateway;
-use crate::id::EndpointId;
+use crate::id::{ClassIndex, EndpointId, PlanIndex};
 use crate::mechanism::backoff::jitter_factor;
 use crate::mechanism::splitmix64::short_tag;
 use crate::messages::observation_code::{Observation, ObservationKind, ResponseTimeCode};
@@ -14,14 +14,14 @@
 
 impl Gateway {
     /// Records what an own attempt's end shows of its endpoint.
-    pub(crate) fn observe_attempt(&mut self, end: &AttemptEnd, class: usize, plan: usize) {
+    pub(crate) fn observe_attempt(&mut self, end: &AttemptEnd, class: ClassIndex, plan: PlanIndex) {
         if end.outcome == Outcome::Ok {
             self.fleet_means.record_response(self.clock.now_ms(), QUOTA_RATE_SPAN_S);
             if let Some(endpoint) = self.endpoints.get_mut(end.endpoint) {
                 endpoint.observed.relax_ejections(class, plan);
             }
         }
-        let objective_fraction = end.took_ms / self.settings.classes[class].latency_objective_ms;
+        let objective_fraction = end.took_ms / self.settings.class(class).latency_objective_ms;
         let response_time = ResponseTimeCode::from_objective_fraction(objective_fraction);
         let kind = match end.outcome {
             Outcome::Ok => ObservationKind::Answered { class, response_time },
@@ -65,7 +65,7 @@
     }
 
     /// An endpoint turned a request of a plan away: others of the plan are kept away from it for a while.
-    fn apply_rejection(&mut self, tag: u32, plan: usize) {
+    fn apply_rejection(&mut self, tag: u32, plan: PlanIndex) {
         let (now_ms, jitter) = (self.clock.now_ms(), self.observation_jitter(tag));
         if let Some(endpoint) = self.endpoints.get_by_tag_mut(tag) {
             endpoint.observed.eject(EjectionScope::Plan(plan), now_ms, SCOPED_EJECTION, jitter);
@@ -74,7 +74,7 @@
 
     /// An endpoint failed a request of a class: once it fails many, others of the class are kept away from it
     /// for a while.
-    fn apply_failure(&mut self, tag: u32, class: usize) {
+    fn apply_failure(&mut self, tag: u32, class: ClassIndex) {
         let (now_ms, jitter) = (self.clock.now_ms(), self.observation_jitter(tag));
         let Some(endpoint) = self.endpoints.get_by_tag_mut(tag) else { return };
         let failed_fraction = endpoint.observed.record_failure(class, CLASS_FAILURE_GAIN);
@@ -84,7 +84,7 @@
     }
 
     /// An endpoint answered a request of a class.
-    fn apply_answer(&mut self, tag: u32, class: usize, response_time: ResponseTimeCode) {
+    fn apply_answer(&mut self, tag: u32, class: ClassIndex, response_time: ResponseTimeCode) {
         let now_ms = self.clock.now_ms();
         let Some(endpoint) = self.endpoints.get_by_tag_mut(tag) else { return };
         endpoint.observed.record_response(class, now_ms, CLASS_FAILURE_GAIN);
--- a/crates/admission/src/coordination/quota_ownership.rs
+++ b/crates/admission/src/coordination/quota_ownership.rs
@@ -1,7 +1,7 @@
 //! Owning a customer's quota: responding to the quota requests of other gateways.
 use crate::action::Action;
 use crate::gateway::Gateway;
-use crate::id::CustomerTag;
+use crate::id::{CustomerTag, GatewayIndex, PlanIndex};
 use crate::messages::gossip_message::GossipMessage;
 use crate::messages::quota_message::{
     QuotaRelease, QuotaRequest, QuotaRequestNumber, QuotaResponse, QuotaVerdict, SamplingFraction,
@@ -16,7 +16,7 @@
 #[derive(Debug, Clone, Copy)]
 struct ReceivedRequest {
     /// The gateway that sent it.
-    gateway: usize,
+    gateway: GatewayIndex,
     /// Its number there.
     number: QuotaRequestNumber,
     /// Units, at most what a request may count.
@@ -33,7 +33,7 @@
     /// Takes in the quota requests, responses and releases of a message.
     pub(crate) fn on_quota_messages(
         &mut self,
-        from: usize,
+        from: GatewayIndex,
         message: GossipMessage,
         actions: &mut Vec<Action>,
     ) {
@@ -52,12 +52,13 @@
 
     /// Decides on a quota request as the owner. What is granted is taken from quota, slots and ceiling before
     /// the response is sent. `None` for a request that its sender must not send here.
-    fn decide(&mut self, from: usize, request: &QuotaRequest) -> Option<QuotaResponse> {
-        let plan = self.settings.plans.get(request.plan as usize)?.clone();
+    fn decide(&mut self, from: GatewayIndex, request: &QuotaRequest) -> Option<QuotaResponse> {
+        let plan_index = PlanIndex(request.plan as usize);
+        let plan = self.settings.plans.get(plan_index.0)?.clone();
         let gateways = self.gateways_of(from, request)?;
         let now_ms = self.clock.now_ms();
         let received = self.received_request(from, request);
-        let customer = self.customer_entry(CustomerTag(request.customer), request.plan as usize, gateways);
+        let customer = self.customer_entry(CustomerTag(request.customer), plan_index, gateways);
         customer.grants.expire(now_ms);
         let verdict = account(customer, &plan, &received, now_ms);
         let (verdict, fraction) = match verdict {
@@ -70,14 +71,15 @@
 
     /// The gateways that a request's customer comes through; `None` where they are not of this fleet, or the
     /// sender or this gateway is not among them.
-    fn gateways_of(&self, from: usize, request: &QuotaRequest) -> Option<GatewaySet> {
-        let (first, len) = (request.first_gateway as usize, request.gateways as usize);
+    fn gateways_of(&self, from: GatewayIndex, request: &QuotaRequest) -> Option<GatewaySet> {
+        let first = GatewayIndex(request.first_gateway as usize);
+        let len = request.gateways as usize;
         let gateways = GatewaySet::checked(first, len, self.settings.gateways)?;
         (gateways.contains(from) && gateways.contains(self.settings.me)).then_some(gateways)
     }
 
     /// A quota request in the owner's terms: units bounded, steps of the wire as times.
-    fn received_request(&self, from: usize, request: &QuotaRequest) -> ReceivedRequest {
+    fn received_request(&self, from: GatewayIndex, request: &QuotaRequest) -> ReceivedRequest {
         let units = f64::from(request.units).min(self.settings.max_units.max(1.0));
         let waits_until_ms = self.clock.now_ms() + request.wait_budget.ms();
         ReceivedRequest {
@@ -92,10 +94,10 @@
 
     /// Takes in, as the owner, that a request has ended: settles its units, and grants its slot to a waiting
     /// one.
-    fn on_quota_release(&mut self, from: usize, release: QuotaRelease, actions: &mut Vec<Action>) {
+    fn on_quota_release(&mut self, from: GatewayIndex, release: QuotaRelease, actions: &mut Vec<Action>) {
         let max_units = self.settings.max_units.max(1.0);
         let Some(customer) = self.customers.get_mut(CustomerTag(release.customer)) else { return };
-        let Some(plan) = customer.plan().map(|p| &self.settings.plans[p]) else { return };
+        let Some(plan) = customer.plan().map(|p| self.settings.plan(p)) else { return };
         if !customer.grants.release(from, release.number) {
             return;
         }
--- a/crates/admission/src/coordination/quota_requests.rs
+++ b/crates/admission/src/coordination/quota_requests.rs
@@ -1,7 +1,7 @@
 //! Asking the owner of a customer's quota, and what its responses lead to.
 use crate::action::Action;
 use crate::gateway::Gateway;
-use crate::id::RequestId;
+use crate::id::{GatewayIndex, RequestId};
 use crate::messages::gossip_message::GossipMessage;
 use crate::messages::quota_message::{
     QuotaRequest, QuotaResponse, QuotaVerdict, SamplingFraction, WaitBudget,
@@ -17,7 +17,7 @@
     /// The request that it was sent for.
     id: RequestId,
     /// The owner that it was sent to.
-    owner: usize,
+    owner: GatewayIndex,
     /// How often it had been sent before.
     tries: u32,
 }
@@ -57,9 +57,9 @@
         let number = gossip.requests.number_for(previous, owner);
         let quota_request = QuotaRequest {
             customer: tag.0,
-            plan: request.plan as u32,
+            plan: request.plan.0 as u32,
             units: request.units.ceil().max(0.0) as u32,
-            first_gateway: gateways.first() as u32,
+            first_gateway: gateways.first().0 as u32,
             gateways: gateways.len() as u32,
             number,
             wait_budget,
@@ -75,7 +75,7 @@
     fn send_quota_request(
         &mut self,
         id: RequestId,
-        owner: usize,
+        owner: GatewayIndex,
         request: QuotaRequest,
         tries: u32,
         actions: &mut Vec<Action>,
@@ -122,7 +122,7 @@
     }
 
     /// Takes in what the owner decided on a request that waits for it.
-    pub(crate) fn on_quota_response(&mut self, from: usize, response: QuotaResponse) {
+    pub(crate) fn on_quota_response(&mut self, from: GatewayIndex, response: QuotaResponse) {
         let number = response.number;
         let Some(gossip) = self.coordination.gossip_mut() else { return };
         let Some(id) = gossip.requests.get(number) else { return };
--- a/crates/admission/src/event.rs
+++ b/crates/admission/src/event.rs
@@ -1,5 +1,7 @@
 //! Events that come in at a gateway.
-use crate::id::{CustomerId, EndpointId, RequestId};
+use crate::id::{
+    ClassIndex, CustomerId, EndpointId, GatewayIndex, MachineKindIndex, PlanIndex, RequestId, ZoneIndex,
+};
 
 /// What the list says of an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -18,9 +20,9 @@
     /// The endpoint.
     pub id: EndpointId,
     /// Its zone, as an index.
-    pub zone: usize,
+    pub zone: ZoneIndex,
     /// Its machine kind, as an index.
-    pub kind: usize,
+    pub kind: MachineKindIndex,
     /// Its cell.
     pub cell: u64,
     /// Its state.
@@ -50,9 +52,9 @@
     /// Its id.
     pub id: RequestId,
     /// Its class, an index into the settings.
-    pub class: usize,
+    pub class: ClassIndex,
     /// Its customer's plan, an index into the settings.
-    pub plan: usize,
+    pub plan: PlanIndex,
     /// Its customer.
     pub customer: CustomerId,
     /// Time until the client gives this try up, in milliseconds.
@@ -62,7 +64,7 @@
     /// The number of gateways that the customer's requests come through.
     pub gateway_count: usize,
     /// Number of the first of these gateways; the others follow it, from the last gateway on to number 0.
-    pub first_gateway: usize,
+    pub first_gateway: GatewayIndex,
     /// The client marked it as a repeat.
     pub repeat: bool,
     /// It is a write.
@@ -171,7 +173,7 @@
     /// A peer's message.
     PeerMessage {
         /// The peer's number.
-        from: usize,
+        from: GatewayIndex,
         /// Its text.
         body: String,
     },
--- a/crates/admission/src/event_handling.rs
+++ b/crates/admission/src/event_handling.rs
@@ -2,6 +2,7 @@
 use crate::action::Action;
 use crate::event::Event;
 use crate::gateway::Gateway;
+use crate::id::GatewayIndex;
 use crate::policy::upkeep::UPKEEP_MS;
 use crate::state::FleetMode;
 
@@ -37,7 +38,7 @@
     }
 
     /// Passes a peer's message to the mode that it belongs to.
-    fn on_peer_message(&mut self, from: usize, body: &str, actions: &mut Vec<Action>) {
+    fn on_peer_message(&mut self, from: GatewayIndex, body: &str, actions: &mut Vec<Action>) {
         match self.coordination.fleet_mode() {
             FleetMode::Broadcast => self.on_counts_message(from, body),
             FleetMode::LargeFleet => self.on_gossip_message(from, body, actions),
--- a/crates/admission/src/id.rs
+++ b/crates/admission/src/id.rs
@@ -1,4 +1,4 @@
-//! Identifiers of requests, customers and endpoints.
+//! Identifiers of requests, customers and endpoints, and indexes into the settings.
 
 /// A request's id, unique among all requests that one gateway is given.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -28,3 +28,23 @@
 /// An endpoint's id, the same at every gateway and after a restart of its process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EndpointId(pub u64);
+
+/// A request class: its index among the classes of the settings.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
+pub struct ClassIndex(pub usize);
+
+/// A plan: its index among the plans of the settings.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
+pub struct PlanIndex(pub usize);
+
+/// A gateway of the fleet, numbered from 0 in the order of the settings.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
+pub struct GatewayIndex(pub usize);
+
+/// A zone, numbered from 0 in the order of the settings.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
+pub struct ZoneIndex(pub usize);
+
+/// A kind of machine that endpoints run on, numbered from 0 in the order of the settings.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
+pub struct MachineKindIndex(pub usize);
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -28,13 +28,17 @@
 mod settings;
 mod startup;
 mod state;
+#[cfg(test)]
+mod tests;
 
 pub use action::Action;
 pub use event::{
     AttemptEnd, CounterOutcome, EndpointEntry, EndpointState, Event, ListKind, Outcome, Request,
 };
 pub use gateway::Gateway;
-pub use id::{CustomerId, EndpointId, RequestId};
+pub use id::{
+    ClassIndex, CustomerId, EndpointId, GatewayIndex, MachineKindIndex, PlanIndex, RequestId, ZoneIndex,
+};
 pub use settings::{ClassSettings, DedupGroup, Idempotency, PlanSettings, Settings, SettingsError};
 
 /// The README's example is compiled and run with the tests.
--- a/crates/admission/src/lifecycle/attempts.rs
+++ b/crates/admission/src/lifecycle/attempts.rs
@@ -16,7 +16,7 @@
         if self.endpoints.get(endpoint_id).is_none() {
             return;
         }
-        let objective_ms = self.settings.classes[active.request.class].latency_objective_ms;
+        let objective_ms = self.settings.class(active.request.class).latency_objective_ms;
         let time_left_ms = active.deadline_ms - self.clock.now_ms();
         let timeout_ms =
             (ATTEMPT_TIMEOUT_OBJECTIVES * objective_ms).min(time_left_ms).max(MIN_ATTEMPT_TIMEOUT_MS);
@@ -50,7 +50,7 @@
             return;
         };
         let Some(customer) = self.customers.get_mut(active.tag) else { return };
-        let plan = &self.settings.plans[active.request.plan];
+        let plan = self.settings.plan(active.request.plan);
         let is_first = active.attempt_count() == 1;
         let first_within_quota = is_first && active.quota().is_within_quota();
         customer.start_attempt();
@@ -88,7 +88,7 @@
     /// figure passed the estimate.
     fn settle_attempt(&mut self, end: &AttemptEnd) {
         let Some(active) = self.requests.get_mut(end.request) else { return };
-        let plan = &self.settings.plans[active.request.plan];
+        let plan = self.settings.plan(active.request.plan);
         let has_quota = active.quota().is_within_quota() && plan.rate_per_second > 0.0;
         // No request can count more than `max_units`: such a figure is corrupt.
         let true_units = end.true_units.filter(|units| has_quota && *units <= self.settings.max_units);
--- a/crates/admission/src/lifecycle/customers.rs
+++ b/crates/admission/src/lifecycle/customers.rs
@@ -1,6 +1,6 @@
 //! How customers are entered into the records and evicted from them.
 use crate::gateway::Gateway;
-use crate::id::{CustomerId, CustomerTag};
+use crate::id::{CustomerId, CustomerTag, PlanIndex};
 use crate::mechanism::splitmix64::short_tag;
 use crate::policy::coordination::idle_limit_ms;
 use crate::state::{Customer, GatewaySet};
@@ -20,7 +20,7 @@
     pub(crate) fn customer_entry(
         &mut self,
         tag: CustomerTag,
-        plan: usize,
+        plan: PlanIndex,
         gateways: GatewaySet,
     ) -> &mut Customer {
         let now_ms = self.clock.now_ms();
@@ -28,11 +28,11 @@
             let ceiling_fraction = self.ceiling_fraction(tag, &gateways);
             let uptime_s = self.clock.since_start_ms() / 1000.0;
             let customer = self.customers.get_or_insert(tag, now_ms);
-            customer.set_plan(plan, &self.settings.plans[plan], ceiling_fraction, uptime_s, now_ms);
+            customer.set_plan(plan, self.settings.plan(plan), ceiling_fraction, uptime_s, now_ms);
         }
         let customer = self.customers.get_or_insert(tag, now_ms);
         customer.touch(gateways, now_ms);
-        customer.refill(&self.settings.plans[plan], now_ms);
+        customer.refill(self.settings.plan(plan), now_ms);
         customer
     }
 
@@ -42,8 +42,8 @@
             self.customers.clear_unreported();
         }
         let customers = self.customers.len();
-        let plans = &self.settings.plans;
-        let limit_ms = |plan: Option<usize>| idle_limit_ms(plan.map(|p| &plans[p]), customers);
+        let settings = &self.settings;
+        let limit_ms = |plan: Option<PlanIndex>| idle_limit_ms(plan.map(|p| settings.plan(p)), customers);
         self.customers.evict_idle(self.clock.now_ms(), limit_ms);
     }
 }
--- a/crates/admission/src/lifecycle/endpoints.rs
+++ b/crates/admission/src/lifecycle/endpoints.rs
@@ -3,7 +3,7 @@
 //! The figures and the decisions lie in `policy::outlier_detection` and `policy::slow_start`.
 use crate::event::{AttemptEnd, Outcome};
 use crate::gateway::Gateway;
-use crate::id::EndpointId;
+use crate::id::{ClassIndex, EndpointId, PlanIndex};
 use crate::mechanism::backoff::jitter_factor;
 use crate::mechanism::percentile::percentile;
 use crate::policy::outlier_detection::{
@@ -14,7 +14,7 @@
 
 impl Gateway {
     /// Learns an endpoint's speed and health from how an attempt ended.
-    pub(crate) fn record_attempt_end(&mut self, end: &AttemptEnd, class: usize, plan: usize) {
+    pub(crate) fn record_attempt_end(&mut self, end: &AttemptEnd, class: ClassIndex, plan: PlanIndex) {
         let is_small_fleet = self.coordination.is_broadcast();
         if !is_small_fleet {
             self.observe_attempt(end, class, plan);
--- a/crates/admission/src/lifecycle/requests.rs
+++ b/crates/admission/src/lifecycle/requests.rs
@@ -2,7 +2,7 @@
 use crate::action::Action;
 use crate::event::Request;
 use crate::gateway::Gateway;
-use crate::id::{CustomerTag, RequestId};
+use crate::id::{CustomerTag, GatewayIndex, RequestId};
 use crate::mechanism::virtual_finish_queue::FlowHead;
 use crate::messages::gossip_message::GossipMessage;
 use crate::messages::quota_message::{QuarterUnits, QuotaRelease, QuotaRequestNumber};
@@ -26,15 +26,15 @@
 
     /// Whether a request names a class and a plan of the settings, and is not in work already.
     fn is_valid(&self, request: &Request) -> bool {
-        request.class < self.settings.classes.len()
-            && request.plan < self.settings.plans.len()
+        request.class.0 < self.settings.classes.len()
+            && request.plan.0 < self.settings.plans.len()
             && !self.requests.contains(request.id)
     }
 
     /// Enters a request into the records.
     fn enter(&mut self, request: Request) {
         let tag = self.customer_tag(request.customer);
-        let objective_ms = self.settings.classes[request.class].latency_objective_ms;
+        let objective_ms = self.settings.class(request.class).latency_objective_ms;
         let objective_ms = objective_ms - self.already_waited_ms(request.class, request.time_left_ms);
         let active = ActiveRequest::new(request, tag, self.clock.now_ms(), objective_ms);
         self.requests.insert(active);
@@ -76,7 +76,7 @@
     /// Gives the final answer: a rejection where trying again is harmless, else a failure.
     pub(crate) fn finish(&mut self, id: RequestId, retry_after_ms: Option<f64>, actions: &mut Vec<Action>) {
         let Some(active) = self.requests.get(id).filter(|active| !active.is_closed()) else { return };
-        let idempotency = self.settings.classes[active.request.class].idempotency;
+        let idempotency = self.settings.class(active.request.class).idempotency;
         actions.push(if !active.may_have_run() || idempotency.allows_new_try() {
             Action::Reject { request: id, retry_after_ms }
         } else {
@@ -113,7 +113,7 @@
                 self.send_release(owner, active.tag, number, unused, actions)
             }
             QuotaState::GrantedByOwner { owner, number, ample } => {
-                let holds_slot = self.settings.plans[active.request.plan].open_limit > 0;
+                let holds_slot = self.settings.plan(active.request.plan).open_limit > 0;
                 if holds_slot || active.settled_units() != 0.0 && !ample {
                     self.send_release(owner, active.tag, number, active.settled_units(), actions);
                 }
@@ -135,7 +135,7 @@
     /// those granted; below 0 it gives them back.
     fn send_release(
         &mut self,
-        owner: usize,
+        owner: GatewayIndex,
         tag: CustomerTag,
         number: QuotaRequestNumber,
         units: f64,
--- a/crates/admission/src/messages/observation_code.rs
+++ b/crates/admission/src/messages/observation_code.rs
@@ -1,4 +1,5 @@
 //! What a gateway observed of an endpoint, as gossip carries it.
+use crate::id::{ClassIndex, PlanIndex};
 use crate::messages::base64_digits::{put, take};
 
 /// Codes of one class: its answers by response time, and its failure.
@@ -35,19 +36,19 @@
     /// It answered a request of a class.
     Answered {
         /// The class, an index into the settings.
-        class: usize,
+        class: ClassIndex,
         /// How long that took.
         response_time: ResponseTimeCode,
     },
     /// A request of a class failed, or got no answer in time.
     Failed {
         /// The class, an index into the settings.
-        class: usize,
+        class: ClassIndex,
     },
     /// It turned a request of a plan away.
     Rejected {
         /// The plan, an index into the settings.
-        plan: usize,
+        plan: PlanIndex,
     },
 }
 
@@ -73,19 +74,19 @@
     fn code(self) -> u32 {
         match self {
             ObservationKind::Answered { class, response_time } => {
-                CODES_PER_CLASS * class as u32 + response_time.0
+                CODES_PER_CLASS * class.0 as u32 + response_time.0
             }
-            ObservationKind::Failed { class } => CODES_PER_CLASS * class as u32 + FAILED,
-            ObservationKind::Rejected { plan } => FIRST_PLAN_CODE + plan as u32,
+            ObservationKind::Failed { class } => CODES_PER_CLASS * class.0 as u32 + FAILED,
+            ObservationKind::Rejected { plan } => FIRST_PLAN_CODE + plan.0 as u32,
         }
     }
 
     /// What a number on the wire stands for.
     fn from_code(code: u32) -> Self {
         if code >= FIRST_PLAN_CODE {
-            return ObservationKind::Rejected { plan: (code - FIRST_PLAN_CODE) as usize };
+            return ObservationKind::Rejected { plan: PlanIndex((code - FIRST_PLAN_CODE) as usize) };
         }
-        let class = (code / CODES_PER_CLASS) as usize;
+        let class = ClassIndex((code / CODES_PER_CLASS) as usize);
         match code % CODES_PER_CLASS {
             FAILED => ObservationKind::Failed { class },
             step => ObservationKind::Answered { class, response_time: ResponseTimeCode(step) },
--- a/crates/admission/src/policy/admission.rs
+++ b/crates/admission/src/policy/admission.rs
@@ -1,7 +1,7 @@
 //! Whether a request is admitted, queued or rejected.
 use crate::action::Action;
 use crate::gateway::Gateway;
-use crate::id::RequestId;
+use crate::id::{ClassIndex, RequestId};
 use crate::mechanism::common_value::VoteLimits;
 use crate::policy::dispatch::MIN_WEIGHT;
 use crate::policy::upkeep::UPKEEP_MS;
@@ -30,9 +30,9 @@
         if self.cannot_meet_deadline(active) || self.queue.len() >= MAX_QUEUED {
             return self.finish(id, self.overload_retry_after(), actions);
         }
-        let priority_weight = self.settings.classes[active.request.class].priority_weight;
+        let priority_weight = self.settings.class(active.request.class).priority_weight;
         let size = active.request.units / priority_weight.max(MIN_WEIGHT);
-        let weight = self.flow_weight(&self.settings.plans[active.request.plan]);
+        let weight = self.flow_weight(self.settings.plan(active.request.plan));
         self.queue.enqueue(active.tag, id, size, weight);
         self.check_quota(id, actions);
     }
@@ -59,7 +59,7 @@
             }
         }
         if quota.is_met && self.queue.len() < MAX_QUEUED {
-            self.queue.enqueue(tag, id, units, self.flow_weight(&self.settings.plans[plan]));
+            self.queue.enqueue(tag, id, units, self.flow_weight(self.settings.plan(plan)));
         } else {
             self.finish(id, quota.retry_after_ms, actions);
         }
@@ -69,7 +69,7 @@
     fn check_own_bucket(&mut self, id: RequestId) -> Option<OwnBucketCheck> {
         let active = self.requests.get(id)?;
         let (tag, request) = (active.tag, active.request.clone());
-        let plan = self.settings.plans[request.plan].clone();
+        let plan = self.settings.plan(request.plan).clone();
         let gateways = GatewaySet::of_request(&request, self.settings.gateways);
         let starting = self.clock.since_start_ms() < STARTUP_MS;
         let withheld = if starting { plan.burst_units * (1.0 - 1.0 / gateways.len() as f64) } else { 0.0 };
@@ -89,8 +89,8 @@
     /// How long a request's client has waited already. First tries of a class all come with the same time
     /// left, the commonest; a later try has what is left of the deadline. A time below the latency objective
     /// is that of an impatient client. Nothing is concluded while no time is common.
-    pub(crate) fn already_waited_ms(&mut self, class: usize, time_left_ms: f64) -> f64 {
-        let settings = &self.settings.classes[class];
+    pub(crate) fn already_waited_ms(&mut self, class: ClassIndex, time_left_ms: f64) -> f64 {
+        let settings = self.settings.class(class);
         match self.latency.record_time_budget(class, time_left_ms, FIRST_TRIES) {
             Some(votes) if votes >= MIN_FIRST_TRY_VOTES && time_left_ms > settings.latency_objective_ms => {
                 (settings.deadline_ms - time_left_ms).max(0.0)
--- a/crates/admission/src/policy/dispatch.rs
+++ b/crates/admission/src/policy/dispatch.rs
@@ -70,7 +70,7 @@
             return decision;
         }
         let (tag, units) = (active.tag, active.request.units);
-        let plan = &self.settings.plans[active.request.plan];
+        let plan = self.settings.plan(active.request.plan);
         self.customers.refill(tag, plan, self.clock.now_ms());
         let Some(customer) = self.customers.get(tag) else { return QuotaDecision::OverQuota };
         if active.quota().is_local_bucket() && plan.rate_per_second > 0.0 && customer.quota_tokens() < units {
--- a/crates/admission/src/policy/endpoint_selection.rs
+++ b/crates/admission/src/policy/endpoint_selection.rs
@@ -77,7 +77,7 @@
         mean_warm_in_flight: f64,
     ) -> Candidate<'a> {
         let request = &active.request;
-        let is_idempotent = self.settings.classes[request.class].idempotency == Idempotency::Idempotent;
+        let is_idempotent = self.settings.class(request.class).idempotency == Idempotency::Idempotent;
         // Only requests that may be repeated probe an endpoint that leaves others without a response.
         let must_not_probe = !is_idempotent && endpoint.observed.missed_responses() > 0;
         let is_unresponsive = must_not_probe || self.is_unresponsive(endpoint);
--- a/crates/admission/src/policy/in_flight_band.rs
+++ b/crates/admission/src/policy/in_flight_band.rs
@@ -136,7 +136,7 @@
     fn credit_required(&self, id: RequestId) -> f64 {
         let lowest = self.settings.lowest_priority_weight();
         let active = self.requests.get(id);
-        let own = active.map_or(lowest, |a| self.settings.classes[a.request.class].priority_weight);
+        let own = active.map_or(lowest, |a| self.settings.class(a.request.class).priority_weight);
         1.0 - CREDIT_OVERDRAFT * (1.0 - lowest / own.max(MIN_WEIGHT_DIVISOR)).max(0.0)
     }
 
--- a/crates/admission/src/policy/outlier_detection.rs
+++ b/crates/admission/src/policy/outlier_detection.rs
@@ -1,6 +1,7 @@
 //! Which endpoints are outliers, and what is learned of their speed.
 use crate::event::{AttemptEnd, Outcome};
 use crate::gateway::Gateway;
+use crate::id::ClassIndex;
 use crate::mechanism::backoff::BackoffLimits;
 use crate::state::{Endpoint, KindDeviation, LatencyGains};
 
@@ -122,7 +123,7 @@
 
     /// Whether an attempt's end, already recorded, counts as a failure of its endpoint. A long time without
     /// an answer is the endpoint's own fault only where attempts elsewhere are not as old.
-    pub(crate) fn is_failure(&self, end: &AttemptEnd, class: usize) -> bool {
+    pub(crate) fn is_failure(&self, end: &AttemptEnd, class: ClassIndex) -> bool {
         let Some(endpoint) = self.endpoints.get(end.endpoint) else { return false };
         let health = &endpoint.health;
         let unanswered_ms = health.unanswered_ms(self.clock.now_ms());
@@ -149,9 +150,9 @@
     }
 
     /// Small fleets: learns response times from an own attempt.
-    pub(crate) fn learn_response_time(&mut self, end: &AttemptEnd, class: usize) {
+    pub(crate) fn learn_response_time(&mut self, end: &AttemptEnd, class: ClassIndex) {
         let now_ms = self.clock.now_ms();
-        let objective_fraction = end.took_ms / self.settings.classes[class].latency_objective_ms;
+        let objective_fraction = end.took_ms / self.settings.class(class).latency_objective_ms;
         let relative = end.took_ms / self.latency.expected_ms(class);
         let Some(endpoint) = self.endpoints.get_mut(end.endpoint) else { return };
         let unanswered_ms = endpoint.health.unanswered_ms(now_ms);
@@ -175,7 +176,7 @@
 
     /// Large fleets: learns the mean response time of a class from an own attempt. The rest is learned from
     /// what the fleet observed.
-    pub(crate) fn learn_mean_response_time(&mut self, end: &AttemptEnd, class: usize) {
+    pub(crate) fn learn_mean_response_time(&mut self, end: &AttemptEnd, class: ClassIndex) {
         let now_ms = self.clock.now_ms();
         let Some(endpoint) = self.endpoints.get(end.endpoint) else { return };
         let has_warmed_up = endpoint.has_warmed_up(now_ms, self.settings.warm_up_ms);
--- a/crates/admission/src/policy/quota_owner.rs
+++ b/crates/admission/src/policy/quota_owner.rs
@@ -1,7 +1,7 @@
 //! Quotas in a large fleet: one of the gateways that a customer's requests come through owns its quota, and
 //! the others ask it.
 use crate::gateway::Gateway;
-use crate::id::{CustomerTag, RequestId};
+use crate::id::{CustomerTag, GatewayIndex, RequestId};
 use crate::messages::quota_message::{QuotaVerdict, SamplingFraction};
 use crate::policy::coordination::PEER_MESSAGE_FRACTION;
 use crate::policy::dispatch::ATTEMPT_TIMEOUT_OBJECTIVES;
@@ -63,7 +63,12 @@
 
     /// Whether the owner is asked about a request. Where it wants to be asked about some only, the others are
     /// most likely over the quota.
-    pub(crate) fn quota_route(&mut self, owner: usize, tries: u32, sampling: SamplingFraction) -> QuotaRoute {
+    pub(crate) fn quota_route(
+        &mut self,
+        owner: GatewayIndex,
+        tries: u32,
+        sampling: SamplingFraction,
+    ) -> QuotaRoute {
         let sampled = self.random.next_fraction() <= sampling.fraction();
         let message_tokens = self.coordination.gossip().map_or(0.0, |gossip| gossip.message_tokens());
         if owner == self.settings.me {
@@ -83,7 +88,7 @@
     pub(crate) fn decide_without_owner(&mut self, id: RequestId, expected: QuotaExpectation) {
         let room = self.band_is_ungated();
         let Some(active) = self.requests.get_mut(id) else { return };
-        let no_ceiling = self.settings.plans[active.request.plan].ceiling_rate_per_second <= 0.0;
+        let no_ceiling = self.settings.plan(active.request.plan).ceiling_rate_per_second <= 0.0;
         let within_quota = expected == QuotaExpectation::Within && room && no_ceiling;
         let over_quota = QuotaState::OverQuota { within_ceiling: false };
         active.set_quota(if within_quota { QuotaState::LocalBucket { within_quota } } else { over_quota });
--- a/crates/admission/src/policy/retry.rs
+++ b/crates/admission/src/policy/retry.rs
@@ -1,7 +1,7 @@
 //! Further attempts: idempotency, retry budget, hedging, and stalled attempts.
 use crate::action::Action;
 use crate::gateway::Gateway;
-use crate::id::RequestId;
+use crate::id::{ClassIndex, RequestId};
 use crate::policy::upkeep::UPKEEP_MS;
 use crate::settings::Idempotency;
 use crate::state::{ActiveRequest, AttemptRef, EjectionScope, Endpoint, PendingAttempt};
@@ -34,7 +34,7 @@
         if !self.settings.hedging_allowed && active.has_pending() {
             return false;
         }
-        match self.settings.classes[active.request.class].idempotency {
+        match self.settings.class(active.request.class).idempotency {
             Idempotency::Idempotent => true,
             Idempotency::NonIdempotent => false,
             Idempotency::IdempotencyKey { group, window_ms } => {
@@ -75,7 +75,7 @@
             if !active.may_attempt_again(self.settings.max_attempts) || is_hedged {
                 continue;
             }
-            let idempotency = self.settings.classes[active.request.class].idempotency;
+            let idempotency = self.settings.class(active.request.class).idempotency;
             let may_repeat = idempotency != Idempotency::NonIdempotent;
             if self.settings.hedging_allowed {
                 self.retry(request, actions);
@@ -116,8 +116,8 @@
     }
 
     /// The time after which an attempt of a class takes long.
-    fn long_response_ms(&self, class: usize) -> f64 {
+    fn long_response_ms(&self, class: ClassIndex) -> f64 {
         let by_mean_ms = self.latency.response_ms(class) * LONG_RESPONSE_TIMES;
-        by_mean_ms.max(LONG_OBJECTIVE_FRACTION * self.settings.classes[class].latency_objective_ms)
+        by_mean_ms.max(LONG_OBJECTIVE_FRACTION * self.settings.class(class).latency_objective_ms)
     }
 }
--- a/crates/admission/src/settings.rs
+++ b/crates/admission/src/settings.rs
@@ -1,4 +1,5 @@
 //! The settings a gateway is started with.
+use crate::id::{ClassIndex, GatewayIndex, PlanIndex, ZoneIndex};
 
 /// What a class allows once an attempt of a request may have run.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -110,13 +111,13 @@
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Settings {
     /// This gateway's number, from 0.
-    pub me: usize,
+    pub me: GatewayIndex,
     /// How many gateways the fleet has.
     pub gateways: usize,
     /// Shortest time between two rounds of events, in milliseconds.
     pub tick_ms: f64,
     /// This gateway's zone, as an index.
-    pub zone: usize,
+    pub zone: ZoneIndex,
     /// The request classes.
     pub classes: Vec<ClassSettings>,
     /// The plans.
@@ -150,6 +151,16 @@
 }
 
 impl Settings {
+    /// A class of requests. The index must be one of the settings, as a gateway checks when a request comes in.
+    pub(crate) fn class(&self, class: ClassIndex) -> &ClassSettings {
+        &self.classes[class.0]
+    }
+
+    /// A plan. The index must be one of the settings, as a gateway checks when a request comes in.
+    pub(crate) fn plan(&self, plan: PlanIndex) -> &PlanSettings {
+        &self.plans[plan.0]
+    }
+
     /// The shortest latency objective of all classes, in milliseconds.
     pub(crate) fn shortest_objective_ms(&self) -> f64 {
         self.classes.iter().map(|class| class.latency_objective_ms).fold(f64::INFINITY, f64::min)
@@ -177,7 +188,7 @@
         if self.plans.is_empty() {
             return Err(SettingsError::NoPlans);
         }
-        if self.me >= self.gateways {
+        if self.me.0 >= self.gateways {
             return Err(SettingsError::NotAmongGateways);
         }
         self.classes.iter().try_for_each(ClassSettings::check)?;
--- a/crates/admission/src/state/endpoint/candidate.rs
+++ b/crates/admission/src/state/endpoint/candidate.rs
@@ -1,4 +1,5 @@
 //! Endpoints weighed against each other for one attempt.
+use crate::id::ZoneIndex;
 use crate::state::Endpoint;
 use std::collections::BTreeMap;
 
@@ -36,8 +37,8 @@
 
 impl ZoneCapacity {
     /// Sums capacities, each given with its zone.
-    pub(crate) fn new(capacities: impl Iterator<Item = (usize, f64)>, local_zone: usize) -> Self {
-        let mut by_zone: BTreeMap<usize, f64> = BTreeMap::new();
+    pub(crate) fn new(capacities: impl Iterator<Item = (ZoneIndex, f64)>, local_zone: ZoneIndex) -> Self {
+        let mut by_zone: BTreeMap<ZoneIndex, f64> = BTreeMap::new();
         for (zone, capacity) in capacities {
             *by_zone.entry(zone).or_insert(0.0) += capacity;
         }
--- a/crates/admission/src/state/endpoint/endpoint_record.rs
+++ b/crates/admission/src/state/endpoint/endpoint_record.rs
@@ -1,6 +1,6 @@
 //! One endpoint of the list, and what is known of it.
 use crate::event::{EndpointEntry, EndpointState};
-use crate::id::{EndpointId, RequestId};
+use crate::id::{EndpointId, MachineKindIndex, RequestId, ZoneIndex};
 use crate::mechanism::decaying_rate::DecayingRate;
 use crate::state::{EndpointHealth, ObservedHealth, RelativeResponseTime, WarmUpTokens};
 
@@ -87,12 +87,12 @@
     }
 
     /// Its zone, as an index.
-    pub(crate) fn zone(&self) -> usize {
+    pub(crate) fn zone(&self) -> ZoneIndex {
         self.entry.zone
     }
 
     /// Its machine kind, as an index.
-    pub(crate) fn kind(&self) -> usize {
+    pub(crate) fn kind(&self) -> MachineKindIndex {
         self.entry.kind
     }
 
--- a/crates/admission/src/state/endpoint/latency_model.rs
+++ b/crates/admission/src/state/endpoint/latency_model.rs
@@ -1,4 +1,5 @@
 //! Learned response times.
+use crate::id::{ClassIndex, MachineKindIndex};
 use crate::mechanism::common_value::{CommonValue, VoteLimits};
 use crate::mechanism::smoothing::smooth;
 use std::collections::BTreeMap;
@@ -35,7 +36,7 @@
     /// Age of own attempts in flight at an endpoint that is not among the slowest.
     typical_age_ms: f64,
     /// Usual relative response time of each machine kind.
-    baseline_by_kind: BTreeMap<usize, f64>,
+    baseline_by_kind: BTreeMap<MachineKindIndex, f64>,
 }
 
 impl LatencyModel {
@@ -83,12 +84,12 @@
     }
 
     /// Smoothed response time of a class.
-    pub(crate) fn response_ms(&self, class: usize) -> f64 {
-        self.mean_by_class_ms[class]
+    pub(crate) fn response_ms(&self, class: ClassIndex) -> f64 {
+        self.mean_by_class_ms[class.0]
     }
 
     /// Smoothed response time of a class, as a divisor: never near 0.
-    pub(crate) fn expected_ms(&self, class: usize) -> f64 {
+    pub(crate) fn expected_ms(&self, class: ClassIndex) -> f64 {
         self.response_ms(class).max(MIN_RESPONSE_MS)
     }
 
@@ -98,19 +99,19 @@
     }
 
     /// Takes in a response time of a class.
-    pub(crate) fn record_response_ms(&mut self, class: usize, sample_ms: f64) {
-        smooth(&mut self.mean_by_class_ms[class], sample_ms, self.gains.class_mean);
+    pub(crate) fn record_response_ms(&mut self, class: ClassIndex, sample_ms: f64) {
+        smooth(&mut self.mean_by_class_ms[class.0], sample_ms, self.gains.class_mean);
     }
 
     /// Takes in the time that a client of a class leaves; gives the votes for the commonest such time, or
     /// `None` where the time is the commonest itself.
     pub(crate) fn record_time_budget(
         &mut self,
-        class: usize,
+        class: ClassIndex,
         time_left_ms: f64,
         limits: VoteLimits,
     ) -> Option<i32> {
-        let common = &mut self.time_budgets[class];
+        let common = &mut self.time_budgets[class.0];
         let is_common = common.record(time_left_ms, limits);
         (!is_common).then_some(common.votes())
     }
@@ -126,12 +127,12 @@
     }
 
     /// Usual relative response time of a machine kind; 1 while nothing is known.
-    pub(crate) fn kind_baseline(&self, kind: usize) -> f64 {
+    pub(crate) fn kind_baseline(&self, kind: MachineKindIndex) -> f64 {
         self.baseline_by_kind.get(&kind).copied().unwrap_or(1.0)
     }
 
     /// Takes in a relative response time of a machine kind.
-    pub(crate) fn record_kind_response_time(&mut self, kind: usize, sample: f64) {
+    pub(crate) fn record_kind_response_time(&mut self, kind: MachineKindIndex, sample: f64) {
         smooth(self.baseline_by_kind.entry(kind).or_insert(1.0), sample, self.gains.kind_baseline);
     }
 }
--- a/crates/admission/src/state/endpoint/observed_health.rs
+++ b/crates/admission/src/state/endpoint/observed_health.rs
@@ -1,4 +1,5 @@
 //! An endpoint's health as the gateways of a large fleet observe it.
+use crate::id::{ClassIndex, PlanIndex};
 use crate::mechanism::backoff::{Backoff, BackoffLimits};
 use crate::mechanism::smoothing::smooth;
 use std::collections::BTreeMap;
@@ -7,9 +8,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum EjectionScope {
     /// Requests of one class, an index into the settings.
-    Class(usize),
+    Class(ClassIndex),
     /// Requests of one plan, an index into the settings.
-    Plan(usize),
+    Plan(PlanIndex),
 }
 
 /// An endpoint's health as the gateways of a large fleet observe it.
@@ -20,7 +21,7 @@
     /// Attempts without an answer that were observed since the last answer.
     missed_responses: u32,
     /// Fraction of the requests of each class that failed, smoothed.
-    class_failure_fraction: BTreeMap<usize, f64>,
+    class_failure_fraction: BTreeMap<ClassIndex, f64>,
     /// How long requests of one class or plan are kept away from the endpoint.
     scoped_ejections: BTreeMap<EjectionScope, Backoff>,
 }
@@ -37,14 +38,14 @@
     }
 
     /// Records an answer to a request of a class; it moves the failed fraction by the part `gain`.
-    pub(crate) fn record_response(&mut self, class: usize, now_ms: f64, gain: f64) {
+    pub(crate) fn record_response(&mut self, class: ClassIndex, now_ms: f64, gain: f64) {
         self.responded_ms = now_ms;
         self.missed_responses = 0;
         smooth(self.class_failure_fraction.entry(class).or_insert(0.0), 0.0, gain);
     }
 
     /// Records that a request of a class failed or got no answer, and gives the failed fraction of the class.
-    pub(crate) fn record_failure(&mut self, class: usize, gain: f64) -> f64 {
+    pub(crate) fn record_failure(&mut self, class: ClassIndex, gain: f64) -> f64 {
         self.missed_responses += 1;
         let fraction = self.class_failure_fraction.entry(class).or_insert(0.0);
         smooth(fraction, 1.0, gain);
@@ -72,7 +73,7 @@
     }
 
     /// Whether a request of a class and plan is kept away.
-    pub(crate) fn is_ejected_for(&self, class: usize, plan: usize, now_ms: f64) -> bool {
+    pub(crate) fn is_ejected_for(&self, class: ClassIndex, plan: PlanIndex, now_ms: f64) -> bool {
         self.is_ejected(EjectionScope::Class(class), now_ms)
             || self.is_ejected(EjectionScope::Plan(plan), now_ms)
     }
@@ -87,7 +88,7 @@
     /// Records a good answer to an own attempt: requests of its class come back at once. An endpoint that
     /// turns a plan away above a rate still takes some of it, so that one answer only shortens the next
     /// ejection.
-    pub(crate) fn relax_ejections(&mut self, class: usize, plan: usize) {
+    pub(crate) fn relax_ejections(&mut self, class: ClassIndex, plan: PlanIndex) {
         self.scoped_ejections.remove(&EjectionScope::Class(class));
         if let Some(ejection) = self.scoped_ejections.get_mut(&EjectionScope::Plan(plan)) {
             ejection.forgive_failure();
--- a/crates/admission/src/state/endpoint/warm_up_tokens.rs
+++ b/crates/admission/src/state/endpoint/warm_up_tokens.rs
@@ -1,4 +1,5 @@
 //! Records of endpoints that are warming up.
+use crate::id::MachineKindIndex;
 use std::collections::BTreeMap;
 
 /// What a gateway may send an endpoint that is warming up.
@@ -52,18 +53,18 @@
 #[derive(Debug, Default)]
 pub(crate) struct SlowStart {
     /// Own attempts a second at a warm endpoint, by machine kind.
-    send_rate_by_kind: BTreeMap<usize, f64>,
+    send_rate_by_kind: BTreeMap<MachineKindIndex, f64>,
 }
 
 impl SlowStart {
     /// Own attempts a second at a warm endpoint of a kind; 0 where none is known.
-    pub(crate) fn warm_send_rate(&self, kind: usize) -> f64 {
+    pub(crate) fn warm_send_rate(&self, kind: MachineKindIndex) -> f64 {
         self.send_rate_by_kind.get(&kind).copied().unwrap_or(0.0)
     }
 
     /// Takes the send rates of the warm endpoints, each with its kind, in place of those known.
-    pub(crate) fn set_warm_send_rates(&mut self, rates: impl Iterator<Item = (usize, f64)>) {
-        let mut rates_by_kind: BTreeMap<usize, Vec<f64>> = BTreeMap::new();
+    pub(crate) fn set_warm_send_rates(&mut self, rates: impl Iterator<Item = (MachineKindIndex, f64)>) {
+        let mut rates_by_kind: BTreeMap<MachineKindIndex, Vec<f64>> = BTreeMap::new();
         for (kind, rate) in rates {
             rates_by_kind.entry(kind).or_default().push(rate);
         }
--- a/crates/admission/src/state/fleet/broadcast_peers.rs
+++ b/crates/admission/src/state/fleet/broadcast_peers.rs
@@ -1,4 +1,5 @@
 //! The other gateways of a small fleet, and when they were last sent reports.
+use crate::id::GatewayIndex;
 use crate::settings::Settings;
 use crate::state::{peer_indices, BroadcastPeer};
 use std::collections::BTreeMap;
@@ -7,7 +8,7 @@
 #[derive(Debug)]
 pub(crate) struct Broadcast {
     /// The other gateways, by number.
-    peers: BTreeMap<usize, BroadcastPeer>,
+    peers: BTreeMap<GatewayIndex, BroadcastPeer>,
     /// When the last round of reports began.
     reported_ms: f64,
 }
@@ -29,7 +30,7 @@
         &mut self,
         now_ms: f64,
         interval_ms: f64,
-    ) -> Option<impl Iterator<Item = usize> + '_> {
+    ) -> Option<impl Iterator<Item = GatewayIndex> + '_> {
         if self.peers.is_empty() || now_ms - self.reported_ms < interval_ms {
             return None;
         }
@@ -38,7 +39,7 @@
     }
 
     /// Another gateway; `None` for this one.
-    pub(crate) fn peer_mut(&mut self, gateway: usize) -> Option<&mut BroadcastPeer> {
+    pub(crate) fn peer_mut(&mut self, gateway: GatewayIndex) -> Option<&mut BroadcastPeer> {
         self.peers.get_mut(&gateway)
     }
 }
--- a/crates/admission/src/state/fleet/gateway_set.rs
+++ b/crates/admission/src/state/fleet/gateway_set.rs
@@ -1,13 +1,13 @@
 //! The set of gateways that a customer's requests come through.
 use crate::event::Request;
-use crate::id::CustomerTag;
+use crate::id::{CustomerTag, GatewayIndex};
 use crate::mechanism::splitmix64::mix;
 
 /// Some gateways of the fleet, consecutive by number and counted round from the last to gateway 0.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct GatewaySet {
-    /// Number of the first gateway.
-    first: usize,
+    /// The first gateway.
+    first: GatewayIndex,
     /// How many gateways the set has.
     len: usize,
     /// How many gateways the fleet has.
@@ -20,20 +20,20 @@
     /// The rank, evenly spread over all gateways and customers.
     rank: u64,
     /// The gateway's number.
-    gateway: usize,
+    gateway: GatewayIndex,
 }
 
 impl RankedGateway {
     /// The gateway's rank by rendezvous hashing: every gateway computes the same.
-    fn new(tag: CustomerTag, gateway: usize) -> Self {
-        RankedGateway { rank: mix(tag.0 ^ mix(gateway as u64)), gateway }
+    fn new(tag: CustomerTag, gateway: GatewayIndex) -> Self {
+        RankedGateway { rank: mix(tag.0 ^ mix(gateway.0 as u64)), gateway }
     }
 }
 
 impl GatewaySet {
     /// `len` gateways from `first` on, of a fleet of `fleet`; at least one and at most the whole fleet.
-    pub(crate) fn new(first: usize, len: usize, fleet: usize) -> Self {
-        GatewaySet { first: first % fleet, len: len.clamp(1, fleet), fleet }
+    pub(crate) fn new(first: GatewayIndex, len: usize, fleet: usize) -> Self {
+        GatewaySet { first: GatewayIndex(first.0 % fleet), len: len.clamp(1, fleet), fleet }
     }
 
     /// The gateways that the requests of a request's customer come through.
@@ -42,12 +42,12 @@
     }
 
     /// The same as `new`, but `None` where the first gateway or the number of gateways is not of the fleet.
-    pub(crate) fn checked(first: usize, len: usize, fleet: usize) -> Option<Self> {
-        (first < fleet && (1..=fleet).contains(&len)).then_some(GatewaySet { first, len, fleet })
+    pub(crate) fn checked(first: GatewayIndex, len: usize, fleet: usize) -> Option<Self> {
+        (first.0 < fleet && (1..=fleet).contains(&len)).then_some(GatewaySet { first, len, fleet })
     }
 
-    /// Number of the first gateway.
-    pub(crate) fn first(&self) -> usize {
+    /// The first gateway.
+    pub(crate) fn first(&self) -> GatewayIndex {
         self.first
     }
 
@@ -57,21 +57,21 @@
     }
 
     /// Whether a gateway is among the set.
-    pub(crate) fn contains(&self, gateway: usize) -> bool {
-        (gateway + self.fleet - self.first) % self.fleet < self.len
+    pub(crate) fn contains(&self, gateway: GatewayIndex) -> bool {
+        (gateway.0 + self.fleet - self.first.0) % self.fleet < self.len
     }
 
     /// A gateway's place among the set for a customer. It turns with the customer's tag, so that the first
     /// places fall to other gateways for other customers.
-    pub(crate) fn place(&self, tag: CustomerTag, gateway: usize) -> u32 {
-        let distance = gateway + self.fleet - self.first;
+    pub(crate) fn place(&self, tag: CustomerTag, gateway: GatewayIndex) -> u32 {
+        let distance = gateway.0 + self.fleet - self.first.0;
         (distance as u32).wrapping_add(tag.short()) % self.len as u32
     }
 
     /// The set's gateways.
-    pub(crate) fn members(&self) -> impl Iterator<Item = usize> {
+    pub(crate) fn members(&self) -> impl Iterator<Item = GatewayIndex> {
         let GatewaySet { first, len, fleet } = *self;
-        (0..len).map(move |step| (first + step) % fleet)
+        (0..len).map(move |step| GatewayIndex((first.0 + step) % fleet))
     }
 
     /// The set's gateways with their ranks for a customer, in the order of their numbers.
@@ -80,14 +80,18 @@
     }
 
     /// How many of the set's gateways come before a gateway in a customer's ranking.
-    pub(crate) fn ranking_position(&self, tag: CustomerTag, gateway: usize) -> usize {
+    pub(crate) fn ranking_position(&self, tag: CustomerTag, gateway: GatewayIndex) -> usize {
         let rank = RankedGateway::new(tag, gateway).rank;
         self.rendezvous_ranking(tag).filter(|other| other.rank < rank).count()
     }
 
     /// The owner of a customer's quota: the first in the ranking that is not suspected to be down. `None`
     /// where all are.
-    pub(crate) fn owner(&self, tag: CustomerTag, is_suspected: impl Fn(usize) -> bool) -> Option<usize> {
+    pub(crate) fn owner(
+        &self,
+        tag: CustomerTag,
+        is_suspected: impl Fn(GatewayIndex) -> bool,
+    ) -> Option<GatewayIndex> {
         let reachable = self.rendezvous_ranking(tag).filter(|ranked| !is_suspected(ranked.gateway));
         reachable.min().map(|ranked| ranked.gateway)
     }
--- a/crates/admission/src/state/fleet/gossip_credit.rs
+++ b/crates/admission/src/state/fleet/gossip_credit.rs
@@ -1,4 +1,5 @@
 //! The other gateways of a large fleet, and what may be sent to them.
+use crate::id::GatewayIndex;
 use crate::mechanism::decaying_rate::DecayingRate;
 use crate::messages::gossip_message::GossipMessage;
 use crate::settings::Settings;
@@ -9,7 +10,7 @@
 #[derive(Debug)]
 pub(crate) struct Gossip {
     /// The other gateways, by number.
-    peers: BTreeMap<usize, GossipPeer>,
+    peers: BTreeMap<GatewayIndex, GossipPeer>,
     /// Quota requests that wait for a response.
     pub(crate) requests: QuotaRequests,
     /// Message tokens: each quota request takes one, so that no gateway gets more messages than it takes in.
@@ -30,12 +31,12 @@
     }
 
     /// Whether a gateway is sent no quota requests now.
-    pub(crate) fn is_suspected(&self, gateway: usize, now_ms: f64) -> bool {
+    pub(crate) fn is_suspected(&self, gateway: GatewayIndex, now_ms: f64) -> bool {
         self.peers.get(&gateway).is_some_and(|peer| peer.is_suspected(now_ms))
     }
 
     /// Another gateway; `None` for this one.
-    pub(crate) fn peer_mut(&mut self, gateway: usize) -> Option<&mut GossipPeer> {
+    pub(crate) fn peer_mut(&mut self, gateway: GatewayIndex) -> Option<&mut GossipPeer> {
         self.peers.get_mut(&gateway)
     }
 
@@ -51,7 +52,13 @@
 
     /// Enters a message of a peer. Messages with responses do not count as received: own quota requests bring
     /// them, and their share of the capacity is planned for with these.
-    pub(crate) fn record_message(&mut self, from: usize, message: &GossipMessage, now_ms: f64, span_s: f64) {
+    pub(crate) fn record_message(
+        &mut self,
+        from: GatewayIndex,
+        message: &GossipMessage,
+        now_ms: f64,
+        span_s: f64,
+    ) {
         if let Some(peer) = self.peers.get_mut(&from) {
             peer.record_message();
         }
--- a/crates/admission/src/state/fleet/peer_record.rs
+++ b/crates/admission/src/state/fleet/peer_record.rs
@@ -1,11 +1,12 @@
 //! The other gateways, as a gateway of a small fleet and as one of a large fleet knows them.
+use crate::id::GatewayIndex;
 use crate::messages::counts_message::{CountsMessage, SEQUENCE_MASK};
 use crate::settings::Settings;
 
 /// Numbers of the other gateways of the fleet.
-pub(crate) fn peer_indices(settings: &Settings) -> impl Iterator<Item = usize> {
+pub(crate) fn peer_indices(settings: &Settings) -> impl Iterator<Item = GatewayIndex> {
     let me = settings.me;
-    (0..settings.gateways).filter(move |gateway| *gateway != me)
+    (0..settings.gateways).map(GatewayIndex).filter(move |gateway| *gateway != me)
 }
 
 /// Half the range of sequence numbers: a number that is ahead by less is newer.
--- a/crates/admission/src/state/quota/customer_record.rs
+++ b/crates/admission/src/state/quota/customer_record.rs
@@ -1,4 +1,5 @@
 //! Customers: the tokens of their quota and ceiling, and what gateways reported and granted.
+use crate::id::{GatewayIndex, PlanIndex};
 use crate::mechanism::token_bucket::TokenBucket;
 use crate::messages::counts_message::ConsumedUnits;
 use crate::settings::PlanSettings;
@@ -9,7 +10,7 @@
 #[derive(Debug, Clone)]
 pub(crate) struct Customer {
     /// Its plan, an index into the settings; `None` while it is known from peers' reports alone.
-    plan: Option<usize>,
+    plan: Option<PlanIndex>,
     /// The gateways that its requests come through.
     gateways: GatewaySet,
     /// Units of its quota. Before the plan is known, the fraction of the burst that was last reported.
@@ -36,13 +37,13 @@
     /// Units that this gateway consumed since its start.
     consumed_units: f64,
     /// What each peer last reported.
-    peers: BTreeMap<usize, PeerCount>,
+    peers: BTreeMap<GatewayIndex, PeerCount>,
     /// Rounds in which the own count is still to be sent.
     pending_rounds: u8,
     /// Peers are to be asked for units of the ceiling in the next round.
     ceiling_requested: bool,
     /// Units of the ceiling given to peers and not sent yet.
-    ceiling_transfers: BTreeMap<usize, f64>,
+    ceiling_transfers: BTreeMap<GatewayIndex, f64>,
 }
 
 /// What a peer reported of one customer.
@@ -82,7 +83,7 @@
         Customer {
             plan: None,
             // Until its first request here tells.
-            gateways: GatewaySet::new(0, 1, 1),
+            gateways: GatewaySet::new(GatewayIndex(0), 1, 1),
             quota: TokenBucket::new(1.0, 1.0, now_ms),
             ceiling: TokenBucket::new(0.0, 1.0, now_ms),
             last_used_ms: now_ms,
@@ -95,7 +96,7 @@
     }
 
     /// Its plan, an index into the settings.
-    pub(crate) fn plan(&self) -> Option<usize> {
+    pub(crate) fn plan(&self) -> Option<PlanIndex> {
         self.plan
     }
 
@@ -124,7 +125,7 @@
     /// fraction accrued in the gateway's uptime, since a gateway cannot know what it spent before a restart.
     pub(crate) fn set_plan(
         &mut self,
-        index: usize,
+        index: PlanIndex,
         plan: &PlanSettings,
         ceiling_fraction: f64,
         uptime_s: f64,
@@ -189,7 +190,7 @@
     }
 
     /// Takes units of the ceiling for a peer, to be sent with the next report.
-    pub(crate) fn transfer_ceiling(&mut self, peer: usize, units: f64) {
+    pub(crate) fn transfer_ceiling(&mut self, peer: GatewayIndex, units: f64) {
         self.ceiling.take(units);
         *self.reports.ceiling_transfers.entry(peer).or_insert(0.0) += units;
     }
@@ -213,7 +214,7 @@
     /// that the peer sees in the quota.
     pub(crate) fn apply_peer_count(
         &mut self,
-        peer: usize,
+        peer: GatewayIndex,
         count: PeerCount,
         fill: f64,
         plan: Option<&PlanSettings>,
@@ -270,7 +271,7 @@
     }
 
     /// Takes the units of the ceiling that are to be sent to a peer.
-    pub(crate) fn take_ceiling_transfer(&mut self, peer: usize) -> Option<f64> {
+    pub(crate) fn take_ceiling_transfer(&mut self, peer: GatewayIndex) -> Option<f64> {
         self.reports.ceiling_transfers.remove(&peer)
     }
 
--- a/crates/admission/src/state/quota/customer_table.rs
+++ b/crates/admission/src/state/quota/customer_table.rs
@@ -1,5 +1,5 @@
 //! The customers that a gateway knows, and those of whom something is to be sent to peers.
-use crate::id::CustomerTag;
+use crate::id::{CustomerTag, GatewayIndex, PlanIndex};
 use crate::settings::PlanSettings;
 use crate::state::Customer;
 use std::collections::{BTreeMap, BTreeSet};
@@ -60,7 +60,7 @@
     }
 
     /// Takes units of a customer's ceiling for a peer, to be sent in the next round.
-    pub(crate) fn schedule_ceiling_transfer(&mut self, tag: CustomerTag, peer: usize, units: f64) {
+    pub(crate) fn schedule_ceiling_transfer(&mut self, tag: CustomerTag, peer: GatewayIndex, units: f64) {
         if let Some(customer) = self.by_tag.get_mut(&tag) {
             customer.transfer_ceiling(peer, units);
             self.unreported.insert(tag);
@@ -94,7 +94,7 @@
 
     /// Forgets customers that have nothing in flight and were not used for the time that `idle_limit_ms`
     /// gives for their plan.
-    pub(crate) fn evict_idle(&mut self, now_ms: f64, idle_limit_ms: impl Fn(Option<usize>) -> f64) {
+    pub(crate) fn evict_idle(&mut self, now_ms: f64, idle_limit_ms: impl Fn(Option<PlanIndex>) -> f64) {
         self.evicted_ms = now_ms;
         self.by_tag.retain(|_, customer| {
             customer.in_flight() > 0 || customer.idle_ms(now_ms) < idle_limit_ms(customer.plan())
--- a/crates/admission/src/state/quota/grant_ledger.rs
+++ b/crates/admission/src/state/quota/grant_ledger.rs
@@ -1,4 +1,5 @@
 //! What the owner of a customer's quota has granted to the other gateways.
+use crate::id::GatewayIndex;
 use crate::mechanism::decaying_rate::DecayingRate;
 use crate::messages::quota_message::QuotaRequestNumber;
 use std::collections::VecDeque;
@@ -10,7 +11,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct Grant {
     /// The gateway that sent it.
-    pub(crate) gateway: usize,
+    pub(crate) gateway: GatewayIndex,
     /// Its number there.
     pub(crate) number: QuotaRequestNumber,
     /// Until when it counts.
@@ -19,7 +20,7 @@
 
 impl Grant {
     /// Whether it is the quota request of this number from this gateway.
-    fn is_for(&self, gateway: usize, number: QuotaRequestNumber) -> bool {
+    fn is_for(&self, gateway: GatewayIndex, number: QuotaRequestNumber) -> bool {
         self.gateway == gateway && self.number == number
     }
 }
@@ -46,12 +47,12 @@
     }
 
     /// Whether a request has been granted.
-    pub(crate) fn is_granted(&self, gateway: usize, number: QuotaRequestNumber) -> bool {
+    pub(crate) fn is_granted(&self, gateway: GatewayIndex, number: QuotaRequestNumber) -> bool {
         self.granted.iter().any(|g| g.is_for(gateway, number))
     }
 
     /// Whether a request waits for an active slot.
-    pub(crate) fn is_waiting(&self, gateway: usize, number: QuotaRequestNumber) -> bool {
+    pub(crate) fn is_waiting(&self, gateway: GatewayIndex, number: QuotaRequestNumber) -> bool {
         self.waiting.iter().any(|g| g.is_for(gateway, number))
     }
 
@@ -82,7 +83,7 @@
     }
 
     /// Takes out a request that has ended or is no longer wanted, and says whether it had been granted.
-    pub(crate) fn release(&mut self, gateway: usize, number: QuotaRequestNumber) -> bool {
+    pub(crate) fn release(&mut self, gateway: GatewayIndex, number: QuotaRequestNumber) -> bool {
         self.waiting.retain(|g| !g.is_for(gateway, number));
         let Some(position) = self.granted.iter().position(|g| g.is_for(gateway, number)) else {
             return false;
--- a/crates/admission/src/state/quota/pending_quota_requests.rs
+++ b/crates/admission/src/state/quota/pending_quota_requests.rs
@@ -1,5 +1,5 @@
 //! Quota requests that this gateway sent to owners and that wait for a response.
-use crate::id::RequestId;
+use crate::id::{GatewayIndex, RequestId};
 use crate::messages::quota_message::QuotaRequestNumber;
 use crate::state::QuotaState;
 use std::collections::BTreeMap;
@@ -45,7 +45,7 @@
 impl QuotaRequests {
     /// The number of a quota request to an owner, given where the request stands. The same owner gets the
     /// same number again: had its response been lost, it would else grant twice.
-    pub(crate) fn number_for(&mut self, state: QuotaState, to: usize) -> QuotaRequestNumber {
+    pub(crate) fn number_for(&mut self, state: QuotaState, to: GatewayIndex) -> QuotaRequestNumber {
         match state {
             QuotaState::AwaitingOwner { owner, number, .. } if owner == to => return number,
             QuotaState::AwaitingOwner { number, .. } => self.remove(number),
--- a/crates/admission/src/state/quota/quota_state.rs
+++ b/crates/admission/src/state/quota/quota_state.rs
@@ -1,4 +1,5 @@
 //! Where a request stands with its customer's quota.
+use crate::id::GatewayIndex;
 use crate::messages::quota_message::QuotaRequestNumber;
 
 /// Who decides whether a request is within its customer's quota, and what was decided.
@@ -7,11 +8,11 @@
     /// This gateway's own token bucket decides; nobody is asked.
     LocalBucket { within_quota: bool },
     /// The quota's owner was asked and has not answered.
-    AwaitingOwner { owner: usize, number: QuotaRequestNumber, at_ms: f64, tries: u32 },
+    AwaitingOwner { owner: GatewayIndex, number: QuotaRequestNumber, at_ms: f64, tries: u32 },
     /// The owner keeps the request waiting until the customer has a free slot.
-    QueuedAtOwner { owner: usize, number: QuotaRequestNumber },
+    QueuedAtOwner { owner: GatewayIndex, number: QuotaRequestNumber },
     /// The owner granted it. Where the quota is ample, the true units need not be reported.
-    GrantedByOwner { owner: usize, number: QuotaRequestNumber, ample: bool },
+    GrantedByOwner { owner: GatewayIndex, number: QuotaRequestNumber, ample: bool },
     /// It is over the quota. Within the ceiling it may still be sent while there is room.
     OverQuota { within_ceiling: bool },
     /// The quota counter was asked and has not answered.
@@ -69,7 +70,7 @@
     }
 
     /// Whether a response of this owner to the quota request of this number is awaited.
-    pub(crate) fn awaits_response(&self, from: usize, response_to: QuotaRequestNumber) -> bool {
+    pub(crate) fn awaits_response(&self, from: GatewayIndex, response_to: QuotaRequestNumber) -> bool {
         match *self {
             QuotaState::AwaitingOwner { owner, number, .. } | QuotaState::QueuedAtOwner { owner, number } => {
                 owner == from && number == response_to
--- a/crates/admission/src/state/request/attempt_record.rs
+++ b/crates/admission/src/state/request/attempt_record.rs
@@ -1,6 +1,6 @@
 //! Attempts of a request.
 use crate::event::Outcome;
-use crate::id::{EndpointId, RequestId};
+use crate::id::{ClassIndex, EndpointId, RequestId, ZoneIndex};
 use crate::settings::DedupGroup;
 use crate::state::Endpoint;
 
@@ -12,7 +12,7 @@
     /// When it was sent, in milliseconds.
     pub(crate) sent_ms: f64,
     /// The endpoint's zone when it was sent.
-    zone: usize,
+    zone: ZoneIndex,
     /// The endpoint's cell when it was sent.
     cell: u64,
     state: AttemptState,
@@ -86,7 +86,7 @@
     /// Its name.
     pub(crate) reference: AttemptRef,
     /// Its request's class, an index into the settings.
-    pub(crate) class: usize,
+    pub(crate) class: ClassIndex,
     /// Where it was sent.
     pub(crate) endpoint: EndpointId,
     /// When it was sent, in milliseconds.
--- /dev/null
+++ b/crates/admission/src/tests/endpoint_rules/mod.rs
@@ -0,0 +1,1 @@
+//! Rules on endpoints: selection, ejection, slow start, and retries.
--- /dev/null
+++ b/crates/admission/src/tests/load_rules/mod.rs
@@ -0,0 +1,1 @@
+//! Rules on load: admission, the queue, and the in-flight band.
--- /dev/null
+++ b/crates/admission/src/tests/mod.rs
@@ -0,0 +1,5 @@
+//! Table tests of the rules under `policy`: each calls a rule with plain figures, as an engineer would with the
+//! figures of one request from a log, and names the branch that decides.
+mod endpoint_rules;
+mod load_rules;
+mod quota_rules;
--- a/crates/admission/tests/it/admission.rs
+++ b/crates/admission/tests/it/admission.rs
@@ -99,8 +99,8 @@
     let mut settings = broadcast_settings(Idempotency::Idempotent);
     settings.plans = vec![PlanSettings { open_limit: 2, ..plan(0.0, 0.0) }];
     let mut gateway = SingleGateway::new(settings, 4);
-    let submitted = gateway.submit_with(|r| (r.first_gateway, r.gateway_count) = (99, 0));
+    let submitted = gateway.submit_with(|r| (r.first_gateway, r.gateway_count) = (GatewayIndex(99), 0));
     assert_eq!(submitted.sends().len(), 1);
-    let Submitted { id, actions } = gateway.submit_with(|r| r.plan = 7);
+    let Submitted { id, actions } = gateway.submit_with(|r| r.plan = PlanIndex(7));
     assert_eq!(actions, vec![Action::Fail { request: id }]);
 }
--- a/crates/admission/tests/it/ceiling.rs
+++ b/crates/admission/tests/it/ceiling.rs
@@ -4,7 +4,7 @@
 
 fn broadcast_settings_with_ceiling(me: usize) -> Settings {
     let plan = PlanSettings { ceiling_rate_per_second: 4.0, ceiling_burst_units: 8.0, ..plan(100.0, 400.0) };
-    Settings { me, plans: vec![plan], ..broadcast_settings(Idempotency::Idempotent) }
+    Settings { me: GatewayIndex(me), plans: vec![plan], ..broadcast_settings(Idempotency::Idempotent) }
 }
 
 #[test]
@@ -26,7 +26,7 @@
             gateways[me].last_request += 1000 * round as u64;
             actions.extend(gateways[me].submit().actions);
             for body in peer_messages(&actions) {
-                let from = me;
+                let from = GatewayIndex(me);
                 gateways[1 - me].event(Event::PeerMessage { from, body });
             }
             bucket = (bucket + 4.0 * (now_ms - filled_ms) / 1000.0).min(8.0);
--- a/crates/admission/tests/it/common/builders.rs
+++ b/crates/admission/tests/it/common/builders.rs
@@ -67,8 +67,8 @@
 pub(crate) fn endpoint(id: u64) -> EndpointEntry {
     EndpointEntry {
         id: EndpointId(id),
-        zone: 0,
-        kind: 0,
+        zone: ZoneIndex(0),
+        kind: MachineKindIndex(0),
         cell: 0,
         state: EndpointState::Ready,
         started_at_ms: None,
@@ -84,13 +84,13 @@
 pub(crate) fn request(id: RequestId, customer: CustomerId) -> Request {
     Request {
         id,
-        class: 0,
-        plan: 0,
+        class: ClassIndex(0),
+        plan: PlanIndex(0),
         customer,
         time_left_ms: 3000.0,
         units: 1.0,
         gateway_count: 1,
-        first_gateway: 0,
+        first_gateway: GatewayIndex(0),
         repeat: false,
         write: false,
     }
@@ -175,5 +175,5 @@
 
 /// A ready endpoint that started long ago, of the first zone and cell where `id` is even, else of the second.
 pub(crate) fn endpoint_of_two_zones(id: u64) -> EndpointEntry {
-    EndpointEntry { zone: (id % 2) as usize, cell: id % 2, ..endpoint(id) }
+    EndpointEntry { zone: ZoneIndex((id % 2) as usize), cell: id % 2, ..endpoint(id) }
 }
--- a/crates/admission/tests/it/common/fleet.rs
+++ b/crates/admission/tests/it/common/fleet.rs
@@ -109,12 +109,12 @@
     /// Starts a gateway, or starts it anew.
     pub(crate) fn start(&mut self, me: usize) {
         let seed = 7777 * self.seed + 1000 + me as u64 + self.now_ms as u64 * 7919;
-        self.start_with(Settings { me, ..self.settings.clone() }, seed);
+        self.start_with(Settings { me: GatewayIndex(me), ..self.settings.clone() }, seed);
     }
 
     /// Starts a gateway with settings of its own.
     pub(crate) fn start_with(&mut self, settings: Settings, seed: u64) {
-        let me = settings.me;
+        let me = settings.me.0;
         self.gateways.insert(me, Gateway::new(settings, seed, self.now_ms).expect("sound settings"));
         let entries = self.endpoints.clone();
         self.event(me, Event::EndpointList { kind: ListKind::Remembered, entries });
@@ -156,15 +156,15 @@
         self.schedule(reply.took_ms, me, event);
     }
 
-    fn send_message(&mut self, me: usize, to: Option<usize>, body: String) {
+    fn send_message(&mut self, me: usize, to: Option<GatewayIndex>, body: String) {
         assert!(self.settings.peer_messages_allowed, "the settings allow no messages");
-        let to = to.expect("a message to all cannot scale");
+        let to = to.expect("a message to all cannot scale").0;
         assert!(body.len() <= 256, "{} bytes", body.len());
         self.message_bytes += body.len();
         self.last_message_to = Some(to);
         let number = self.due.next_number();
         if self.lose_one_in == 0 || number % self.lose_one_in != 0 {
-            self.schedule(MESSAGE_DELAY_MS, to, Event::PeerMessage { from: me, body });
+            self.schedule(MESSAGE_DELAY_MS, to, Event::PeerMessage { from: GatewayIndex(me), body });
         }
     }
 
@@ -188,7 +188,7 @@
         change(&mut request);
         let id = request.id;
         let (customer, class, plan) = (request.customer.0, request.class, request.plan);
-        self.submitted.insert(id, SubmittedRequest { customer, class, plan, attempts: 0 });
+        self.submitted.insert(id, SubmittedRequest { customer, class: class.0, plan: plan.0, attempts: 0 });
         self.event(me, Event::Request(request));
         id
     }
--- a/crates/admission/tests/it/common/single_gateway.rs
+++ b/crates/admission/tests/it/common/single_gateway.rs
@@ -100,7 +100,7 @@
 
     /// Takes in a message of the other gateway.
     pub(crate) fn receive(&mut self, body: &str) {
-        self.event(Event::PeerMessage { from: 1, body: body.into() });
+        self.event(Event::PeerMessage { from: GatewayIndex(1), body: body.into() });
     }
 
     /// How many requests of one unit a customer gets through at once.
--- a/crates/admission/tests/it/determinism.rs
+++ b/crates/admission/tests/it/determinism.rs
@@ -52,7 +52,7 @@
             gateway.update_endpoints(vec![entry])
         }
         8 => gateway.event(Event::PeerMessage {
-            from: random.below(4) as usize,
+            from: GatewayIndex(random.below(4) as usize),
             body: format!("h00{}0{}000W", random.below(9), random.below(9)),
         }),
         _ => gateway.event(Event::Timer { token: 0 }),
--- a/crates/admission/tests/it/dispatch.rs
+++ b/crates/admission/tests/it/dispatch.rs
@@ -25,7 +25,7 @@
     settings.classes[0].priority_weight = 1.0;
     settings.classes[1].priority_weight = 3.0;
     settings.classes.iter_mut().for_each(|c| c.idempotency = Idempotency::NonIdempotent);
-    let mut gateway = SingleGateway::started_at(Settings { me: 3, ..settings }, SEED, 0.0);
+    let mut gateway = SingleGateway::started_at(Settings { me: GatewayIndex(3), ..settings }, SEED, 0.0);
     let entries = warm_endpoints(40);
     let mut actions = gateway.event(Event::EndpointList { kind: ListKind::Whole, entries });
     // The band is over-full: 6 attempts in flight at each endpoint, at a watermark of 4.
@@ -33,7 +33,9 @@
     let (mut submitted, mut sent, mut rejected) = ([0; 2], [0; 2], [0; 2]);
     for round in 0..300usize {
         gateway.now_ms = 20.0 * round as f64;
-        actions.extend(gateway.event(Event::PeerMessage { from: 4 + round % 90, body: body.clone() }));
+        actions.extend(
+            gateway.event(Event::PeerMessage { from: GatewayIndex(4 + round % 90), body: body.clone() }),
+        );
         actions.extend(gateway.event(Event::Timer { token: 0 }));
         // 5 requests a second of each class; credit for a send is earned every third of a second.
         if round > 50 && round % 5 == 0 {
@@ -41,7 +43,8 @@
             submitted[class] += 1;
             let id = RequestId(round as u64 * 2 + class as u64);
             let customer = CustomerId(round as u64 + (3 << 40));
-            let request = Request { class, first_gateway: 3, ..request(id, customer) };
+            let request =
+                Request { class: ClassIndex(class), first_gateway: GatewayIndex(3), ..request(id, customer) };
             actions.extend(gateway.event(Event::Request(request)));
         }
         for action in actions.drain(..) {
--- a/crates/admission/tests/it/endpoint_selection.rs
+++ b/crates/admission/tests/it/endpoint_selection.rs
@@ -44,11 +44,14 @@
 fn zone_spread(warming: u64) -> ZoneSpread {
     let zone = |endpoint: u64| (endpoint % 3) as usize;
     let is_warming = |endpoint: u64| endpoint % 3 == 0 && endpoint / 3 < warming;
-    let entry =
-        |id| EndpointEntry { zone: zone(id), started_at_ms: is_warming(id).then_some(0.0), ..endpoint(id) };
+    let entry = |id| EndpointEntry {
+        zone: ZoneIndex(zone(id)),
+        started_at_ms: is_warming(id).then_some(0.0),
+        ..endpoint(id)
+    };
     let mut fleet = Fleet::new(fleet_settings(60, plan(50.0, 400.0)), (0..30).map(entry).collect());
     for me in 0..60 {
-        let settings = Settings { me, zone: me % 3, ..fleet.settings.clone() };
+        let settings = Settings { me: GatewayIndex(me), zone: ZoneIndex(me % 3), ..fleet.settings.clone() };
         fleet.start_with(settings, 5 + me as u64);
     }
     let mut local = 0;
@@ -56,7 +59,8 @@
         let me = step * 37 % 60;
         let before = fleet.sent.len();
         fleet.submit(me, |r| {
-            (r.customer, r.gateway_count, r.first_gateway) = (CustomerId(me as u64 + (5 << 40)), 1, me)
+            (r.customer, r.gateway_count, r.first_gateway) =
+                (CustomerId(me as u64 + (5 << 40)), 1, GatewayIndex(me))
         });
         local += fleet.sent[before..].iter().filter(|s| zone(s.endpoint.0) == me % 3).count();
         fleet.advance(2.0);
--- a/crates/admission/tests/it/in_flight_band.rs
+++ b/crates/admission/tests/it/in_flight_band.rs
@@ -32,7 +32,7 @@
 /// A gossip fleet places attempts by chance, so that its band starts wider than that of a broadcast fleet.
 #[test]
 fn gossip_gateway_is_not_held_back_by_a_watermark_as_low_as_a_broadcast_fleets() {
-    let settings = Settings { me: 3, ..fleet_settings(100, plan(100.0, 400.0)) };
+    let settings = Settings { me: GatewayIndex(3), ..fleet_settings(100, plan(100.0, 400.0)) };
     let mut gateway = SingleGateway::started_at(settings, SEED, 0.0);
     let entries = warm_endpoints(40);
     let mut actions = gateway.event(Event::EndpointList { kind: ListKind::Whole, entries });
@@ -43,11 +43,11 @@
         if round == 50 {
             for n in 0..5 {
                 let customer = CustomerId(n + (3 << 40));
-                let request = Request { first_gateway: 3, ..request(RequestId(n), customer) };
+                let request = Request { first_gateway: GatewayIndex(3), ..request(RequestId(n), customer) };
                 actions.extend(gateway.event(Event::Request(request)));
             }
         }
-        let from = 4 + round % 90;
+        let from = GatewayIndex(4 + round % 90);
         actions.extend(gateway.event(Event::PeerMessage { from, body: body.clone() }));
         actions.extend(gateway.event(Event::Timer { token: 0 }));
         sent += sends(&actions).len();
--- a/crates/admission/tests/it/open_limit.rs
+++ b/crates/admission/tests/it/open_limit.rs
@@ -20,10 +20,10 @@
     for me in 0..8 {
         let mut settings = broadcast_settings(Idempotency::Idempotent);
         settings.plans = vec![PlanSettings { open_limit: 3, ..plan(0.0, 0.0) }];
-        (settings.me, settings.gateways) = (me, 8);
+        (settings.me, settings.gateways) = (GatewayIndex(me), 8);
         let mut gateway = SingleGateway::new(settings.clone(), 10);
         for peer in (0..8).filter(|peer| *peer != me) {
-            let mut other = SingleGateway::new(Settings { me: peer, ..settings.clone() }, 10);
+            let mut other = SingleGateway::new(Settings { me: GatewayIndex(peer), ..settings.clone() }, 10);
             let submitted = other.submit_with(|r| r.gateway_count = 8);
             let mut bodies = vec![];
             for sent in submitted.sends() {
@@ -31,7 +31,7 @@
                 bodies.extend(peer_messages(&other.advance(400.0)));
             }
             bodies.into_iter().for_each(|body| {
-                gateway.event(Event::PeerMessage { from: peer, body });
+                gateway.event(Event::PeerMessage { from: GatewayIndex(peer), body });
             });
         }
         owners += gateway.submit_with(|r| r.gateway_count = 8).sends().len();
--- a/crates/admission/tests/it/outlier_detection.rs
+++ b/crates/admission/tests/it/outlier_detection.rs
@@ -72,7 +72,7 @@
         |_, plan, endpoint| if plan == 0 && endpoint.0 < 16 { Outcome::Overloaded } else { Outcome::Ok };
     for step in 0..2500 {
         fleet.submit(step * 17 % 60, |r| {
-            (r.plan, r.customer) = (step % 2, CustomerId(step as u64 % 98 + (5 << 40)))
+            (r.plan, r.customer) = (PlanIndex(step % 2), CustomerId(step as u64 % 98 + (5 << 40)))
         });
         fleet.advance(3.0);
     }
@@ -88,7 +88,7 @@
         |class, _, endpoint| if class == 0 && endpoint.0 < 16 { Outcome::TimedOut } else { Outcome::Ok };
     for step in 0..2500 {
         fleet.submit(step * 17 % 60, |r| {
-            (r.class, r.customer) = (step % 2, CustomerId(step as u64 % 97 + (5 << 40)))
+            (r.class, r.customer) = (ClassIndex(step % 2), CustomerId(step as u64 % 97 + (5 << 40)))
         });
         fleet.advance(3.0);
     }
@@ -102,7 +102,8 @@
     for step in 0..steps {
         let first = step * 37 % 100;
         fleet.submit((first + step % 3) % 100, |r| {
-            (r.customer, r.gateway_count, r.first_gateway) = (CustomerId(first as u64 + (5 << 40)), 3, first);
+            (r.customer, r.gateway_count, r.first_gateway) =
+                (CustomerId(first as u64 + (5 << 40)), 3, GatewayIndex(first));
         });
         fleet.advance(2.0);
     }
@@ -124,7 +125,7 @@
 
 #[test]
 fn avoids_a_lost_zone_and_returns_to_it_once_it_is_back() {
-    let in_zones = |id| EndpointEntry { zone: (id % 3) as usize, ..endpoint(id) };
+    let in_zones = |id| EndpointEntry { zone: ZoneIndex((id % 3) as usize), ..endpoint(id) };
     let mut fleet = Fleet::new(fleet_settings(100, plan(50.0, 400.0)), (0..6).map(in_zones).collect());
     // All gateways are in zone 0; gives the part that goes to their own zone.
     let local_part = |fleet: &mut Fleet, steps: usize| {
--- a/crates/admission/tests/it/quota.rs
+++ b/crates/admission/tests/it/quota.rs
@@ -26,7 +26,7 @@
     assert_eq!(sent, 5, "three of them beyond the quota");
     for _ in 0..40 {
         gateway.customer += 1;
-        gateway.submit_with(|r| r.plan = 1);
+        gateway.submit_with(|r| r.plan = PlanIndex(1));
     }
     gateway.customer = 1;
     assert!(gateway.submit().sends().is_empty());
--- a/crates/admission/tests/it/slow_start_fleet/simulation.rs
+++ b/crates/admission/tests/it/slow_start_fleet/simulation.rs
@@ -123,7 +123,13 @@
         let settings = random_settings(scenario.gateways, &mut random);
         let endpoints = random_endpoints(scenario, &mut random);
         let gateways = (0..scenario.gateways)
-            .map(|me| Gateway::new(Settings { me, ..settings.clone() }, seed ^ (me as u64) << 32, 0.0))
+            .map(|me| {
+                Gateway::new(
+                    Settings { me: GatewayIndex(me), ..settings.clone() },
+                    seed ^ (me as u64) << 32,
+                    0.0,
+                )
+            })
             .map(|gateway| gateway.expect("sound settings"));
         let mut simulation = Simulation {
             scenario,
@@ -216,8 +222,8 @@
             }
             Action::SendPeerMessage { to: Some(to), body } => {
                 let delay_ms = self.random.between(2.0, 20.0);
-                let event = Event::PeerMessage { from: gateway, body };
-                self.schedule(delay_ms, DueEvent::Gateway { gateway: to, event });
+                let event = Event::PeerMessage { from: GatewayIndex(gateway), body };
+                self.schedule(delay_ms, DueEvent::Gateway { gateway: to.0, event });
             }
             Action::Send { request, endpoint, .. } => {
                 let submitted = self.requests.get_mut(&request).expect("known");
--- a/crates/gateway/src/discovery/endpoint_list.rs
+++ b/crates/gateway/src/discovery/endpoint_list.rs
@@ -1,7 +1,7 @@
 //! The endpoint list as discovery writes it, and its endpoints as the admission library and the pool take
 //! them.
 use crate::logging::target;
-use irishinge_admission::{EndpointEntry, EndpointId, EndpointState};
+use irishinge_admission::{EndpointEntry, EndpointId, EndpointState, MachineKindIndex, ZoneIndex};
 use irishinge_settings::Names;
 use serde::Deserialize;
 use std::hash::Hasher;
@@ -101,8 +101,10 @@
         let entry = EndpointEntry {
             id: endpoint_id(&self.uid),
             // All zones and kinds that the settings do not name share the index after the last name.
-            zone: names.zone_index(&self.zone).unwrap_or(names.zones.len()),
-            kind: names.machine_kind_index(&self.machine_kind).unwrap_or(names.machine_kinds.len()),
+            zone: ZoneIndex(names.zone_index(&self.zone).unwrap_or(names.zones.len())),
+            kind: MachineKindIndex(
+                names.machine_kind_index(&self.machine_kind).unwrap_or(names.machine_kinds.len()),
+            ),
             cell: self.cell,
             state,
             // With a start in the future, slow start would count a negative capacity.
--- a/crates/gateway/src/discovery/tests/endpoint_list.rs
+++ b/crates/gateway/src/discovery/tests/endpoint_list.rs
@@ -1,6 +1,6 @@
 //! The endpoint list in discovery's JSON: each field, and records that cannot be read.
 use crate::discovery::endpoint_list::{DiscoveredEndpoint, EndpointList};
-use irishinge_admission::{EndpointId, EndpointState};
+use irishinge_admission::{EndpointId, EndpointState, MachineKindIndex, ZoneIndex};
 use irishinge_settings::Names;
 use serde_json::{json, Value};
 
@@ -49,7 +49,7 @@
     let endpoint = endpoint(record(json!({}))).expect("an endpoint");
     assert_eq!(endpoint.addr.to_string(), "127.0.0.1:80");
     let entry = endpoint.entry;
-    assert_eq!((entry.zone, entry.kind, entry.cell), (1, 1, 3));
+    assert_eq!((entry.zone, entry.kind, entry.cell), (ZoneIndex(1), MachineKindIndex(1), 3));
     assert_eq!((entry.state, entry.started_at_ms), (EndpointState::Ready, Some(5000.0)));
 }
 
@@ -91,7 +91,7 @@
 #[test]
 fn zones_and_kinds_that_the_settings_do_not_name_share_the_index_after_the_last_name() {
     let entry = endpoint(record(json!({"az": "x", "model": ""}))).expect("an endpoint").entry;
-    assert_eq!((entry.zone, entry.kind), (2, 2));
+    assert_eq!((entry.zone, entry.kind), (ZoneIndex(2), MachineKindIndex(2)));
 }
 
 #[test]
--- a/crates/gateway/src/dispatcher/mod.rs
+++ b/crates/gateway/src/dispatcher/mod.rs
@@ -14,7 +14,7 @@
 use crate::peers::{PeerMessageHandler, Peers};
 use crate::quota_counter::QuotaCounter;
 use crate::upstream::{AttemptResult, UpstreamPool, UpstreamRequest};
-use irishinge_admission::{Event, Gateway, ListKind, Outcome, Request, RequestId};
+use irishinge_admission::{Event, Gateway, GatewayIndex, ListKind, Outcome, Request, RequestId};
 use irishinge_settings::Names;
 use std::cell::RefCell;
 use std::collections::{HashMap, VecDeque};
@@ -222,7 +222,7 @@
 }
 
 impl PeerMessageHandler for Rc<Dispatcher> {
-    fn on_peer_message(&self, from: usize, body: String) {
+    fn on_peer_message(&self, from: GatewayIndex, body: String) {
         self.on_event(Event::PeerMessage { from, body });
     }
 }
--- a/crates/gateway/src/downstream/request.rs
+++ b/crates/gateway/src/downstream/request.rs
@@ -7,7 +7,9 @@
 use hyper::header::{HeaderMap, HeaderName, CONTENT_TYPE, HOST, TRANSFER_ENCODING};
 use hyper::http::request::Parts;
 use hyper::Method;
-use irishinge_admission::{CustomerId, Idempotency, Request, RequestId, Settings};
+use irishinge_admission::{
+    ClassIndex, CustomerId, GatewayIndex, Idempotency, PlanIndex, Request, RequestId, Settings,
+};
 use irishinge_settings::Names;
 
 /// Headers that say what a request is. One that stands there twice says two things.
@@ -41,13 +43,13 @@
     let metering = metering.ok_or(RequestError::InvalidMetering)?;
     Ok(Request {
         id: RequestId(id),
-        class,
-        plan,
+        class: ClassIndex(class),
+        plan: PlanIndex(plan),
         customer,
         time_left_ms: (budget_s * 1000.0).min(class_settings.deadline_ms),
         units: metering.units,
         gateway_count: metering.gateway_count,
-        first_gateway: metering.first_gateway,
+        first_gateway: GatewayIndex(metering.first_gateway),
         repeat: headers.get(AGAIN).is_some_and(|value| value == "1"),
         write: class_settings.idempotency != Idempotency::Idempotent,
     })
--- a/crates/gateway/src/downstream/tests/request_parsing.rs
+++ b/crates/gateway/src/downstream/tests/request_parsing.rs
@@ -6,7 +6,7 @@
 use hyper::header::{HeaderName, HeaderValue};
 use hyper::http::request::Parts;
 use hyper::Method;
-use irishinge_admission::{CustomerId, Request, RequestId};
+use irishinge_admission::{ClassIndex, CustomerId, GatewayIndex, PlanIndex, Request, RequestId};
 
 const PATH: &str = "/api/00000001ffffffff?page=2";
 
@@ -50,12 +50,12 @@
 fn each_header_reaches_its_field() {
     let request = parse(&head("read")).expect("a well-formed request");
     assert_eq!((request.id, request.customer), (RequestId(0xaf), CustomerId(0x1_ffff_ffff)));
-    assert_eq!((request.class, request.plan), (0, 1));
-    assert_eq!((request.units, request.gateway_count, request.first_gateway), (2.0, 3, 1));
+    assert_eq!((request.class, request.plan), (ClassIndex(0), PlanIndex(1)));
+    assert_eq!((request.units, request.gateway_count, request.first_gateway), (2.0, 3, GatewayIndex(1)));
     assert_eq!(request.time_left_ms, 1500.0);
     assert!(!request.repeat && !request.write);
     let request = parse(&head_with("post", "x-again", Some("1"))).expect("a well-formed request");
-    assert_eq!(request.class, 1);
+    assert_eq!(request.class, ClassIndex(1));
     assert!(request.repeat && request.write);
     assert!(parse(&head("once")).expect("a well-formed request").write);
 }
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -1,5 +1,6 @@
 //! Messages between gateways, one to a UDP datagram. Delivery is not guaranteed.
 use crate::logging::target;
+use irishinge_admission::GatewayIndex;
 use std::cell::RefCell;
 use std::io;
 use std::net::SocketAddr;
@@ -53,7 +54,7 @@
 /// Handles the messages of peers.
 pub(crate) trait PeerMessageHandler {
     /// Handles a message from the gateway with the number `from`.
-    fn on_peer_message(&self, from: usize, body: String);
+    fn on_peer_message(&self, from: GatewayIndex, body: String);
 }
 
 /// The socket to the other gateways of the fleet.
@@ -63,7 +64,7 @@
     /// Indexed by the gateway's number.
     addrs: Vec<SocketAddr>,
     /// This gateway's number.
-    me: usize,
+    me: GatewayIndex,
     send_rate_limit: RefCell<SendRateLimit>,
 }
 
@@ -77,7 +78,7 @@
     pub(crate) async fn bind(
         listen: Option<SocketAddr>,
         addrs: Vec<SocketAddr>,
-        me: usize,
+        me: GatewayIndex,
         accepted_per_second: f64,
     ) -> Result<Self, BindError> {
         let socket = match listen {
@@ -94,7 +95,7 @@
     }
 
     /// Sends a message to the peer with the number `to`, or to all peers.
-    pub(crate) fn send(&self, to: Option<usize>, body: &str) {
+    pub(crate) fn send(&self, to: Option<GatewayIndex>, body: &str) {
         let Some(socket) = &self.socket else {
             return tracing::warn!(
                 target: target::PEERS,
@@ -111,8 +112,9 @@
             );
         }
         for (peer, addr) in self.addrs.iter().enumerate() {
+            let peer = GatewayIndex(peer);
             if peer != self.me && to.is_none_or(|to| to == peer) {
-                self.send_to(socket, peer, *addr, body);
+                self.send_to(socket, peer.0, *addr, body);
             }
         }
     }
@@ -144,7 +146,12 @@
     }
 
     fn on_datagram(&self, datagram: &[u8], sender: SocketAddr, handler: &impl PeerMessageHandler) {
-        let from = self.addrs.iter().position(|addr| *addr == sender).filter(|peer| *peer != self.me);
+        let from = self
+            .addrs
+            .iter()
+            .position(|addr| *addr == sender)
+            .map(GatewayIndex)
+            .filter(|peer| *peer != self.me);
         match (from, std::str::from_utf8(datagram)) {
             (Some(from), Ok(body)) if datagram.len() <= MAX_DATAGRAM_BYTES => {
                 handler.on_peer_message(from, body.to_string());
--- a/crates/gateway/src/peers/tests.rs
+++ b/crates/gateway/src/peers/tests.rs
@@ -1,5 +1,6 @@
 //! The tests of the messages between gateways: the limit on sending, and several messages to one peer.
 use super::*;
+use irishinge_admission::GatewayIndex;
 
 #[test]
 fn one_peer_may_be_sent_the_whole_rate_limit_and_no_more() {
@@ -20,11 +21,11 @@
     let receiver = std::net::UdpSocket::bind(loopback).expect("a socket");
     receiver.set_read_timeout(Some(Duration::from_secs(10))).expect("a time-out");
     let addrs = vec![receiver.local_addr().expect("an address"); 100];
-    let peers = Peers::bind(Some(loopback), addrs, 0, 40.0).await.expect("a socket");
+    let peers = Peers::bind(Some(loopback), addrs, GatewayIndex(0), 40.0).await.expect("a socket");
     // The runtime must have polled a new socket before it can be sent on.
     peers.socket.as_ref().expect("a socket").writable().await.expect("a sound socket");
     for number in 0..10 {
-        peers.send(Some(1), &format!("message {number}"));
+        peers.send(Some(GatewayIndex(1)), &format!("message {number}"));
     }
     for number in 0..10 {
         let mut buffer = [0; MAX_DATAGRAM_BYTES];
--- a/crates/gateway/src/upstream/tests.rs
+++ b/crates/gateway/src/upstream/tests.rs
@@ -6,7 +6,9 @@
 use bytes::Bytes;
 use hyper::header::HeaderValue;
 use hyper::{Method, Uri};
-use irishinge_admission::{EndpointEntry, EndpointId, EndpointState, ListKind, Outcome};
+use irishinge_admission::{
+    EndpointEntry, EndpointId, EndpointState, ListKind, MachineKindIndex, Outcome, ZoneIndex,
+};
 use irishinge_settings::SocketSettings;
 use std::io::{Read, Write};
 use std::time::Duration;
@@ -88,7 +90,14 @@
     let addr = listener.local_addr().expect("bound");
     let (pool, id) = (pool(), EndpointId(1));
     let state = EndpointState::Ready;
-    let entry = EndpointEntry { id, zone: 0, kind: 0, cell: 0, state, started_at_ms: None };
+    let entry = EndpointEntry {
+        id,
+        zone: ZoneIndex(0),
+        kind: MachineKindIndex(0),
+        cell: 0,
+        state,
+        started_at_ms: None,
+    };
     pool.apply_list(ListKind::Whole, &[DiscoveredEndpoint { entry, addr }]);
     let request = request();
     let until = Instant::now() + Duration::from_secs(60);
--- a/crates/settings/src/translate.rs
+++ b/crates/settings/src/translate.rs
@@ -3,7 +3,9 @@
 use crate::document::{PlanSection, RequestClassSection, SettingsDocument};
 use crate::error::SettingsDocumentError;
 use crate::names::Names;
-use irishinge_admission::{ClassSettings, DedupGroup, Idempotency, PlanSettings, Settings};
+use irishinge_admission::{
+    ClassSettings, DedupGroup, GatewayIndex, Idempotency, PlanSettings, Settings, ZoneIndex,
+};
 
 /// What a settings object says in the admission library's terms.
 #[derive(Debug)]
@@ -35,10 +37,10 @@
             .map(RequestClassSection::translate)
             .collect::<Result<Vec<_>, _>>()?;
         let settings = Settings {
-            me: self.gateway_number,
+            me: GatewayIndex(self.gateway_number),
             gateways: self.gateways,
             tick_ms: self.tick_ms,
-            zone,
+            zone: ZoneIndex(zone),
             classes,
             plans: self.plans.into_iter().map(PlanSection::translate).collect(),
             max_attempts: self.site_limits.max_attempts,
--- a/crates/simulator-adapter/src/wire/action.rs
+++ b/crates/simulator-adapter/src/wire/action.rs
@@ -2,7 +2,7 @@
 
 use super::ids::{EndpointAddress, HexId};
 use super::output::OutputMessage;
-use irishinge_admission::{Action, EndpointId, RequestId};
+use irishinge_admission::{Action, EndpointId, GatewayIndex, RequestId};
 
 /// The recipient of a peer message that goes to all other gateways.
 const ALL_PEERS: i64 = -1;
@@ -32,8 +32,8 @@
     }
 }
 
-fn recipient(peer: Option<usize>) -> i64 {
-    peer.map_or(ALL_PEERS, |number| i64::try_from(number).unwrap_or(i64::MAX))
+fn recipient(peer: Option<GatewayIndex>) -> i64 {
+    peer.map_or(ALL_PEERS, |number| i64::try_from(number.0).unwrap_or(i64::MAX))
 }
 
 impl From<RequestId> for HexId {
--- a/crates/simulator-adapter/src/wire/event.rs
+++ b/crates/simulator-adapter/src/wire/event.rs
@@ -6,8 +6,8 @@
     RequestMessage,
 };
 use irishinge_admission::{
-    AttemptEnd, CounterOutcome, CustomerId, EndpointEntry, EndpointState, Event, ListKind, Outcome, Request,
-    RequestId,
+    AttemptEnd, ClassIndex, CounterOutcome, CustomerId, EndpointEntry, EndpointState, Event, GatewayIndex,
+    ListKind, MachineKindIndex, Outcome, PlanIndex, Request, RequestId, ZoneIndex,
 };
 use irishinge_settings::{Names, UnknownName};
 
@@ -32,7 +32,7 @@
             EventMessage::CounterReply(reply) => reply.into_event()?,
             EventMessage::ProbeDone(probe) => probe.into_event(),
             EventMessage::PeerMessage(message) => {
-                Event::PeerMessage { from: message.from, body: message.body }
+                Event::PeerMessage { from: GatewayIndex(message.from), body: message.body }
             }
             EventMessage::ClientGone(client) => Event::ClientGone { request: RequestId(client.request.0) },
             EventMessage::AttemptEnded(attempt) => Event::AttemptEnded(attempt.into_attempt_end()),
@@ -68,8 +68,8 @@
     fn into_entry(self, names: &Names) -> Result<EndpointEntry, UnknownName> {
         Ok(EndpointEntry {
             id: self.endpoint.0,
-            zone: names.zone_index(&self.zone)?,
-            kind: names.machine_kind_index(&self.machine_kind)?,
+            zone: ZoneIndex(names.zone_index(&self.zone)?),
+            kind: MachineKindIndex(names.machine_kind_index(&self.machine_kind)?),
             cell: self.cell,
             state: self.state.into(),
             started_at_ms: positive(self.started_at_ms),
@@ -91,13 +91,13 @@
     fn into_request(self, names: &Names) -> Result<Request, UnknownName> {
         Ok(Request {
             id: RequestId(self.request.0),
-            class: names.class_index(&self.class)?,
-            plan: names.plan_index(&self.plan)?,
+            class: ClassIndex(names.class_index(&self.class)?),
+            plan: PlanIndex(names.plan_index(&self.plan)?),
             customer: CustomerId(self.customer.0),
             time_left_ms: self.time_left_ms,
             units: self.units,
             gateway_count: self.gateway_count,
-            first_gateway: self.first_gateway,
+            first_gateway: GatewayIndex(self.first_gateway),
             repeat: self.repeat,
             write: self.write,
         })
--- a/crates/simulator-adapter/src/wire/tests/events.rs
+++ b/crates/simulator-adapter/src/wire/tests/events.rs
@@ -3,8 +3,8 @@
 use crate::wire::input::InputMessage;
 use crate::wire::TranslationError;
 use irishinge_admission::{
-    AttemptEnd, CounterOutcome, CustomerId, EndpointEntry, EndpointId, EndpointState, Event, ListKind,
-    Outcome, Request, RequestId,
+    AttemptEnd, ClassIndex, CounterOutcome, CustomerId, EndpointEntry, EndpointId, EndpointState, Event,
+    GatewayIndex, ListKind, MachineKindIndex, Outcome, PlanIndex, Request, RequestId, ZoneIndex,
 };
 use irishinge_settings::{NameKind, Names, UnknownName};
 use serde_json::{json, Value};
@@ -99,8 +99,14 @@
     for (written, state) in states {
         let host = json!({"host": "10.18.74.7:7003", "area": "south", "familyType": "big", "stripe": 4,
             "health": written, "share": 1, "bornMs": 6100.0});
-        let entry =
-            EndpointEntry { id: ENDPOINT, zone: 1, kind: 1, cell: 4, state, started_at_ms: Some(6100.0) };
+        let entry = EndpointEntry {
+            id: ENDPOINT,
+            zone: ZoneIndex(1),
+            kind: MachineKindIndex(1),
+            cell: 4,
+            state,
+            started_at_ms: Some(6100.0),
+        };
         let message = json!({"msg": "Targets", "gen": 1, "kind": "whole", "hosts": [host]});
         let expected = Event::EndpointList { kind: ListKind::Whole, entries: vec![entry] };
         assert_eq!(translate(message), Ok(expected));
@@ -114,13 +120,13 @@
         "write": true});
     let expected = Request {
         id: REQUEST,
-        class: 1,
-        plan: 1,
+        class: ClassIndex(1),
+        plan: PlanIndex(1),
         customer: CustomerId(0x91f0_3b7c_55d2_0a64),
         time_left_ms: 240.0,
         units: 2.0,
         gateway_count: 3,
-        first_gateway: 1,
+        first_gateway: GatewayIndex(1),
         repeat: true,
         write: true,
     };
@@ -172,7 +178,7 @@
     );
     assert_eq!(
         translate(json!({"msg": "NoteFrom", "neighbour": 3, "data": "hi 7"})),
-        Ok(Event::PeerMessage { from: 3, body: "hi 7".to_owned() })
+        Ok(Event::PeerMessage { from: GatewayIndex(3), body: "hi 7".to_owned() })
     );
 }
 
--- a/crates/simulator-adapter/src/wire/tests/output.rs
+++ b/crates/simulator-adapter/src/wire/tests/output.rs
@@ -2,7 +2,7 @@
 
 use crate::wire::ids::EndpointAddress;
 use crate::wire::output::OutputMessage;
-use irishinge_admission::{Action, RequestId};
+use irishinge_admission::{Action, GatewayIndex, RequestId};
 
 #[test]
 fn every_action_is_written_under_its_wire_name() {
@@ -28,7 +28,7 @@
             r#"{"msg":"Announce","target":-1,"data":"hi 7"}"#,
         ),
         (
-            Action::SendPeerMessage { to: Some(2), body: "hi".into() },
+            Action::SendPeerMessage { to: Some(GatewayIndex(2)), body: "hi".into() },
             r#"{"msg":"Announce","target":2,"data":"hi"}"#,
         ),
         (Action::SetTimer { at_ms: 8912.25, token: 77 }, r#"{"msg":"WakeMe","momentMs":8912.25,"name":77}"#),
