--- a/crates/admission/tests/it/broadcast.rs
+++ b/crates/admission/tests/it/broadcast.rs
@@ -2,8 +2,8 @@
 use crate::common::*;
 use irishinge_admission::*;
 
-/// What a gateway lets out of a bucket of 40 units after its peer has sent ten requests and broadcast its counts,
-/// where the messages arrive as the deliveries say: `all`, `lossy`, `reversed`, or a text in place of a message.
+/// How many requests a gateway sends from a bucket of 40 units after its peer has sent ten requests and broadcast its
+/// counts, where the messages arrive as the deliveries say: `all`, `lossy`, `reversed`, or a text in place of a message.
 fn admitted_after(deliveries: &[&str]) -> usize {
     let mut settings = broadcast_settings(Idempotency::Idempotent);
     settings.plans = vec![plan(0.001, 40.0)];
@@ -28,6 +28,10 @@
     receiver.admitted_at_once()
 }
 
+/// A peer has sent ten requests of a customer, and its reports of that arrive complete, with losses, twice,
+/// or in reverse order. If a lost report stayed lost, the customer could use the same ten units again here;
+/// if a report counted each time it arrives, the customer would lose units that it never used. Reports carry
+/// totals and sequence numbers, so that ten of 40 units are gone in every case.
 #[test]
 fn counts_of_a_peer_drain_the_bucket_whether_lost_doubled_or_reversed() {
     assert_eq!(admitted_after(&[]), 40);
@@ -40,6 +44,9 @@
     }
 }
 
+/// Datagrams arrive that are empty, cut short, of another version, or not ASCII. Parsed in part, they would
+/// take units that nobody used; parsed without checks, they would end the process. They change nothing: the
+/// bucket still has its 40 units.
 #[test]
 fn ignores_malformed_messages() {
     let malformed = ["", "h", "h001", "x0010010_0W", "h001010_0Wq00", "h001010_0W\u{e9}", "h001010_0Wz"];
--- a/crates/admission/tests/it/ceiling.rs
+++ b/crates/admission/tests/it/ceiling.rs
@@ -1,4 +1,4 @@
-//! The hard ceiling of a plan holds through restarts, lost messages and missing means of coordination.
+//! The hard ceiling of a plan is enforced through restarts, lost messages and missing means of coordination.
 use crate::common::*;
 use irishinge_admission::*;
 
@@ -7,6 +7,10 @@
     Settings { me: GatewayIndex(me), plans: vec![plan], ..broadcast_settings(Idempotency::Idempotent) }
 }
 
+/// Both gateways of a fleet restart again and again, and each time forget what they have sent. If a gateway
+/// began with a full bucket, every restart would let the burst pass once more, beyond the hard ceiling. The
+/// test counts by a bucket of its own, which no restart refills: it is never overdrawn by a unit, and the
+/// ceiling is used all the same.
 #[test]
 fn holds_when_every_gateway_of_a_broadcast_fleet_restarts() {
     // The true bucket: 8 units at the start, 4 a second.
@@ -39,9 +43,13 @@
             }
         }
     }
-    assert!(spent > 15, "the ceiling is used, not shut: {spent}");
+    assert!(spent > 15, "the ceiling is used: {spent}");
 }
 
+/// One message in seven is lost, gateways restart one by one all the time, and three times the complete fleet
+/// does, so that nobody remembers what a customer has used. An owner that begins with a full bucket, or
+/// grants a request twice because its response was lost, would let more pass than the hard ceiling. In no
+/// span of time is more sent than the ceiling's burst and rate allow for it.
 #[test]
 fn holds_through_lost_messages_and_restarts_of_a_whole_gossip_fleet() {
     let limits =
@@ -70,7 +78,9 @@
     }
 }
 
-/// No gateway can tell what the others passed, so that each has its even part.
+/// Gateways may not send each other messages, so that none knows what the others sent. If each allowed the
+/// ceiling in full, twelve gateways would pass it twelve times over. Each has an even fraction of it, with
+/// the quota counter and without: together they stay below the ceiling at all times, and use it.
 #[test]
 fn holds_without_messages_between_gateways() {
     for counter_allowed in [false, true] {
--- a/crates/admission/tests/it/common/builders.rs
+++ b/crates/admission/tests/it/common/builders.rs
@@ -57,7 +57,7 @@
     settings(2, vec![class(idempotency)], vec![plan(10.0, 40.0)])
 }
 
-/// A fleet of so many gateways, with two classes and two plans that are alike.
+/// A fleet of `gateways` gateways, with two classes and two plans that are alike.
 pub(crate) fn fleet_settings(gateways: usize, plan: PlanSettings) -> Settings {
     let class = class(Idempotency::Idempotent);
     settings(gateways, vec![class.clone(), class], vec![plan.clone(), plan])
@@ -96,7 +96,7 @@
     }
 }
 
-/// The end of an attempt that brought nothing but its outcome.
+/// The end of an attempt that reports nothing but its outcome.
 pub(crate) fn attempt_end(
     request: RequestId,
     attempt: u32,
--- a/crates/admission/tests/it/common/fleet.rs
+++ b/crates/admission/tests/it/common/fleet.rs
@@ -1,4 +1,4 @@
-//! Many gateways that exchange messages, and endpoints that answer after 100 ms unless a test says otherwise. It holds no
+//! Many gateways that exchange messages, and endpoints that answer after 100 ms unless a test says otherwise. It has no
 //! policy: it carries messages, counter calls and answers as the interface says.
 use super::builders::*;
 use super::event_queue::EventQueue;
@@ -12,7 +12,7 @@
 const RESPONSE_MS: f64 = 100.0;
 const MESSAGE_DELAY_MS: f64 = 8.0;
 
-/// How long gateways run before a test starts: longer than they hold bursts back after their start.
+/// How long gateways run before a test starts: longer than they limit bursts after their start.
 const STARTUP_MS: f64 = 1100.0;
 
 /// An attempt that was sent: when, for whom and where.
@@ -48,9 +48,9 @@
     seed: u64,
     /// Bytes of all messages between gateways.
     pub(crate) message_bytes: usize,
-    /// Whom the last message went to.
+    /// The recipient of the last message.
     pub(crate) last_message_to: Option<usize>,
-    /// One in so many messages is lost; 0 loses none.
+    /// One message in this many is lost; 0 loses none.
     pub(crate) lose_one_in: u64,
     submitted: BTreeMap<RequestId, SubmittedRequest>,
     /// How an attempt ends.
@@ -106,7 +106,7 @@
         fleet
     }
 
-    /// Starts a gateway, or starts it anew.
+    /// Starts a gateway, or restarts it without its state.
     pub(crate) fn start(&mut self, me: usize) {
         let seed = 7777 * self.seed + 1000 + me as u64 + self.now_ms as u64 * 7919;
         self.start_with(Settings { me: GatewayIndex(me), ..self.settings.clone() }, seed);
--- a/crates/admission/tests/it/common/fleet_counter.rs
+++ b/crates/admission/tests/it/common/fleet_counter.rs
@@ -2,17 +2,17 @@
 use irishinge_admission::CounterOutcome;
 use std::collections::BTreeMap;
 
-/// Calls are numbered anew in every span of this time.
+/// Calls are numbered from 1 in each span of this time.
 const SPAN_MS: f64 = 100.0;
 
 /// What the counter does with a call.
 #[derive(Clone, Copy, PartialEq)]
 pub(crate) enum CounterBehaviour {
-    /// It adds the amount and answers with the total.
+    /// It adds the amount and replies with the total.
     Answers,
-    /// It adds nothing and says so.
+    /// It adds nothing and replies that it rejected the call.
     Rejects,
-    /// It adds the amount, and nobody hears of it.
+    /// It adds the amount and sends no reply.
     Silent,
 }
 
@@ -24,7 +24,7 @@
 
 pub(crate) struct FleetCounter {
     totals: BTreeMap<u64, f64>,
-    /// The calls it has had.
+    /// The number of calls so far.
     pub(crate) calls: usize,
     span: u64,
     calls_in_span: usize,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Takes a call that came at `now_ms`.
+    /// Handles a call that came at `now_ms`.
     pub(crate) fn add(&mut self, now_ms: f64, name: u64, amount: f64) -> DelayedReply {
         self.calls += 1;
         let total = self.totals.entry(name).or_insert(0.0);
--- a/crates/admission/tests/it/common/single_gateway.rs
+++ b/crates/admission/tests/it/common/single_gateway.rs
@@ -13,7 +13,7 @@
     pub(crate) now_ms: f64,
     /// The id of the last request.
     pub(crate) last_request: u64,
-    /// Whose requests `submit` makes.
+    /// The customer whose requests `submit` makes.
     pub(crate) customer: u64,
 }
 
@@ -30,7 +30,7 @@
 }
 
 impl SingleGateway {
-    /// A gateway that knows so many warm endpoints of two zones in turn.
+    /// A gateway that knows this many warm endpoints, alternating between two zones.
     pub(crate) fn new(settings: Settings, endpoints: u64) -> Self {
         let mut gateway = Self::started_at(settings, SEED, 0.0);
         gateway.update_endpoints((0..endpoints).map(endpoint_of_two_zones).collect());
@@ -98,12 +98,12 @@
         all
     }
 
-    /// Takes in a message of the other gateway.
+    /// Delivers a message of the other gateway.
     pub(crate) fn receive(&mut self, body: &str) {
         self.event(Event::PeerMessage { from: GatewayIndex(1), body: body.into() });
     }
 
-    /// How many requests of one unit a customer gets through at once.
+    /// How many requests of one unit are sent at once for a customer.
     pub(crate) fn admitted_at_once(&mut self) -> usize {
         (0..60).map(|_| self.submit().sends().len()).sum()
     }
--- a/crates/admission/tests/it/determinism.rs
+++ b/crates/admission/tests/it/determinism.rs
@@ -3,7 +3,7 @@
 use irishinge_admission::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A linear congruential generator, so that a seed says all about a run.
+/// A linear congruential generator, so that a seed determines a run.
 struct RandomNumbers(u64);
 
 impl RandomNumbers {
@@ -59,7 +59,7 @@
     }
 }
 
-/// Plays 6000 random events and gives all actions.
+/// Plays 6000 random events and returns all actions.
 fn actions_of_random_events(seed: u64) -> Vec<Action> {
     let mut random = RandomNumbers(seed);
     let idempotency = Idempotency::IdempotencyKey { group: DedupGroup::Zone, window_ms: 2000.0 };
@@ -81,6 +81,11 @@
     all
 }
 
+/// Requests, ends of attempts, changes of the list and messages come in random order. If an action depended
+/// on anything but events and seed, such as the order of a hash table, a decision seen in production could
+/// not be reproduced. If some order of events led to two final answers, or to an attempt after the answer, a
+/// client would be answered twice or an endpoint would work for nobody. The same events give the same actions
+/// twice, each request has one final answer at most, and nothing is sent after it.
 #[test]
 fn random_events_give_the_same_actions_twice_and_one_final_answer_at_most() {
     for seed in 0..4 {
@@ -93,7 +98,7 @@
                     assert!(answered.insert(*request), "{request:?} answered twice")
                 }
                 Action::Send { request, timeout_ms, .. } => {
-                    assert!(!answered.contains(request), "{request:?} sent on after its answer");
+                    assert!(!answered.contains(request), "{request:?} sent after its answer");
                     assert!(*timeout_ms > 0.0);
                 }
                 Action::SendPeerMessage { body, .. } => assert!(body.len() <= 256),
--- a/crates/admission/tests/it/dispatch.rs
+++ b/crates/admission/tests/it/dispatch.rs
@@ -1,7 +1,11 @@
-//! Which queued request leaves next.
+//! Which queued request is sent next.
 use crate::common::*;
 use irishinge_admission::*;
 
+/// The band is full. One customer queues three requests, then another queues one. Sent in order of arrival,
+/// the second customer would wait behind all that the first has queued, however much that is. They are sent
+/// by virtual finish time: the second customer's request goes before the second of the first customer's, and
+/// each customer's requests go in their order.
 #[test]
 fn dispatches_by_virtual_finish_time_and_in_order_within_a_customer() {
     let mut gateway = SingleGateway::new(broadcast_settings(Idempotency::Idempotent), 10);
@@ -19,6 +23,10 @@
     assert_eq!(order, vec![heavy[0], light, heavy[1], heavy[2]]);
 }
 
+/// The band is over-full, and more requests of two classes come than credit is earned for. If both classes
+/// waited alike, half of the credit would go to requests of a third of the other's weight, while heavier ones
+/// run out of time. The class of higher priority is sent more than twice as often, and fewer of its requests
+/// are rejected.
 #[test]
 fn dispatches_a_class_of_higher_priority_first_while_dispatch_credit_is_short() {
     let mut settings = fleet_settings(100, plan(50.0, 400.0));
--- a/crates/admission/tests/it/endpoint_list.rs
+++ b/crates/admission/tests/it/endpoint_list.rs
@@ -1,7 +1,11 @@
-//! What the endpoint list says is kept: draining, removed and expired endpoints are sent nothing.
+//! What the endpoint list says is obeyed: endpoints that are draining or removed, or whose list has expired, are sent
+//! nothing.
 use crate::common::*;
 use irishinge_admission::*;
 
+/// Of three endpoints one is draining and one is removed. Requests sent to them would be rejected or lost
+/// when they stop, and sends after the drain grace break a rule of the specification. All requests go to the
+/// third endpoint.
 #[test]
 fn sends_nothing_to_draining_or_removed_endpoints() {
     let mut gateway = SingleGateway::new(broadcast_settings(Idempotency::Idempotent), 3);
@@ -14,8 +18,11 @@
     assert!(sent.iter().all(|attempt| attempt.endpoint.0 == 2));
 }
 
+/// A complete list comes that does not name two of the known endpoints: the changes that removed them were
+/// missed. Merged like a list of changes, it would leave them in use for good. All requests go to the
+/// endpoint that the list names.
 #[test]
-fn drops_endpoints_that_a_whole_list_does_not_name() {
+fn drops_endpoints_that_a_complete_list_does_not_name() {
     let mut gateway = SingleGateway::new(broadcast_settings(Idempotency::Idempotent), 3);
     let entries = vec![endpoint_of_two_zones(2)];
     gateway.event(Event::EndpointList { kind: ListKind::Whole, entries });
@@ -23,8 +30,11 @@
     assert!(sends(&all).iter().all(|attempt| attempt.endpoint.0 == 2));
 }
 
-/// While the list has expired nothing is sent, queued requests are rejected in time, and changes alone bring back
-/// what was known.
+/// Discovery has not confirmed the list in time, so that any endpoint may be draining or gone. A gateway that
+/// sends by it breaks the drain rule. One that waits with queued requests until discovery is back lets their
+/// deadlines pass. One that resumes only with a complete list makes the outage longer, although no entry need
+/// have changed. While the list has expired nothing is sent and queued requests are rejected in time; the
+/// next changes, even none, bring back what was known.
 #[test]
 fn sends_nothing_while_the_list_has_expired_and_resumes_with_the_next_changes() {
     let class =
@@ -62,6 +72,6 @@
         assert!(rejected, "{gateways}: it is rejected in time");
         assert!(!has_sends(&at(6300.0, submit(3))), "{gateways}");
         let resumed = at(6310.0, update(ListKind::Changes, Vec::new()));
-        assert!(has_sends(&resumed), "{gateways}: the queued one goes on");
+        assert!(has_sends(&resumed), "{gateways}: the queued request is sent");
     }
 }
--- a/crates/admission/tests/it/endpoint_selection.rs
+++ b/crates/admission/tests/it/endpoint_selection.rs
@@ -13,12 +13,17 @@
     assert!(count.len() > 35 && count.values().all(|n| *n < 20), "{count:?}");
 }
 
+/// All gateways of a fleet have just started and observed nothing yet. If each chose the best endpoint by the
+/// same order, they would all choose the same few and overload them. Their first sends are spread over nearly
+/// all endpoints, and no endpoint gets a tenth of them.
 #[test]
 fn gossip_gateways_without_observations_spread_their_first_sends() {
     let settings = fleet_settings(200, plan(10.0, 400.0));
     assert_first_sends_are_spread(Fleet::new(settings, warm_endpoints(40)));
 }
 
+/// The same where gateways may not send each other messages, with the quota counter and without: there they
+/// would not even learn from each other that the few endpoints are overloaded.
 #[test]
 fn gateways_without_messages_spread_their_first_sends() {
     for counter_allowed in [false, true] {
@@ -33,7 +38,7 @@
 
 /// How the sends of 60 gateways of three zones were spread over 30 endpoints of the same.
 struct ZoneSpread {
-    /// The part of sends that stayed in the zone of its gateway.
+    /// The fraction of sends that stayed in the zone of their gateway.
     local_fraction: f64,
     /// Sends for each warm endpoint, by zone.
     per_warm_endpoint: Vec<f64>,
@@ -76,6 +81,11 @@
     }
 }
 
+/// A gateway of a large fleet that sends to all zones alike seldom finds an open connection to an endpoint,
+/// and pays for new ones. One that sends only to its own zone overloads it when most of the zone's endpoints
+/// are warming up. While all are warm, more than four fifths of the sends are local and all endpoints get
+/// about as much. With eight of ten local endpoints warming up, many sends go to other zones, and the two
+/// warm local endpoints are not overloaded.
 #[test]
 fn prefers_the_local_zone_as_far_as_its_endpoints_have_capacity() {
     let spread = zone_spread(0);
--- a/crates/admission/tests/it/gossip.rs
+++ b/crates/admission/tests/it/gossip.rs
@@ -2,6 +2,9 @@
 use crate::common::*;
 use irishinge_admission::*;
 
+/// If a request had to be reported to every gateway, a fleet of ten times as many would send ten times the
+/// bytes for each, and exceed the messages that a gateway accepts. From 40 gateways to 400 the bytes for a
+/// request hardly grow.
 #[test]
 fn message_bytes_for_each_request_do_not_grow_with_the_fleet() {
     let bytes_per_request = |gateways: usize| {
@@ -17,6 +20,10 @@
     assert!(small < 150.0 && large < 1.2 * small + 10.0, "{small} {large}");
 }
 
+/// Every gateway receives messages that are cut short, of another kind, from senders that do not exist, with
+/// figures that cannot be, or for the second time. Accepted as grants or releases, they would raise a
+/// customer's hard ceiling; parsed without checks, they would end processes. The ceiling of 12 units is what
+/// it was.
 #[test]
 fn foreign_truncated_replayed_and_absurd_messages_change_no_ceiling() {
     let limits =
--- a/crates/admission/tests/it/in_flight_band.rs
+++ b/crates/admission/tests/it/in_flight_band.rs
@@ -5,6 +5,9 @@
 /// Start 1, message 1, stock 63, watermark 2.
 const REPORT_OF_HIGH_STOCK: &str = "h001010_0W";
 
+/// Sixty requests come at once at ten endpoints. If all were sent, they would queue at the endpoints, where
+/// the gateway can neither order nor reject them. It sends two for each endpoint and a tenth more, and queues
+/// the others.
 #[test]
 fn sends_up_to_the_upper_bound_and_queues_beyond_it() {
     let mut gateway = SingleGateway::new(broadcast_settings(Idempotency::Idempotent), 10);
@@ -13,14 +16,20 @@
     assert_eq!(sent, 22);
 }
 
+/// A peer reports so high a stock that the band is full by its report alone. If that stopped this gateway, a
+/// peer with a higher watermark could lock it out for good. It still sends its even fraction of the lower
+/// bound.
 #[test]
-fn sends_its_even_part_of_the_lower_bound_whatever_stock_a_peer_reports() {
+fn sends_its_even_fraction_of_the_lower_bound_whatever_stock_a_peer_reports() {
     let mut gateway = SingleGateway::new(broadcast_settings(Idempotency::Idempotent), 10);
     gateway.receive(REPORT_OF_HIGH_STOCK);
     let sent = sends(&gateway.submit_as_new_customers(40)).len();
-    assert_eq!(sent, 9, "its even part of the lower bound, 18 / 2");
+    assert_eq!(sent, 9, "its even fraction of the lower bound, 18 / 2");
 }
 
+/// A peer reports a high stock and then crashes. If its last report counted for good, its stock would take up
+/// capacity that nobody uses. Two seconds later it no longer counts, and this gateway sends up to the upper
+/// bound by its own stock.
 #[test]
 fn drops_the_stock_of_an_unresponsive_peer() {
     let mut gateway = SingleGateway::new(broadcast_settings(Idempotency::Idempotent), 10);
@@ -29,7 +38,10 @@
     assert_eq!(sends(&gateway.submit_as_new_customers(60)).len(), 22);
 }
 
-/// A gossip fleet places attempts by chance, so that its band starts wider than that of a broadcast fleet.
+/// A gossip fleet places attempts at random, so that some endpoints have more than the mean; its band starts
+/// wider than that of a broadcast fleet. Peers report three attempts in flight for each endpoint, prompt
+/// responses and a watermark of 2. If the gateway took that watermark, its requests would wait while
+/// endpoints have capacity. It sends at least four of five within 300 ms.
 #[test]
 fn gossip_gateway_is_not_held_back_by_a_watermark_as_low_as_a_broadcast_fleets() {
     let settings = Settings { me: GatewayIndex(3), ..fleet_settings(100, plan(100.0, 400.0)) };
--- a/crates/admission/tests/it/limits.rs
+++ b/crates/admission/tests/it/limits.rs
@@ -1,4 +1,4 @@
-//! Bounds on memory: how many requests are queued and how many customers are kept.
+//! Bounds on memory: how many requests are queued and how many customers are retained.
 use crate::common::*;
 use irishinge_admission::*;
 
@@ -20,20 +20,24 @@
     assert!(is_rejected(&beyond), "{MAX_QUEUED} are queued");
 }
 
+/// No endpoint is known, and requests go on coming. An unbounded queue would grow until the process has no
+/// memory left; a queue that is too short would reject what could still be served. 4,000 requests are queued,
+/// and the next is rejected at once.
 #[test]
 fn broadcast_gateway_queues_4000_requests_and_rejects_the_next() {
     let settings = broadcast_settings(Idempotency::Idempotent);
     assert_rejects_at_once_only_beyond_the_bound(SingleGateway::started_at(settings, SEED, 0.0));
 }
 
+/// The same in a gossip fleet, whose gateways queue every request before they know its quota.
 #[test]
 fn gossip_gateway_queues_4000_requests_and_rejects_the_next() {
     let settings = fleet_settings(100, plan(10.0, 40.0));
     assert_rejects_at_once_only_beyond_the_bound(SingleGateway::started_at(settings, SEED, 0.0));
 }
 
-/// A gateway without messages and counter holds each customer's quota itself: here one request each, for a long time.
-/// Gives whether the first customer's bucket is full again once so many customers have been idle for 3 s.
+/// Whether the first customer's bucket is full again once so many customers have been idle for 3 s. A gateway without
+/// messages and counter enforces each customer's quota by itself: here one request each, for a long time.
 fn forgets_the_first_of(customers: u64) -> bool {
     let settings = Settings { peer_messages_allowed: false, ..fleet_settings(2, plan(0.001, 1.0)) };
     let mut gateway = SingleGateway::started_at(settings, SEED, 0.0);
@@ -50,10 +54,12 @@
     !is_rejected(&gateway.submit())
 }
 
-/// Idle customers whose bucket is not full are kept, so that nobody gets a second burst by waiting; beyond the bound
-/// they go.
+/// Customers send a request each and are idle from then on. If the record of one whose bucket is not full
+/// were dropped early, it would get a second burst by waiting; if none were ever dropped, memory would grow
+/// with every customer ever seen. 50,000 idle customers are retained; with one more they are evicted, and the
+/// first has a full bucket again.
 #[test]
-fn keeps_50_000_idle_customers_and_evicts_them_when_there_are_more() {
+fn retains_50_000_idle_customers_and_evicts_them_when_there_are_more() {
     assert!(!forgets_the_first_of(MAX_CUSTOMERS));
     assert!(forgets_the_first_of(MAX_CUSTOMERS + 1));
 }
--- a/crates/admission/tests/it/open_limit.rs
+++ b/crates/admission/tests/it/open_limit.rs
@@ -2,6 +2,9 @@
 use crate::common::*;
 use irishinge_admission::*;
 
+/// A customer that may have two attempts in flight submits three requests. Sending the third would exceed the
+/// limit; rejecting it would fail a client whose slot is free a moment later. It is queued, and sent when an
+/// attempt ends.
 #[test]
 fn queues_the_next_request_until_an_attempt_ends() {
     let mut settings = broadcast_settings(Idempotency::Idempotent);
@@ -12,8 +15,10 @@
     assert_eq!(sends(&gateway.end_attempt(sent[0][0], 0, Outcome::Ok, 50.0)).len(), 1);
 }
 
-/// Eight gateways, three slots, each gateway having lately received reports of all others: four may use a slot
-/// without asking.
+/// Eight gateways serve a customer with three slots, and each has recently received reports of all others.
+/// Reports are late: if every gateway sent as long as the reports show a free slot, all eight could send at
+/// once; if none did, the slots would stay empty. Four have a slot of their own, a third more than there are
+/// slots, since few gateways are busy at once; the others wait.
 #[test]
 fn few_gateways_have_a_slot_of_their_own_where_many_serve_a_customer() {
     let mut owners = 0;
@@ -39,6 +44,9 @@
     assert_eq!(owners, 4);
 }
 
+/// Requests of a customer with three slots come at 120 gateways, several times as many as three slots can
+/// serve. If each gateway counted only its own attempts, all would be sent. Never more than three attempts
+/// are in flight, and a slot is used again soon after its attempt has ended.
 #[test]
 fn holds_over_a_gossip_fleet() {
     let limits = PlanSettings { open_limit: 3, ..plan(0.0, 0.0) };
@@ -56,7 +64,9 @@
     }
 }
 
-/// Where gateways exchange no counts a customer is known by its whole id, whose low bits may be any.
+/// Where gateways exchange no counts a customer is known by its complete id, whose low bits may be any. A
+/// gateway's place among the customer's gateways is a sum with those bits: with all of them set, a sum that
+/// does not wrap ends a debug build. The limit of two slots applies to this customer as to others.
 #[test]
 fn holds_for_a_customer_with_the_highest_id() {
     let limits = PlanSettings { open_limit: 2, ..plan(0.0, 0.0) };
--- a/crates/admission/tests/it/outlier_detection.rs
+++ b/crates/admission/tests/it/outlier_detection.rs
@@ -1,9 +1,13 @@
-//! Endpoints that fail or stay silent are ejected, for all requests or for a class or plan, and tried again later.
+//! Endpoints that fail or are silent are ejected, for all requests or for a class or plan, and used again later.
 use crate::common::*;
 use irishinge_admission::*;
 
+/// An endpoint that has been silent for 3 s refuses a connection. Left in the selection, it would get its
+/// usual fraction of the requests, and each of them would need a retry. Left out for good, it would not be
+/// used again once it has recovered. It is ejected, and after its backoff it gets one request at a time until
+/// it answers.
 #[test]
-fn ejects_an_endpoint_that_fails_and_probes_it_later() {
+fn ejects_an_endpoint_that_fails_and_sends_it_one_request_at_a_time_later() {
     let mut gateway = SingleGateway::new(broadcast_settings(Idempotency::Idempotent), 4);
     // It has not answered for long.
     gateway.advance(3000.0);
@@ -17,8 +21,9 @@
     assert_eq!(hits(&again), 1, "one at a time until it answers");
 }
 
-/// Connections break for reasons of their own. Ejecting the endpoint for one, and hedging all that was in flight
-/// there, cost half of a day's value.
+/// Connections break for reasons of their own, also at an endpoint that is well. Ejecting the endpoint for
+/// one break, and hedging all that is in flight there, would cost far more work than the break did. After one
+/// or three breaks an endpoint that has just answered is still used; after twelve in a row it is ejected.
 #[test]
 fn ejects_an_endpoint_that_answers_for_many_broken_connections_but_not_for_few() {
     for (broken, ejected) in [(1, false), (3, false), (12, true)] {
@@ -43,6 +48,9 @@
     }
 }
 
+/// Every endpoint refuses connections, as when the gateway's own network fails. If all of them were ejected,
+/// nothing would be sent until their backoff is over, although the endpoints are not at fault. When most look
+/// like outliers the cause is taken to be common to them, and requests are still sent.
 #[test]
 fn still_sends_when_all_endpoints_look_like_outliers() {
     let mut gateway = SingleGateway::new(broadcast_settings(Idempotency::Idempotent), 3);
@@ -57,14 +65,17 @@
     assert!(!sends(&gateway.advance(20.0)).is_empty());
 }
 
-/// The part of these attempts that went to the first 16 endpoints.
-fn part_of_first_16<'a>(attempts: impl Iterator<Item = &'a FleetAttempt>) -> f64 {
+/// The fraction of these attempts that went to the first 16 endpoints.
+fn fraction_for_first_16<'a>(attempts: impl Iterator<Item = &'a FleetAttempt>) -> f64 {
     let (failing, all) = attempts.fold((0.0, 0.0), |(failing, all), sent| {
         (failing + f64::from(u8::from(sent.endpoint.0 < 16)), all + 1.0)
     });
     failing / all
 }
 
+/// 16 of 40 endpoints reject the requests of one plan as overloaded, and serve those of the other. Ejected
+/// altogether, they would be lost to the plan that they serve; not ejected, they would get requests of the
+/// first plan in vain. They get few requests of that plan, and their usual fraction of the other's.
 #[test]
 fn ejects_endpoints_overloaded_for_one_plan_only_for_that_plan() {
     let mut fleet = gossip_fleet(60, plan(1000.0, 4000.0));
@@ -76,11 +87,13 @@
         });
         fleet.advance(3.0);
     }
-    let part =
-        |plan: usize| part_of_first_16(fleet.sent.iter().filter(|s| s.plan == plan && s.at_ms > 4000.0));
-    assert!(part(0) < 0.3 && part(1) > 0.3, "{} {}", part(0), part(1));
+    let fraction =
+        |plan: usize| fraction_for_first_16(fleet.sent.iter().filter(|s| s.plan == plan && s.at_ms > 4000.0));
+    assert!(fraction(0) < 0.3 && fraction(1) > 0.3, "{} {}", fraction(0), fraction(1));
 }
 
+/// The same for a class: 16 of 40 endpoints let the requests of one class time out. They get few requests of
+/// that class, and their usual fraction of the other's.
 #[test]
 fn ejects_endpoints_that_fail_one_class_only_for_that_class() {
     let mut fleet = gossip_fleet(60, plan(1000.0, 4000.0));
@@ -92,9 +105,10 @@
         });
         fleet.advance(3.0);
     }
-    let part =
-        |class: usize| part_of_first_16(fleet.sent.iter().filter(|s| s.class == class && s.at_ms > 4500.0));
-    assert!(part(0) < 0.3 && part(1) > 0.3, "{} {}", part(0), part(1));
+    let fraction = |class: usize| {
+        fraction_for_first_16(fleet.sent.iter().filter(|s| s.class == class && s.at_ms > 4500.0))
+    };
+    assert!(fraction(0) < 0.3 && fraction(1) > 0.3, "{} {}", fraction(0), fraction(1));
 }
 
 /// Submits 500 requests a second, each of a customer whose requests come through three gateways.
@@ -109,7 +123,10 @@
     }
 }
 
-/// A gateway sends to an endpoint only every 8 s: it must learn of the silent one from others.
+/// One endpoint of 40 is silent. A gateway sends to it only every 8 s: by its own attempts alone it would
+/// need many time-outs to notice, and a hundred gateways would need them each. They learn of it from each
+/// other: after 5 s it gets less than a sixth of what another gets, and still some requests, by which its
+/// recovery would be noticed.
 #[test]
 fn a_hundred_gateways_soon_avoid_an_endpoint_that_answers_none_of_them() {
     let mut fleet = Fleet::new(fleet_settings(100, plan(50.0, 400.0)), warm_endpoints(40));
@@ -120,28 +137,33 @@
     let usual = (0..40).filter(|s| *s != 7).map(|s| late(s).count()).sum::<usize>() as f64 / 39.0;
     let silent = late(7).count() as f64;
     assert!(usual > 50.0 && silent < 0.17 * usual, "{silent} sends to the silent one, {usual} to another");
-    assert!(silent > 0.0, "some gateway tries it now and then");
+    assert!(silent > 0.0, "some gateway still sends it a request now and then");
 }
 
+/// All gateways are in one zone and prefer its two endpoints; then connections to these are refused, and
+/// later the zone is back. Without ejection their requests would go on to the lost zone first, each with a
+/// failed attempt. If they never sent to it again, they would not notice that it is back, and would go on
+/// with remote connections. While it is lost it gets less than a quarter of the sends, and never none; once
+/// it is back it gets most of them.
 #[test]
 fn avoids_a_lost_zone_and_returns_to_it_once_it_is_back() {
     let in_zones = |id| EndpointEntry { zone: ZoneIndex((id % 3) as usize), ..endpoint(id) };
     let mut fleet = Fleet::new(fleet_settings(100, plan(50.0, 400.0)), (0..6).map(in_zones).collect());
-    // All gateways are in zone 0; gives the part that goes to their own zone.
-    let local_part = |fleet: &mut Fleet, steps: usize| {
+    // All gateways are in zone 0; returns the fraction of sends that go to their own zone.
+    let local_fraction = |fleet: &mut Fleet, steps: usize| {
         let before = fleet.sent.len();
         submit_from_sets_of_three(fleet, steps);
         let sent = &fleet.sent[before..];
         sent.iter().filter(|s| s.endpoint.0 % 3 == 0).count() as f64 / sent.len() as f64
     };
-    local_part(&mut fleet, 1500);
-    let healthy = local_part(&mut fleet, 400);
+    local_fraction(&mut fleet, 1500);
+    let healthy = local_fraction(&mut fleet, 400);
     fleet.outcome = |_, _, s| if s.0 % 3 == 0 { Outcome::ConnectFailed } else { Outcome::Ok };
-    local_part(&mut fleet, 4000);
-    let lost = local_part(&mut fleet, 1000);
+    local_fraction(&mut fleet, 4000);
+    let lost = local_fraction(&mut fleet, 1000);
     fleet.outcome = |_, _, _| Outcome::Ok;
-    local_part(&mut fleet, 4000);
-    let back = local_part(&mut fleet, 1000);
+    local_fraction(&mut fleet, 4000);
+    let back = local_fraction(&mut fleet, 1000);
     assert!(healthy > 0.8, "{healthy} before the loss");
     assert!(lost < 0.25 && lost > 0.0, "{lost} while it is lost: less, and never nothing");
     assert!(back > 0.6, "{back} once it is back");
--- a/crates/admission/tests/it/quota.rs
+++ b/crates/admission/tests/it/quota.rs
@@ -1,7 +1,10 @@
-//! The quota on a customer's rate at one gateway: its token bucket, true units, and what may pass beyond it.
+//! The quota on a customer's rate at one gateway: its token bucket, true units, and what may be sent over it.
 use crate::common::*;
 use irishinge_admission::*;
 
+/// A customer has used up its burst and submits one more request. Sent, it would exceed the quota; rejected
+/// without advice, its client would come back too soon, again and again. It is rejected with the time until
+/// the bucket has the request's units.
 #[test]
 fn rejects_beyond_the_quota_with_the_time_until_the_bucket_holds_the_units() {
     let mut settings = broadcast_settings(Idempotency::Idempotent);
@@ -15,6 +18,9 @@
     assert_eq!(actions, vec![Action::Reject { request: id, retry_after_ms: Some(500.0) }]);
 }
 
+/// A customer of a plan that pays for use over its quota has used up its burst. Rejected while the endpoints
+/// have capacity, that use would be lost; sent while requests within their quotas are queued, it would take
+/// their capacity. It is sent while nothing is queued, and not afterwards.
 #[test]
 fn admits_soft_plans_beyond_the_quota_only_while_nothing_is_queued() {
     let mut settings = broadcast_settings(Idempotency::Idempotent);
@@ -32,7 +38,10 @@
     assert!(gateway.submit().sends().is_empty());
 }
 
-/// A figure that no request can count must not empty the customer's bucket.
+/// An endpoint reports the units that a request really used. If the estimate counted for good, the bucket
+/// would drift away from the true use; if a figure that no request can have were believed, it would empty the
+/// customer's bucket. Two more units than estimated are taken from the bucket, and the impossible figure is
+/// ignored.
 #[test]
 fn settles_true_units_and_ignores_impossible_ones() {
     for (true_units, left) in [(4.0, 6), (1e300, 8)] {
--- a/crates/admission/tests/it/quota_counter.rs
+++ b/crates/admission/tests/it/quota_counter.rs
@@ -2,6 +2,9 @@
 use crate::common::*;
 use irishinge_admission::*;
 
+/// Requests of one customer come at 120 gateways, at five times its rate, and the gateways may not send each
+/// other messages. If each applied the quota to its own requests alone, all would be sent. Counted at the
+/// shared counter, no more are sent than the rate and one burst allow, and what the count may lie behind.
 #[test]
 fn holds_the_quota() {
     let mut fleet = counter_fleet(120, plan(2.0, 8.0));
@@ -14,8 +17,10 @@
     assert!((40..=51).contains(&sent), "{sent}");
 }
 
-/// A count that nobody raised would have saved up what the rate filled in all that time; two that raise it at once
-/// must not lock the customer out.
+/// A customer comes back after a while, at thirty gateways within 100 ms. A count that nobody raised would
+/// have saved up what the rate filled in all that time, and the customer would have many bursts. If two
+/// gateways that raise it at once both left their raise, the count would run ahead and lock the customer out.
+/// It has one burst, and its rate afterwards.
 #[test]
 fn an_idle_customer_has_one_burst_however_many_gateways_see_it_first() {
     let mut fleet = counter_fleet(120, plan(2.0, 8.0));
@@ -29,7 +34,7 @@
         fleet.advance(200.0);
         let sent = fleet.sent_for(CUSTOMER) - before;
         assert!(expected.contains(&sent), "{sent} after {wait_ms} ms");
-        // And it goes on at its rate.
+        // Afterwards it is sent at its rate.
         for step in 0..50 {
             fleet.submit(step * 7 % 120, |_| {});
             fleet.advance(200.0);
@@ -39,22 +44,29 @@
     }
 }
 
+/// Three clients of four disconnect before the counter has replied, when the units of their requests are
+/// counted already. If these units were not given back, requests that were never sent would use up the quota,
+/// and the customer would be rejected at half its rate. All other requests are sent, and none is rejected.
 #[test]
 fn gives_back_the_units_of_requests_that_were_never_sent() {
     let mut fleet = counter_fleet(120, plan(2.0, 8.0));
     for me in 0..40 {
         let request = fleet.submit(me, |r| r.units = 2.0);
         if me % 4 > 0 {
-            // Its client leaves before the counter has answered.
+            // Its client disconnects before the counter has replied.
             fleet.event(me, Event::ClientGone { request });
         }
         fleet.advance(1000.0);
     }
-    // A request of 2 units every 4 s: half the rate. The others' are given back.
+    // A request of 2 units every 4 s: half the rate. The others' units are given back.
     assert_eq!(fleet.sent_for(CUSTOMER), 10);
     assert!(fleet.rejected.is_empty(), "{:?}", fleet.rejected);
 }
 
+/// The counter is lost: it rejects all calls, or does not reply. If requests were rejected until it is back,
+/// its outage would be everybody's; if all were sent, a customer far over its quota would have none. A
+/// customer that was not seen over its quota is served; of one that was over it when the counter last
+/// replied, less than half is sent.
 #[test]
 fn without_the_counter_serves_customers_except_those_just_seen_beyond_their_quota() {
     for lost in [CounterBehaviour::Rejects, CounterBehaviour::Silent] {
@@ -81,8 +93,11 @@
     }
 }
 
-/// A counter works through calls that nobody waits for any more: with all requests of all gateways it would answer
-/// nobody. What a few gateways send for one customer hangs on chance, so that the mean of a dozen fleets counts.
+/// A slow counter works through calls that nobody waits for any more: called for all requests of all
+/// gateways, it would reply to nobody in time, and no quota would be enforced. The gateways call it for a
+/// fraction of the requests, and each call adds the units of the others too. There are fewer calls than
+/// requests, and the customer over its quota is still sent less than it requests. What a few gateways send
+/// for one customer depends on chance, so that the mean of a dozen fleets is bounded too.
 #[test]
 fn samples_fewer_requests_at_a_slow_counter_and_still_holds_the_quota() {
     let mut sent_in_all = 0;
@@ -114,7 +129,7 @@
     assert!(mean < 310.0, "{mean}");
 }
 
-/// One gateway of a fleet that counts at the shared counter, whose replies the test gives itself.
+/// One gateway of a fleet that counts at the shared counter, whose replies come from the test.
 struct CountingGateway {
     gateway: SingleGateway,
 }
@@ -148,9 +163,9 @@
     actions.iter().filter_map(call).collect()
 }
 
-/// A gateway raises a count that lies behind the clock and finds that others raised it meanwhile, by a part of what
-/// it raised. Gives the calls that follow, in parts of the raise.
-fn calls_after_a_raise_by_others_too(part_by_others: f64) -> Vec<f64> {
+/// A gateway raises a count that lies behind the clock and finds that others raised it meanwhile, by a fraction of what
+/// it raised. Returns the amounts of the calls that follow, as fractions of the raise.
+fn calls_after_a_raise_by_others_too(fraction_by_others: f64) -> Vec<f64> {
     let mut counting = CountingGateway::new(plan(2.0, 8.0));
     counting.gateway.now_ms = 45_000.0;
     let first = counter_calls(&counting.gateway.submit().actions);
@@ -159,24 +174,27 @@
     assert_eq!(raised.len(), 1, "the count is far behind the clock");
     let raise = raised[0].amount;
     assert!(raise > 8.0, "more than a burst: {raise}");
-    let total = 1.0 + raise + part_by_others * raise;
+    let total = 1.0 + raise + fraction_by_others * raise;
     let following = counter_calls(&counting.reply(raised[0], CounterOutcome::Total(total)));
     following.iter().map(|call| call.amount / raise).collect()
 }
 
-/// Two gateways that find the count behind at once both raise it. What others add for requests meanwhile is far less
-/// than a raise; half of one tells the two apart.
+/// Two gateways that find the count behind at once both raise it. If neither took its raise back, the count
+/// would run ahead of the clock, and the customer would be rejected until the rate has caught up with it.
+/// What others add for requests meanwhile is far less than a raise; half of one distinguishes the two.
 #[test]
 fn takes_its_raise_back_when_others_raised_the_count_by_more_than_half_as_much() {
-    for part_by_others in [0.0, 0.45, 0.49] {
-        assert_eq!(calls_after_a_raise_by_others_too(part_by_others), [], "{part_by_others}");
+    for fraction_by_others in [0.0, 0.45, 0.49] {
+        assert_eq!(calls_after_a_raise_by_others_too(fraction_by_others), [], "{fraction_by_others}");
     }
-    for part_by_others in [0.51, 0.55, 1.0] {
-        assert_eq!(calls_after_a_raise_by_others_too(part_by_others), [-1.0], "{part_by_others}");
+    for fraction_by_others in [0.51, 0.55, 1.0] {
+        assert_eq!(calls_after_a_raise_by_others_too(fraction_by_others), [-1.0], "{fraction_by_others}");
     }
 }
 
-/// Were it none, a gateway would not learn that the counter answers again.
+/// The counter replies to no call. If the fraction of requests that it is called for fell to 0, a gateway
+/// would never learn that it replies again; if it did not fall, every request would first wait for a call in
+/// vain. One request in twenty is sampled.
 #[test]
 fn samples_one_request_in_twenty_at_a_silent_counter() {
     const REQUESTS: usize = 20_000;
--- a/crates/admission/tests/it/quota_owner.rs
+++ b/crates/admission/tests/it/quota_owner.rs
@@ -1,7 +1,10 @@
-//! Quotas of a gossip fleet: each customer's is held by an owner, to whom the other gateways send quota requests.
+//! Quotas of a gossip fleet: each customer's has an owner, to which the other gateways send quota requests.
 use crate::common::*;
 use irishinge_admission::*;
 
+/// Requests of one customer come at five times its rate, but at 120 gateways, so that each sees one in 12 s.
+/// By its own requests no gateway can tell that the customer is over its quota; if each decided alone, all
+/// would be sent. The quota's owner counts them all: no more are sent than rate and burst allow.
 #[test]
 fn holds_the_quota_of_a_customer_that_each_gateway_sees_rarely() {
     let mut fleet = gossip_fleet(120, plan(2.0, 8.0));
@@ -14,6 +17,9 @@
     assert!((40..=50).contains(&sent), "{sent}");
 }
 
+/// The gateway that owns a customer's quota crashes. If the others went on waiting for it, all of the
+/// customer's requests would run out of time; if each then decided alone, all would be sent. The next gateway
+/// in the ranking takes over with a full bucket, so that one burst more is sent at most.
 #[test]
 fn holds_the_quota_after_its_owner_is_lost() {
     let mut fleet = gossip_fleet(120, plan(2.0, 8.0));
@@ -24,9 +30,9 @@
     // The owner decides for itself at once; without it the next in the ranking must serve the customer.
     let before = fleet.sent_for(CUSTOMER);
     let owner = (0..120).find(|me| {
-        let mut probe = Fleet::new(fleet_settings(120, plan(2.0, 8.0)), warm_endpoints(40));
-        probe.submit(*me, |_| {});
-        probe.sent_for(CUSTOMER) == 1
+        let mut trial = Fleet::new(fleet_settings(120, plan(2.0, 8.0)), warm_endpoints(40));
+        trial.submit(*me, |_| {});
+        trial.sent_for(CUSTOMER) == 1
     });
     let owner = owner.expect("the owner decides for itself at once");
     fleet.gateways.remove(&owner);
@@ -39,7 +45,9 @@
     assert!((15..=30).contains(&after), "{after}");
 }
 
-/// Of 2^13 customers of one plan some pairs have the same 24-bit hash; each must get its own burst.
+/// Of 2^13 customers of one plan some pairs have the same 24-bit hash. With the hash as the key of its
+/// record, the second customer of a pair would be rejected for what the first has sent. Each customer has its
+/// own burst.
 #[test]
 fn customers_whose_short_hashes_collide_never_share_a_bucket() {
     let mut fleet = gossip_fleet(40, plan(0.001, 1.0));
@@ -53,6 +61,9 @@
     assert_eq!(fleet.sent.len(), 8192);
 }
 
+/// Clients of one customer send 150 times its rate. Its quota requests could use up the messages that
+/// gateways accept, and its requests the queue, so that other customers' requests wait for a quota until
+/// their time is over. At least nine in ten of the other customers' requests are served.
 #[test]
 fn serves_other_customers_through_a_flood_of_retries() {
     let mut fleet = gossip_fleet(60, plan(2.0, 8.0));
@@ -72,8 +83,11 @@
     assert!(served * 10 >= calm.len() * 9, "{served} of {}", calm.len());
 }
 
+/// A customer's requests came through the same five gateways, and now come through twenty others. If its
+/// quota were divided by past use, the others would reject requests within the quota until they have learned
+/// of it. All 16 requests are sent.
 #[test]
-fn serves_traffic_at_once_that_moves_to_gateways_that_never_saw_the_customer() {
+fn serves_traffic_at_once_that_migrates_to_gateways_that_never_saw_the_customer() {
     let mut fleet = gossip_fleet(100, plan(10.0, 20.0));
     for step in 0..100 {
         fleet.submit(step % 5, |_| {});
@@ -88,6 +102,9 @@
     assert_eq!(fleet.sent.len() - before, 16, "8 a second of a rate of 10, from gateways that never saw it");
 }
 
+/// A gateway owns the quotas of many customers, and others send it nearly as many quota requests as it
+/// accepts messages. If these used up all its messages, it could send no quota requests of its own, and its
+/// own clients would be rejected for it. At most two of its fifty requests are rejected.
 #[test]
 fn a_quota_owner_at_its_message_limit_still_serves_its_own_requests() {
     const BUSY: usize = 17;
@@ -105,7 +122,7 @@
     fleet.advance(3000.0);
     let mut own = Vec::new();
     for step in 0..500 {
-        // 50 quota requests a second from all over, of the 60 messages that it takes in, and 5 requests of its own.
+        // 50 quota requests a second from all over, of the 60 messages that it accepts, and 5 requests of its own.
         let requesting = (BUSY + 1 + step % 119) % 120;
         fleet.submit(requesting, |r| r.customer = owned[step % owned.len()]);
         if step % 10 == 0 {
--- a/crates/admission/tests/it/settings_validation.rs
+++ b/crates/admission/tests/it/settings_validation.rs
@@ -2,6 +2,9 @@
 use crate::common::*;
 use irishinge_admission::*;
 
+/// Settings have no class or no plan, a gateway's number beyond the fleet, or a figure that is negative or no
+/// number. A gateway that starts with them would fail at its first request, or decide by nonsense without a
+/// sign of it. It does not start, and the error names what is wrong.
 #[test]
 fn unsound_settings_give_a_typed_error() {
     let error_of = |change: fn(&mut Settings)| {
--- a/crates/admission/tests/it/slow_start.rs
+++ b/crates/admission/tests/it/slow_start.rs
@@ -1,4 +1,4 @@
-//! Endpoints that are warming up get no more than they can bear.
+//! Endpoints that are warming up are sent no more than they have capacity for.
 use crate::common::*;
 use irishinge_admission::*;
 
@@ -6,6 +6,9 @@
     EndpointEntry { started_at_ms: Some(0.0), ..endpoint_of_two_zones(id) }
 }
 
+/// The only endpoint has just started and rejects everything as overloaded. Rejecting costs it work too: if
+/// rejected attempts did not count, retries would send it many times what it can do, and it would fall over.
+/// In its first second it gets three attempts at most, and it is used as it warms up.
 #[test]
 fn limits_a_warming_endpoint_in_every_window_overloaded_replies_counted() {
     let mut gateway = SingleGateway::new(broadcast_settings(Idempotency::Idempotent), 0);
@@ -21,12 +24,15 @@
         }
     }
     // A warm endpoint of one core answers 1000 / 150 a second; in the first two seconds this one does at most
-    // 0.36 of that, and this gateway's part of the multiple is one of two.
+    // 0.36 of that, and this gateway's fraction of the multiple is one half.
     let early = times.iter().filter(|t| **t < 1000.0).count();
     assert!(early <= 3, "{early} sends in the first second");
     assert!(times.len() > 5, "the endpoint is used as it warms: {}", times.len());
 }
 
+/// Warm endpoints are busy, and one that is warming up has nothing in flight. Selected by attempts in flight
+/// alone, it would look like the best of all and get more than it can do. It gets five requests at most in
+/// two seconds.
 #[test]
 fn sends_few_requests_to_a_warming_endpoint_among_busy_warm_ones() {
     let mut settings = broadcast_settings(Idempotency::Idempotent);
@@ -44,10 +50,13 @@
             }
         }
     }
-    // Ten without the guard; that warming endpoints are used at all is tested above.
+    // That warming endpoints are used at all is tested above.
     assert!(warming <= 5, "{warming} sends in two seconds to an endpoint of half its capacity");
 }
 
+/// Two endpoints of forty have just started, and 500 gateways each send little, without knowing what the
+/// others send. If each sent a warming endpoint a little more than its fraction, all together would overload
+/// it. In no second is it sent more than its budget allows, nor more than a warm one, and it is used.
 #[test]
 fn five_hundred_gateways_together_keep_to_the_budget_of_warming_endpoints() {
     let mut entries = warm_endpoints(38);
@@ -73,6 +82,6 @@
             assert!(window <= 2.0 * 40.0 * capacity, "{window} at {start}");
             assert!(window <= 10.0, "no more than a warm one gets: {window}");
         }
-        assert!(!times.is_empty(), "and it is tried");
+        assert!(!times.is_empty(), "and it is used");
     }
 }
--- a/crates/admission/tests/it/slow_start_fleet/measurements.rs
+++ b/crates/admission/tests/it/slow_start_fleet/measurements.rs
@@ -1,7 +1,7 @@
 //! What runs of the simulation came to.
 use super::simulation::{Simulation, JOIN_MS, WARM_UP_MS};
 
-/// Sends in parts of the capacity that endpoints have at the time, summed over runs.
+/// Sends as fractions of the capacity that endpoints have at the time, summed over runs.
 #[derive(Debug, Default, Clone, Copy)]
 struct Utilization {
     warming: f64,
@@ -18,7 +18,7 @@
 pub(super) struct Measurements {
     pub(super) runs: f64,
     pub(super) runs_over_limit: usize,
-    /// The fullest window, in parts of the limit.
+    /// The fullest window, as a fraction of the limit.
     worst: f64,
     mid_warm_up: Utilization,
     after_warm_up: Utilization,
@@ -55,7 +55,7 @@
     /// Whether warming endpoints do two fifths of what a warm one does for its capacity by the middle of their
     /// warm-up, and four fifths after it.
     pub(super) fn warming_endpoints_are_used(&self) -> bool {
-        let at_least = |part: f64, used: Utilization| used.warming >= part * used.warm.min(self.runs);
+        let at_least = |fraction: f64, used: Utilization| used.warming >= fraction * used.warm.min(self.runs);
         at_least(0.4, self.mid_warm_up) && at_least(0.8, self.after_warm_up)
     }
 }
@@ -70,7 +70,7 @@
     }
 }
 
-/// The most that any window's sends to a warming endpoint came to, in parts of what may be put down to chance.
+/// The most sends to a warming endpoint in any window, as a fraction of what chance may explain.
 fn worst_window(simulation: &Simulation) -> f64 {
     let mut worst = 0.0f64;
     let window_ms = simulation.settings.overload_window_ms;
@@ -97,8 +97,8 @@
     capacity: f64,
 }
 
-/// Sends to warming endpoints, and to warm ones over as long a time, in parts of the capacity they have: in a span of
-/// the warm-up, from and to in parts of it.
+/// Sends to warming endpoints, and to warm ones over as long a time, as fractions of the capacity they have: in a span
+/// of the warm-up, whose ends `from` and `to` are fractions of it.
 fn utilization(simulation: &Simulation, from: f64, to: f64) -> Utilization {
     let (mut warming, mut warm) = (Work::default(), Work::default());
     for (n, endpoint) in simulation.endpoints.iter().enumerate() {
--- a/crates/admission/tests/it/slow_start_fleet/mod.rs
+++ b/crates/admission/tests/it/slow_start_fleet/mod.rs
@@ -1,6 +1,9 @@
-//! Many gateways together must not send a warming endpoint more than it bears, and must use it. Each run simulates a
-//! fleet of its own: gateways that receive messages and the endpoint list late, clients that come by chance,
-//! endpoints that answer first come first, with a capacity that rises from their start.
+//! Many gateways together must not send a warming endpoint more than it has capacity for, and must use it.
+//!
+//! Gateways learn late what the others send. If each sent a warming endpoint what it seems to have capacity for, all
+//! together would overload it, and an overloaded one falls over and stays down; if they sent it nothing, its capacity
+//! would be missing. Each run simulates a fleet of its own: gateways that receive messages and the endpoint list late,
+//! clients that come at random, endpoints that respond first come first, with a capacity that rises from their start.
 mod measurements;
 mod random;
 mod simulation;
@@ -10,7 +13,7 @@
 
 const LOADS: [f64; 3] = [0.5, 0.75, 1.0];
 
-/// Runs one scenario as often as `runs` says and adds up what was measured.
+/// Runs one scenario `runs` times and adds up what was measured.
 fn measure(scenario: Scenario, runs: u64) -> Measurements {
     let (warming, traffic) = (scenario.warming as u64, scenario.traffic as u64);
     let kind = warming << 20 | traffic << 16 | (scenario.load * 4.0) as u64;
@@ -22,7 +25,7 @@
     measured.fold(Measurements::default(), Measurements::and)
 }
 
-/// Runs every kind of traffic with one warming endpoint and with six in ten. No window may hold more than the limit.
+/// Runs every kind of traffic with one warming endpoint and with six in ten. No window may have more sends than the limit.
 /// Over the runs with work for all a warming endpoint must do two fifths of what a warm one does for its capacity by
 /// the middle of its warm-up, and four fifths after it.
 fn assert_budget_is_kept_and_used(gateways: usize, endpoints: usize, loads: &[f64], runs: u64) {
@@ -52,43 +55,55 @@
     assert!(faults.is_empty(), "{faults:#?}");
 }
 
+/// A single gateway has the budget of an endpoint for itself. Without the limit it would send the endpoint as
+/// much from its start as any other.
 #[test]
 fn one_gateway_keeps_to_the_budget_and_uses_it() {
     assert_budget_is_kept_and_used(1, 5, &LOADS, 10);
 }
 
+/// Three gateways know each other's counts, and still not what the others are about to send. If each used the
+/// budget in full, they would exceed it threefold.
 #[test]
 fn three_gateways_keep_to_the_budget_and_use_it() {
     assert_budget_is_kept_and_used(3, 5, &LOADS, 10);
 }
 
-/// The most that do not gossip yet where each takes in 40 messages a second.
+/// The most gateways that broadcast their counts where each accepts 40 messages a second. An even fraction of
+/// an endpoint's budget is less than one request in a window there, which must not lead to none at all.
 #[test]
 fn twelve_gateways_keep_to_the_budget_and_use_it() {
     assert_budget_is_kept_and_used(12, 5, &LOADS, 10);
 }
 
+/// The fewest gateways that gossip: they draw endpoints at random, and with so few of them chance weighs
+/// most.
 #[test]
 fn thirteen_gateways_keep_to_the_budget_and_use_it() {
     assert_budget_is_kept_and_used(13, 5, &LOADS, 10);
 }
 
+/// A fleet that gossips, with four gateways for an endpoint: no gateway sees enough of an endpoint to know by
+/// itself what it can do.
 #[test]
 fn twenty_gateways_keep_to_the_budget_and_use_it() {
     assert_budget_is_kept_and_used(20, 5, &LOADS, 10);
 }
 
+/// The same with six gateways for an endpoint.
 #[test]
 fn thirty_gateways_keep_to_the_budget_and_use_it() {
     assert_budget_is_kept_and_used(30, 5, &LOADS, 10);
 }
 
+/// A large fleet, with ten gateways for an endpoint: if every gateway sent a warming endpoint one request at
+/// its start, it would fall over at once.
 #[test]
 fn three_hundred_gateways_keep_to_the_budget_and_use_it() {
     assert_budget_is_kept_and_used(300, 30, &[0.75], 1);
 }
 
-/// The same at all loads and with more endpoints, which takes a minute or more.
+/// The same at all loads and with more endpoints.
 #[test]
 #[ignore]
 fn three_hundred_gateways_keep_to_the_budget_at_all_loads() {
--- a/crates/admission/tests/it/slow_start_fleet/simulation.rs
+++ b/crates/admission/tests/it/slow_start_fleet/simulation.rs
@@ -4,18 +4,18 @@
 use irishinge_admission::*;
 use std::collections::{BTreeMap, VecDeque};
 
-/// With uneven traffic a busy gateway gets so many times what the others get.
+/// With uneven traffic a busy gateway gets this multiple of what the others get.
 const BUSY_GATEWAY_WEIGHT: f64 = 6.0;
-/// In waves the traffic is so many times the mean for this long, and then as much less.
+/// In waves the traffic is this multiple of the mean for this long, and then as much less.
 const WAVE_PEAK: f64 = 1.7;
 const WAVE_MS: f64 = 1200.0;
-/// From here the warming endpoints join: what comes before shows the gateways what warm ones take.
+/// From here the warming endpoints join: the time before shows the gateways what warm ones can do.
 pub(super) const JOIN_MS: f64 = 1000.0;
 const JOIN_SPAN_MS: f64 = 500.0;
 const LATENCY_OBJECTIVE_MS: f64 = 800.0;
 const DEADLINE_MS: f64 = 2500.0;
 pub(super) const WARM_UP_MS: f64 = 4000.0;
-/// So long after the warm-up a run ends.
+/// A run ends this long after the warm-up.
 const AFTER_WARM_UP_MS: f64 = 800.0;
 
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -23,7 +23,7 @@
     Even,
     /// One gateway in ten gets several times what the others get.
     Uneven,
-    /// Much and little by turns, at all gateways at once.
+    /// Much and little in turn, at all gateways at once.
     Waves,
 }
 
@@ -34,7 +34,7 @@
     /// How many of the endpoints join later, warming up.
     pub(super) warming: usize,
     pub(super) traffic: Traffic,
-    /// Offered work, in parts of the endpoints' capacity.
+    /// Offered work, as a fraction of the endpoints' capacity.
     pub(super) load: f64,
 }
 
@@ -165,14 +165,14 @@
         self.due.schedule(self.now_ms + after_ms, event);
     }
 
-    /// The part of its capacity that an endpoint has at a time.
+    /// The fraction of its capacity that an endpoint has at a time.
     pub(super) fn warm_up_capacity(&self, endpoint: usize, at_ms: f64) -> f64 {
         let Some(start) = self.endpoints[endpoint].started_at_ms else { return 1.0 };
         let at_start = self.settings.cold_start_fraction;
         at_start + (1.0 - at_start) * ((at_ms - start) / WARM_UP_MS).clamp(0.0, 1.0)
     }
 
-    /// Clients come by chance at the highest rate there is, and some of them are left out again in `run`.
+    /// Clients come at random at the highest rate there is, and some of them are left out again in `run`.
     fn schedule_client(&mut self, gateway: usize) {
         let is_busy = |g: usize| self.scenario.traffic == Traffic::Uneven && g % 10 == 0;
         let weight = |g: usize| if is_busy(g) { BUSY_GATEWAY_WEIGHT } else { 1.0 };
@@ -184,7 +184,7 @@
         self.schedule(gap_ms, DueEvent::ClientRequest { gateway });
     }
 
-    /// The part of the highest rate at which clients come now: before the warming endpoints join there is work for
+    /// The fraction of the highest rate at which clients come now: before the warming endpoints join there is work for
     /// the others only.
     fn client_rate_fraction(&self) -> f64 {
         let has_joined = |e: &&SimulatedEndpoint| e.started_at_ms.is_none_or(|s| s <= self.now_ms);
