--- a/crates/admission/tests/it/slow_start_fleet/mod.rs
+++ b/crates/admission/tests/it/slow_start_fleet/mod.rs
@@ -105,7 +105,8 @@
 
 /// The same at all loads and with more endpoints.
 #[test]
-#[ignore]
+#[ignore = "takes about a minute; run it after changes to slow start: \
+    cargo test --package irishinge-admission --test it -- --ignored"]
 fn three_hundred_gateways_keep_to_the_budget_at_all_loads() {
     assert_budget_is_kept_and_used(300, 60, &LOADS, 1);
 }
