--- a/crates/admission/src/coordination/count_reports.rs
+++ b/crates/admission/src/coordination/count_reports.rs
@@ -1,15 +1,17 @@
-//! Small fleets: every gateway sends every other its counts.
+//! Broadcast mode: each gateway sends its counts to every other.
 use crate::action::Action;
 use crate::gateway::Gateway;
 use crate::id::{CustomerTag, GatewayIndex};
 use crate::messages::counts_message::{
     CeilingTransfer, ConsumedUnits, CountEntry, CountsMessage, QuotaFill, WatermarkOnWire, MAX_CUSTOMER_LEN,
 };
-use crate::policy::coordination::{
-    ceiling_transfer_units, counts_messages_per_second, report_interval_ms, MAX_MESSAGE_BYTES,
-    MAX_REPORT_INTERVAL_MS,
+use crate::policy::peer_messages::ceiling_transfer::{ceiling_transfer_units, max_ceiling_units};
+use crate::policy::peer_messages::count_merge::{quota_fill, quota_tokens_after_report};
+use crate::policy::peer_messages::message_capacity::MAX_MESSAGE_BYTES;
+use crate::policy::peer_messages::report_schedule::{
+    max_saved_reports, report_interval_ms, reports_per_second, should_send_report, ReportInput,
 };
-use crate::state::{Coordination, Customer, PeerCount};
+use crate::state::{BroadcastPeer, Coordination, Customer, PeerCount};
 use std::collections::BTreeMap;
 
 /// Messages to each peer in one round of reports, without their heads.
@@ -24,8 +26,8 @@
         ReportRound { messages: peers.map(|peer| (peer, vec![CountsMessage::default()])).collect() }
     }
 
-    /// The message to a peer that has room for one more customer; `None` where there is no such peer.
-    fn message_with_room(&mut self, peer: GatewayIndex) -> Option<&mut CountsMessage> {
+    /// The message to a peer that another customer fits into; `None` where there is no such peer.
+    fn message_with_space(&mut self, peer: GatewayIndex) -> Option<&mut CountsMessage> {
         let messages = self.messages.get_mut(&peer)?;
         if messages.last().is_none_or(|m| m.len() + MAX_CUSTOMER_LEN > MAX_MESSAGE_BYTES) {
             messages.push(CountsMessage::default());
@@ -36,7 +38,7 @@
     /// Adds what is to be said of a customer to the messages to its gateways.
     fn add(&mut self, customer: &mut Customer, entry: CountEntry) {
         for peer in customer.gateways().members() {
-            let Some(message) = self.message_with_room(peer) else { continue };
+            let Some(message) = self.message_with_space(peer) else { continue };
             if customer.report_pending() {
                 message.counts.push(entry);
             }
@@ -55,7 +57,7 @@
     /// of messages goes.
     pub(crate) fn broadcast_counts_if_due(&mut self, actions: &mut Vec<Action>) {
         let Coordination::Broadcast(broadcast) = &mut self.coordination else { return };
-        let interval_ms = report_interval_ms(&self.settings);
+        let interval_ms = report_interval_ms(self.settings.gateways, self.settings.peer_messages_per_second);
         let Some(peers) = broadcast.begin_round(self.clock.now_ms(), interval_ms) else { return };
         let round = ReportRound::new(peers);
         let stock = self.band_load().in_flight;
@@ -72,7 +74,7 @@
             };
             let Some(plan) = customer.plan().map(|p| self.settings.plan(p)) else { continue };
             customer.refill(plan, self.clock.now_ms());
-            let fill = if plan.burst_units > 0.0 { customer.quota_tokens() / plan.burst_units } else { 1.0 };
+            let fill = quota_fill(customer.quota_tokens(), plan.burst_units);
             let entry = CountEntry {
                 tag: tag.short(),
                 consumed: ConsumedUnits::new(customer.consumed_units()),
@@ -92,14 +94,15 @@
     fn send_reports(&mut self, round: ReportRound, stock: u32, actions: &mut Vec<Action>) {
         let now_ms = self.clock.now_ms();
         let Coordination::Broadcast(broadcast) = &mut self.coordination else { return };
+        let per_second = reports_per_second(self.settings.gateways, self.settings.peer_messages_per_second);
         for (to, messages) in round.messages {
             let Some(peer) = broadcast.peer_mut(to) else { continue };
-            peer.accrue_credit(counts_messages_per_second(&self.settings), now_ms);
+            peer.accrue_credit(per_second, max_saved_reports(per_second), now_ms);
             for mut message in messages {
                 message.incarnation = self.incarnation;
                 message.stock = stock;
                 message.watermark = WatermarkOnWire::at_most(self.band.watermark());
-                if peer.wants(&message, now_ms, MAX_REPORT_INTERVAL_MS) {
+                if should_send_report(report_input(peer, &message, now_ms)) {
                     peer.number_message(&mut message, now_ms);
                     actions.push(Action::SendPeerMessage { to: Some(to), body: message.encode() });
                 }
@@ -130,18 +133,29 @@
     fn apply_count(&mut self, from: GatewayIndex, incarnation: u32, entry: &CountEntry) {
         let now_ms = self.clock.now_ms();
         let customer = self.customers.get_or_insert(CustomerTag::from_short(entry.tag), now_ms);
-        let plan = customer.plan().map(|p| self.settings.plan(p));
         let count = PeerCount {
             incarnation,
             consumed: entry.consumed,
             in_flight: entry.in_flight,
             received_ms: now_ms,
         };
-        customer.apply_peer_count(from, count, entry.fill.fraction(), plan, self.settings.max_units);
+        let plan = customer.plan().map(|p| self.settings.plan(p));
+        match plan {
+            Some(plan) => customer.refill(plan, now_ms),
+            None => customer.skip_refill(now_ms),
+        }
+        let burst_units = plan.map_or(1.0, |p| p.burst_units);
+        let consumption = customer.reported_consumption(from, &count, entry.fill.fraction());
+        let max_overdraft_units = self.settings.max_units;
+        let tokens = customer.quota_tokens();
+        let tokens = quota_tokens_after_report(tokens, consumption, burst_units, max_overdraft_units);
+        customer.record_peer_count(from, count, tokens);
     }
 
-    /// Gives units of a customer's ceiling to a peer that requests them. They are taken off before the peer
-    /// learns of them, so that they are never there twice.
+    /// Transfers units of a customer's ceiling to a peer that requests them.
+    ///
+    /// Guards against units that exist at two gateways at once, which would let the ceiling be passed: they are
+    /// taken off here before the message with them is sent, so a lost message loses units instead.
     fn on_ceiling_request(&mut self, from: GatewayIndex, tag: CustomerTag) {
         let Some(customer) = self.customers.get_mut(tag) else { return };
         let Some(plan) = customer.plan().map(|p| self.settings.plan(p)) else { return };
@@ -152,11 +166,22 @@
         }
     }
 
-    /// Adds units of a customer's ceiling that a peer gave.
+    /// Adds units of a customer's ceiling that a peer transferred.
     fn on_ceiling_transfer(&mut self, transfer: &CeilingTransfer) {
         let Some(customer) = self.customers.get_mut(CustomerTag::from_short(transfer.tag)) else { return };
         let Some(plan) = customer.plan().map(|p| self.settings.plan(p)) else { return };
         customer.refill(plan, self.clock.now_ms());
-        customer.receive_ceiling(plan, transfer.units());
+        let max_units = max_ceiling_units(plan.ceiling_burst_units, customer.gateways().len());
+        customer.receive_ceiling(transfer.units(), max_units);
+    }
+}
+
+/// What decides whether a report is sent to a peer.
+fn report_input(peer: &BroadcastPeer, message: &CountsMessage, now_ms: f64) -> ReportInput {
+    ReportInput {
+        message_credit: peer.credit(),
+        has_no_customers: message.is_empty(),
+        has_same_stock: peer.sent_stock() == message.stock,
+        since_last_ms: peer.since_sent_ms(now_ms),
     }
 }
--- a/crates/admission/src/coordination/counter_calls.rs
+++ b/crates/admission/src/coordination/counter_calls.rs
@@ -1,11 +1,15 @@
-//! Calls to the shared counter, one at a time for each customer, and what its replies lead to.
+//! Counter mode: calls to the shared quota counter, one at a time for each customer, and what its replies lead to.
 use crate::action::Action;
 use crate::event::CounterOutcome;
 use crate::gateway::Gateway;
 use crate::id::{CustomerTag, RequestId};
-use crate::policy::quota_counter::{
-    assumed_tokens, catch_up_units, decide_by_count, over_quota, raised_twice, sampling_fraction_after,
-    settlement_units, COUNT_EPOCH_MS,
+use crate::policy::quota_counter::count_catch_up::{catch_up_units, is_double_raise, COUNT_EPOCH_MS};
+use crate::policy::quota_counter::count_decision::{
+    assumed_tokens, decide_by_count, decide_over_quota, is_surely_over_quota,
+};
+use crate::policy::quota_counter::count_settlement::{consumed_units, may_call_at_once, settlement_units};
+use crate::policy::quota_counter::counter_sampling::{
+    refund_units, sample_request, sampling_fraction_after, SampleInput,
 };
 use crate::settings::PlanSettings;
 use crate::state::{
@@ -13,8 +17,8 @@
 };
 
 impl Gateway {
-    /// Asks the counter about a queued request's quota, or decides by what was last seen: the customer cannot
-    /// have more tokens than the rate has added since.
+    /// Begins the quota check of a queued request: calls the counter for it, or decides by what was last seen,
+    /// since the customer cannot have more tokens than the rate has added since.
     pub(crate) fn request_from_counter(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(active) = self.requests.get(id) else { return };
         let tag = active.tag;
@@ -26,21 +30,43 @@
         if plan.rate_per_second <= 0.0 {
             return;
         }
-        let most = customer.counter.tokens_at_most(&plan, now_ms);
-        let over = most.is_some_and(|tokens| tokens < request.units);
-        let sampled = if over { None } else { self.sample_for_counter(id, request.units, request.repeat) };
-        let Some(active) = self.requests.get_mut(id) else { return };
-        active.set_quota(match sampled {
-            Some(_) => QuotaState::AwaitingCounter,
-            None if over => over_quota(&plan),
-            None => QuotaState::AdmittedUncounted,
-        });
-        if let Some(counted) = sampled {
-            self.queue_counter_call(tag, CounterCall::Request(counted));
+        let tokens_at_most = customer.counter.tokens_at_most(&plan, now_ms);
+        let quota = if is_surely_over_quota(tokens_at_most, request.units) {
+            decide_over_quota(&plan)
+        } else {
+            match self.sample_for_counter(id, request.units, request.repeat) {
+                Some(counted) => {
+                    self.queue_counter_call(tag, CounterCall::Request(counted));
+                    QuotaState::AwaitingCounter
+                }
+                None => QuotaState::AdmittedUncounted,
+            }
+        };
+        if let Some(active) = self.requests.get_mut(id) {
+            active.set_quota(quota);
         }
         self.call_counter(tag, actions);
     }
 
+    /// The call to the counter for a request; `None` where it is not sampled.
+    pub(crate) fn sample_for_counter(
+        &mut self,
+        id: RequestId,
+        units: f64,
+        is_repeat: bool,
+    ) -> Option<CountedRequest> {
+        let sampling_fraction = self.counter_sampling_fraction();
+        let draw = self.random.next_fraction();
+        let added_units = sample_request(SampleInput { sampling_fraction, is_repeat, draw, units })?;
+        Some(CountedRequest { id, units, added_units })
+    }
+
+    /// Units to give back for a request whose units were counted but not used.
+    pub(crate) fn refund_units(&mut self, units: f64) -> f64 {
+        let sampling_fraction = self.counter_sampling_fraction();
+        refund_units(units, sampling_fraction, self.random.next_fraction())
+    }
+
     /// Fraction of the requests that the counter is called for.
     pub(crate) fn counter_sampling_fraction(&self) -> f64 {
         match &self.coordination {
@@ -68,7 +94,7 @@
         actions.push(Action::AddToCounter { name, amount, ttl_ms: COUNT_EPOCH_MS });
     }
 
-    /// Takes the counter's reply to a customer's call in, and makes the next one.
+    /// Applies the counter's reply to a customer's call, and makes the next call.
     pub(crate) fn on_counter_reply(&mut self, name: u64, outcome: CounterOutcome, actions: &mut Vec<Action>) {
         let Coordination::Counter(calls) = &mut self.coordination else { return };
         let Some(tag) = calls.complete(name) else { return };
@@ -82,7 +108,7 @@
             customer.counter.correct(ended.correction_units);
         }
         let total = match outcome {
-            // A reply across the turn of an epoch is about the old count.
+            // A total that comes after the epoch has ended is of the old count.
             CounterOutcome::Total(total) if total.is_finite() && epoch.name == name => Some(total),
             _ => None,
         };
@@ -92,7 +118,7 @@
             }
             (CounterCall::Request(request), None) => self.on_no_total(tag, &plan, request, rejected),
             (CounterCall::CatchUp(catch_up), Some(total)) => {
-                if raised_twice(catch_up, total) {
+                if is_double_raise(catch_up, total) {
                     customer.counter.correct(-catch_up.units);
                 }
             }
@@ -102,8 +128,8 @@
             }
             (CounterCall::CatchUp(_) | CounterCall::Settle, None) => {}
         }
-        // A counter that rejects calls is not called again at once only to settle corrections.
-        if !rejected || self.customers.get(tag).is_some_and(|c| c.counter.has_queued()) {
+        let has_queued_calls = self.customers.get(tag).is_some_and(|c| c.counter.has_queued());
+        if may_call_at_once(rejected, has_queued_calls) {
             self.call_counter(tag, actions);
         }
     }
@@ -118,13 +144,15 @@
         epoch: CounterEpoch,
     ) {
         let tokens = epoch.tokens(plan, total - request.added_units);
-        if let (Some(units), Some(customer)) = (catch_up_units(plan, tokens), self.customers.get_mut(tag)) {
+        if let (Some(units), Some(customer)) =
+            (catch_up_units(plan.burst_units, tokens), self.customers.get_mut(tag))
+        {
             customer.counter.push_first(CounterCall::CatchUp(CatchUp { units, seen_total: total }));
         }
         self.decide_counted(tag, plan, request, tokens.min(plan.burst_units));
     }
 
-    /// Decides on a request that the counter said nothing about.
+    /// Decides on a request for which the counter gave no total.
     fn on_no_total(
         &mut self,
         tag: CustomerTag,
@@ -133,15 +161,15 @@
         rejected: bool,
     ) {
         let Some(customer) = self.customers.get_mut(tag) else { return };
-        let tokens = assumed_tokens(plan, customer.counter.tokens_at_most(plan, self.clock.now_ms()));
+        let tokens_at_most = customer.counter.tokens_at_most(plan, self.clock.now_ms());
+        let tokens = assumed_tokens(plan.burst_units, tokens_at_most);
         if rejected {
             customer.counter.correct(request.added_units);
         }
         self.decide_counted(tag, plan, request, tokens);
     }
 
-    /// Decides on a request, given the customer's tokens before it, and enters what it takes. What does not
-    /// go on inside the quota takes nothing.
+    /// Decides on a request, given the customer's tokens before it, and records what it consumes.
     fn decide_counted(
         &mut self,
         tag: CustomerTag,
@@ -151,7 +179,7 @@
     ) {
         let refund_units = self.refund_units(request.units);
         let active = self.requests.get_mut(request.id).filter(|active| active.awaits_counter());
-        let taken = match active {
+        let is_admitted = match active {
             Some(active) => {
                 active.set_quota(decide_by_count(plan, request.units, tokens));
                 active.quota().is_within_quota()
@@ -159,9 +187,9 @@
             None => false,
         };
         let Some(customer) = self.customers.get_mut(tag) else { return };
-        let consumed = if taken { request.added_units } else { request.added_units - request.units };
-        customer.counter.record_tokens(tokens - consumed, self.clock.now_ms());
-        if !taken {
+        let tokens_left = tokens - consumed_units(request, is_admitted);
+        customer.counter.record_tokens(tokens_left, self.clock.now_ms());
+        if !is_admitted {
             customer.counter.correct(-refund_units);
         }
     }
@@ -170,8 +198,11 @@
     /// never sent.
     pub(crate) fn settle_counted(&mut self, active: &ActiveRequest, actions: &mut Vec<Action>) {
         let unsent = active.is_unsent();
-        let correction_units =
-            if unsent { -self.refund_units(active.request.units) } else { settlement_units(active) };
+        let correction_units = if unsent {
+            -self.refund_units(active.request.units)
+        } else {
+            settlement_units(active.quota(), active.settled_units())
+        };
         let Some(customer) = self.customers.get_mut(active.tag) else { return };
         customer.counter.correct(correction_units);
         if unsent {
--- a/crates/admission/src/coordination/gossip_exchange.rs
+++ b/crates/admission/src/coordination/gossip_exchange.rs
@@ -1,15 +1,18 @@
-//! Large fleets: fleet-wide means and observations of endpoints travel with the quota messages.
+//! Gossip mode: means over the fleet and observations of endpoints travel with the quota messages.
 use crate::action::Action;
 use crate::gateway::Gateway;
 use crate::id::GatewayIndex;
 use crate::messages::gossip_message::{GossipMessage, MeansOnWire};
-use crate::policy::coordination::{mean_attempt_age_ms, MEAN_GAIN, MEAN_GAIN_PER_SECOND, RECEIVED_MEAN_GAIN};
 use crate::policy::in_flight_band::MAX_WATERMARK;
-use crate::policy::quota_owner::{max_quota_messages, quota_messages_per_second, QUOTA_RATE_SPAN_S};
-use crate::state::{peer_indices, GatewayMeans};
+use crate::policy::peer_messages::fleet_mean_rules::{
+    mean_attempt_age_ms, MEAN_GAIN, MEAN_GAIN_PER_SECOND, RECEIVED_MEAN_GAIN,
+};
+use crate::policy::peer_messages::quota_message_budget::{max_quota_messages, quota_messages_per_second};
+use crate::policy::quota_owner::owner_sampling::QUOTA_RATE_SPAN_S;
+use crate::state::{peer_indices, Coordination, GatewayMeans};
 
 impl Gateway {
-    /// Takes a peer's message in: its means, its observations, and its quota messages.
+    /// Applies a peer's message: its means, its observations, and its quota messages.
     pub(crate) fn on_gossip_message(&mut self, from: GatewayIndex, body: &str, actions: &mut Vec<Action>) {
         let Some(message) = GossipMessage::decode(body) else { return };
         if !peer_indices(&self.settings).any(|peer| peer == from) {
@@ -25,7 +28,7 @@
         self.on_quota_messages(from, message, actions);
     }
 
-    /// Brings this gateway's means towards those of a peer.
+    /// Moves this gateway's means towards those of a peer.
     fn apply_means(&mut self, means: &MeansOnWire) {
         let watermark = means.watermark().clamp(self.watermark_floor(), MAX_WATERMARK);
         self.band.follow_watermark(watermark, MEAN_GAIN);
@@ -33,8 +36,8 @@
         self.fleet_means.apply(means, MEAN_GAIN, RECEIVED_MEAN_GAIN);
     }
 
-    /// Sends a message with the means and observations that go along; to this gateway itself, takes its quota
-    /// messages in at once.
+    /// Sends a message, with this gateway's means and observations added. A message to this gateway itself is
+    /// applied at once.
     pub(crate) fn send_gossip(
         &mut self,
         to: GatewayIndex,
@@ -50,27 +53,32 @@
         actions.push(Action::SendPeerMessage { to: Some(to), body: message.encode() });
     }
 
-    /// Adds the message tokens of the seconds gone by.
+    /// Adds the message tokens of the seconds that have passed.
     pub(crate) fn refill_message_tokens(&mut self, seconds: f64) {
         let Some(gossip) = self.coordination.gossip_mut() else { return };
         let received = gossip.received_per_second(self.clock.now_ms(), QUOTA_RATE_SPAN_S);
-        let accrued = quota_messages_per_second(&self.settings, received) * seconds;
-        gossip.add_message_tokens(accrued, max_quota_messages(&self.settings));
+        let accepted = self.settings.peer_messages_per_second;
+        let accrued = quota_messages_per_second(accepted, received) * seconds;
+        gossip.add_message_tokens(accrued, max_quota_messages(accepted));
     }
 
-    /// Brings the fleet's means towards this gateway's own figures.
+    /// Moves the fleet's means towards this gateway's own figures.
     pub(crate) fn update_means(&mut self) {
         let load = self.band_load();
         self.band.set_ready_capacity(load.ready_capacity);
         let own_stock = f64::from(load.in_flight);
         let now_ms = self.clock.now_ms();
         self.fleet_means.measure(own_stock, now_ms, MEAN_GAIN_PER_SECOND, QUOTA_RATE_SPAN_S);
-        if self.coordination.gossip().is_none() {
+        match self.coordination {
+            Coordination::Gossip(_) => {}
             // Nothing is received: this gateway's figures stand for the others'.
-            self.fleet_means.receive_own();
+            Coordination::Broadcast(_) | Coordination::Counter(_) | Coordination::Isolated => {
+                self.fleet_means.receive_own()
+            }
         }
+        let means = self.fleet_means.received();
         let mean_response_ms = self.latency.mean_response_ms();
-        let age_ms = mean_attempt_age_ms(&self.settings, self.fleet_means.received(), mean_response_ms);
+        let age_ms = mean_attempt_age_ms(means, mean_response_ms, self.settings.longest_objective_ms());
         self.latency.set_typical_age_ms(age_ms);
     }
 }
--- a/crates/admission/src/coordination/observations.rs
+++ b/crates/admission/src/coordination/observations.rs
@@ -9,7 +9,7 @@
     fails_class, CLASS_FAILURE_GAIN, EJECTION_JITTER, MAX_OBSERVATIONS, MAX_RELATIVE_SAMPLE,
     OBSERVATION_SPAN_S, OBSERVED_RESPONSE_TIME_GAIN, SCOPED_EJECTION,
 };
-use crate::policy::quota_owner::QUOTA_RATE_SPAN_S;
+use crate::policy::quota_owner::owner_sampling::QUOTA_RATE_SPAN_S;
 use crate::state::{EjectionScope, PendingAttempt};
 
 impl Gateway {
--- a/crates/admission/src/coordination/quota_ownership.rs
+++ b/crates/admission/src/coordination/quota_ownership.rs
@@ -1,4 +1,4 @@
-//! Owning a customer's quota: responding to the quota requests of other gateways.
+//! Gossip mode, as the owner of a customer's quota: responses to the quota requests of other gateways.
 use crate::action::Action;
 use crate::gateway::Gateway;
 use crate::id::{CustomerTag, GatewayIndex, PlanIndex};
@@ -6,13 +6,16 @@
 use crate::messages::quota_message::{
     QuotaRelease, QuotaRequest, QuotaRequestNumber, QuotaResponse, QuotaVerdict, SamplingFraction,
 };
-use crate::policy::quota_owner::{
-    has_free_slot, quota_is_ample, verdict, wanted_sampling_fraction, QUOTA_RATE_SPAN_S,
+use crate::policy::quota_owner::owner_sampling::{
+    wanted_sampling_fraction, QuotaDemand, AMPLE_SAMPLING_FRACTION, QUOTA_RATE_SPAN_S,
+};
+use crate::policy::quota_owner::owner_verdict::{
+    decide_quota_request, grant_lifetime_ms, has_free_slot, verdict_to_send, OwnedQuota,
 };
 use crate::settings::PlanSettings;
 use crate::state::{Customer, GatewaySet, Grant};
 
-/// A quota request as the owner goes by it.
+/// A quota request in the owner's terms.
 #[derive(Debug, Clone, Copy)]
 struct ReceivedRequest {
     /// The gateway that sent it.
@@ -30,7 +33,12 @@
 }
 
 impl Gateway {
-    /// Takes in the quota requests, responses and releases of a message.
+    /// How long a grant counts beyond the time that its request may wait.
+    pub(crate) fn grant_lifetime_ms(&self) -> f64 {
+        grant_lifetime_ms(self.settings.longest_objective_ms())
+    }
+
+    /// Applies the quota requests, responses and releases of a message.
     pub(crate) fn on_quota_messages(
         &mut self,
         from: GatewayIndex,
@@ -38,7 +46,7 @@
         actions: &mut Vec<Action>,
     ) {
         for request in message.requests {
-            if let Some(response) = self.decide(from, &request) {
+            if let Some(response) = self.respond_as_owner(from, &request) {
                 self.send_gossip(from, GossipMessage::response(response), actions);
             }
         }
@@ -52,7 +60,7 @@
 
     /// Decides on a quota request as the owner. What is granted is taken from quota, slots and ceiling before
     /// the response is sent. `None` for a request that its sender must not send here.
-    fn decide(&mut self, from: GatewayIndex, request: &QuotaRequest) -> Option<QuotaResponse> {
+    fn respond_as_owner(&mut self, from: GatewayIndex, request: &QuotaRequest) -> Option<QuotaResponse> {
         let plan_index = PlanIndex(request.plan as usize);
         let plan = self.settings.plans.get(plan_index.0)?.clone();
         let gateways = self.gateways_of(from, request)?;
@@ -60,12 +68,13 @@
         let received = self.received_request(from, request);
         let customer = self.customer_entry(CustomerTag(request.customer), plan_index, gateways);
         customer.grants.expire(now_ms);
-        let verdict = account(customer, &plan, &received, now_ms);
-        let (verdict, fraction) = match verdict {
-            QuotaVerdict::Granted if quota_is_ample(customer, &plan) => (QuotaVerdict::GrantedAmple, 1.0),
-            verdict => (verdict, wanted_sampling_fraction(customer, &plan, now_ms)),
+        let verdict = apply_quota_request(customer, &plan, &received, now_ms);
+        let verdict = verdict_to_send(&plan, verdict, customer.quota_tokens());
+        let sampling_fraction = match verdict {
+            QuotaVerdict::GrantedAmple => AMPLE_SAMPLING_FRACTION,
+            _ => wanted_sampling_fraction(quota_demand(customer, &plan, now_ms)),
         };
-        let sampling_fraction = SamplingFraction::nearest(fraction);
+        let sampling_fraction = SamplingFraction::nearest(sampling_fraction);
         Some(QuotaResponse { number: request.number, verdict, sampling_fraction })
     }
 
@@ -92,8 +101,8 @@
         }
     }
 
-    /// Takes in, as the owner, that a request has ended: settles its units, and grants its slot to a waiting
-    /// one.
+    /// Applies, as the owner, that a request has ended: settles its units, and grants its slot to a waiting
+    /// request.
     fn on_quota_release(&mut self, from: GatewayIndex, release: QuotaRelease, actions: &mut Vec<Action>) {
         let max_units = self.settings.max_units.max(1.0);
         let Some(customer) = self.customers.get_mut(CustomerTag(release.customer)) else { return };
@@ -106,7 +115,7 @@
             let additional_units = release.additional_units.units().clamp(-max_units, max_units);
             customer.settle_grant(plan, additional_units);
         }
-        if plan.open_limit > 0 && has_free_slot(customer, plan) {
+        if plan.open_limit > 0 && has_free_slot(plan, customer.grants.active()) {
             self.grant_next_waiting(CustomerTag(release.customer), actions);
         }
     }
@@ -128,8 +137,11 @@
     }
 }
 
-/// Decides on a received request and enters it. A repeated one gets its earlier verdict again at no cost.
-fn account(
+/// Decides on a received quota request and records it.
+///
+/// Guards against a lost response, after which the same quota request comes again: it would be charged twice. By its
+/// number it is recognized as granted or waiting, and gets the same verdict at no cost.
+fn apply_quota_request(
     customer: &mut Customer,
     plan: &PlanSettings,
     request: &ReceivedRequest,
@@ -143,7 +155,13 @@
     if customer.grants.is_waiting(gateway, number) {
         return QuotaVerdict::Queued;
     }
-    let verdict = verdict(customer, plan, units);
+    let owned = OwnedQuota {
+        quota_tokens: customer.quota_tokens(),
+        ceiling_tokens: customer.ceiling_tokens(),
+        granted_requests: customer.grants.active(),
+        waiting_requests: customer.grants.waiting(),
+    };
+    let verdict = decide_quota_request(plan, owned, units);
     match verdict {
         QuotaVerdict::Granted | QuotaVerdict::GrantedAmple => {
             let grant = Grant { gateway, number, expires_ms: request.expires_ms };
@@ -158,3 +176,12 @@
     }
     verdict
 }
+
+/// What the owner recently received and granted for a customer.
+fn quota_demand(customer: &Customer, plan: &PlanSettings, now_ms: f64) -> QuotaDemand {
+    QuotaDemand {
+        requested_per_second: customer.grants.requested_per_second(now_ms, QUOTA_RATE_SPAN_S),
+        granted_per_second: customer.grants.granted_per_second(now_ms, QUOTA_RATE_SPAN_S),
+        plan_rate_per_second: plan.rate_per_second,
+    }
+}
--- a/crates/admission/src/coordination/quota_requests.rs
+++ b/crates/admission/src/coordination/quota_requests.rs
@@ -1,4 +1,4 @@
-//! Asking the owner of a customer's quota, and what its responses lead to.
+//! Gossip mode: quota requests to the owner of a customer's quota, and what its responses lead to.
 use crate::action::Action;
 use crate::gateway::Gateway;
 use crate::id::{GatewayIndex, RequestId};
@@ -6,10 +6,14 @@
 use crate::messages::quota_message::{
     QuotaRequest, QuotaResponse, QuotaVerdict, SamplingFraction, WaitBudget,
 };
-use crate::policy::quota_owner::{
-    may_retry_quota_request, response_wait_ms, SAMPLING_TTL_MS, SUSPECT_MISSED_RESPONSES, SUSPECT_MS,
+use crate::policy::peer_messages::quota_message_budget::max_quota_messages;
+use crate::policy::quota_owner::fallback_decision::{decide_without_owner, FallbackInput};
+use crate::policy::quota_owner::owner_sampling::SAMPLING_TTL_MS;
+use crate::policy::quota_owner::owner_selection::{select_owner, suspected_until_ms};
+use crate::policy::quota_owner::quota_request_route::{
+    grant_useful_until_ms, may_retry_quota_request, response_wait_ms, route_quota_request, QuotaRouteInput,
 };
-use crate::state::{Coordination, GatewaySet, QuotaExpectation, QuotaRoute, QuotaState};
+use crate::state::{ActiveRequest, Coordination, GatewaySet, QuotaExpectation, QuotaRoute, QuotaState};
 
 /// A quota request that the owner did not respond to in time.
 #[derive(Debug, Clone, Copy)]
@@ -19,12 +23,12 @@
     /// The owner that it was sent to.
     owner: GatewayIndex,
     /// How often it had been sent before.
-    tries: u32,
+    retries: u32,
 }
 
 impl Gateway {
-    /// Asks the quota's owner or the counter about a queued request. Where neither may be asked, each gateway
-    /// goes by its own bucket.
+    /// Begins the quota check of a queued request, in the way of the fleet's mode: by the quota's owner, by the
+    /// counter, or by this gateway's own token bucket.
     pub(crate) fn check_quota(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         match self.coordination {
             Coordination::Gossip(_) => self.request_quota(id, 0, actions),
@@ -39,9 +43,9 @@
         }
     }
 
-    /// Asks the owner of a queued request's quota. `tries` counts the earlier quota requests for it that got
-    /// no response. Where the owner is not to be asked, this gateway decides alone.
-    fn request_quota(&mut self, id: RequestId, tries: u32, actions: &mut Vec<Action>) {
+    /// Requests quota for a queued request from the owner, or decides alone. `retries` counts the earlier quota
+    /// requests for it that got no response.
+    fn request_quota(&mut self, id: RequestId, retries: u32, actions: &mut Vec<Action>) {
         let Some(active) = self.requests.get(id) else { return };
         let now_ms = self.clock.now_ms();
         let wait_budget = WaitBudget::from_ms(self.grant_useful_until_ms(active) - now_ms);
@@ -52,8 +56,8 @@
         let sampling_fraction =
             SamplingFraction::nearest_above_zero(customer.sampling_fraction_now(now_ms, SAMPLING_TTL_MS));
         let Some(gossip) = self.coordination.gossip_mut() else { return };
-        let suspected = |gateway| gossip.is_suspected(gateway, now_ms);
-        let owner = gateways.owner(tag, suspected).unwrap_or(self.settings.me);
+        let is_suspected = |gateway| gossip.is_suspected(gateway, now_ms);
+        let owner = select_owner(gateways.rendezvous_ranking(tag), is_suspected, self.settings.me);
         let number = gossip.requests.number_for(previous, owner);
         let quota_request = QuotaRequest {
             customer: tag.0,
@@ -65,8 +69,15 @@
             wait_budget,
             sampling_fraction,
         };
-        match self.quota_route(owner, tries, sampling_fraction) {
-            QuotaRoute::AskOwner => self.send_quota_request(id, owner, quota_request, tries, actions),
+        let route = route_quota_request(QuotaRouteInput {
+            owns_quota: owner == self.settings.me,
+            retries,
+            sampling: sampling_fraction,
+            draw: self.random.next_fraction(),
+            message_tokens: gossip.message_tokens(),
+        });
+        match route {
+            QuotaRoute::ToOwner => self.send_quota_request(id, owner, quota_request, retries, actions),
             QuotaRoute::DecideAlone(expected) => self.decide_without_owner(id, expected),
         }
     }
@@ -77,7 +88,7 @@
         id: RequestId,
         owner: GatewayIndex,
         request: QuotaRequest,
-        tries: u32,
+        retries: u32,
         actions: &mut Vec<Action>,
     ) {
         let Some(gossip) = self.coordination.gossip_mut() else { return };
@@ -87,22 +98,42 @@
         }
         let number = request.number;
         let at_ms = self.clock.now_ms();
-        active.set_quota(QuotaState::AwaitingOwner { owner, number, at_ms, tries });
+        active.set_quota(QuotaState::AwaitingOwner { owner, number, at_ms, retries });
         gossip.requests.insert(number, id);
         self.send_gossip(owner, GossipMessage::request(request), actions);
     }
 
+    /// Decides on a request without the owner of its customer's quota.
+    pub(crate) fn decide_without_owner(&mut self, id: RequestId, expectation: QuotaExpectation) {
+        let band_is_ungated = self.band_is_ungated();
+        let Some(active) = self.requests.get_mut(id) else { return };
+        active.set_quota(decide_without_owner(FallbackInput {
+            expectation,
+            band_is_ungated,
+            ceiling_rate_per_second: self.settings.plan(active.request.plan).ceiling_rate_per_second,
+        }));
+    }
+
+    /// Until when a grant is of use to a request.
+    fn grant_useful_until_ms(&self, active: &ActiveRequest) -> f64 {
+        let mean_response_ms = self.latency.response_ms(active.request.class);
+        grant_useful_until_ms(active.objective_at_ms, active.deadline_ms, mean_response_ms)
+    }
+
     /// Sends quota requests again that were not responded to in time, or decides without the owner.
     pub(crate) fn retry_quota_requests(&mut self, actions: &mut Vec<Action>) {
         let now_ms = self.clock.now_ms();
         for missed in self.missed_responses() {
             let Some(gossip) = self.coordination.gossip_mut() else { return };
             if let Some(peer) = gossip.peer_mut(missed.owner) {
-                peer.record_missed_response(SUSPECT_MISSED_RESPONSES, now_ms + SUSPECT_MS);
+                let missed_responses = peer.record_missed_response();
+                if let Some(until_ms) = suspected_until_ms(missed_responses, now_ms) {
+                    peer.suspect(until_ms);
+                }
             }
-            let tokens = gossip.message_tokens();
-            if may_retry_quota_request(&self.settings, missed.tries, tokens) {
-                self.request_quota(missed.id, missed.tries + 1, actions);
+            let max_tokens = max_quota_messages(self.settings.peer_messages_per_second);
+            if may_retry_quota_request(missed.retries, gossip.message_tokens(), max_tokens) {
+                self.request_quota(missed.id, missed.retries + 1, actions);
             } else {
                 self.decide_without_owner(missed.id, QuotaExpectation::Within);
             }
@@ -112,16 +143,16 @@
     /// Quota requests that have waited too long for a response.
     fn missed_responses(&self) -> Vec<MissedResponse> {
         let Some(gossip) = self.coordination.gossip() else { return Vec::new() };
-        let wait_ms = response_wait_ms(&self.settings);
+        let wait_ms = response_wait_ms(self.settings.shortest_objective_ms());
         let missed = gossip.requests.waiting().filter_map(|id| {
             let active = self.requests.get(id)?;
-            let QuotaState::AwaitingOwner { owner, at_ms, tries, .. } = active.quota() else { return None };
-            (self.clock.now_ms() - at_ms > wait_ms).then_some(MissedResponse { id, owner, tries })
+            let QuotaState::AwaitingOwner { owner, at_ms, retries, .. } = active.quota() else { return None };
+            (self.clock.now_ms() - at_ms > wait_ms).then_some(MissedResponse { id, owner, retries })
         });
         missed.collect()
     }
 
-    /// Takes in what the owner decided on a request that waits for it.
+    /// Applies what the owner decided on a request that waits for it.
     pub(crate) fn on_quota_response(&mut self, from: GatewayIndex, response: QuotaResponse) {
         let number = response.number;
         let Some(gossip) = self.coordination.gossip_mut() else { return };
--- a/crates/admission/src/lifecycle/customers.rs
+++ b/crates/admission/src/lifecycle/customers.rs
@@ -2,16 +2,16 @@
 use crate::gateway::Gateway;
 use crate::id::{CustomerId, CustomerTag, PlanIndex};
 use crate::mechanism::splitmix64::short_tag;
-use crate::policy::coordination::idle_limit_ms;
-use crate::state::{Customer, GatewaySet};
+use crate::policy::customer_retention::{idle_limit_ms, is_evicted};
+use crate::policy::quota_owner::ceiling_fraction::{ceiling_fraction_by_ranking, even_ceiling_fraction};
+use crate::state::{Coordination, Customer, FleetMode, GatewaySet};
 
 impl Gateway {
     /// The key of a customer in the records.
     pub(crate) fn customer_tag(&self, customer: CustomerId) -> CustomerTag {
-        if self.coordination.is_broadcast() {
-            CustomerTag::from_short(short_tag(customer.0))
-        } else {
-            CustomerTag(customer.0)
+        match self.coordination.fleet_mode() {
+            FleetMode::Broadcast => CustomerTag::from_short(short_tag(customer.0)),
+            FleetMode::LargeFleet => CustomerTag(customer.0),
         }
     }
 
@@ -36,14 +36,30 @@
         customer
     }
 
-    /// Forgets idle customers, so that one-off customers leave nothing behind.
+    /// This gateway's fraction of a customer's hard ceiling.
+    fn ceiling_fraction(&self, tag: CustomerTag, gateways: &GatewaySet) -> f64 {
+        match self.coordination {
+            Coordination::Gossip(_) => {
+                ceiling_fraction_by_ranking(gateways.len(), gateways.ranking_position(tag, self.settings.me))
+            }
+            Coordination::Broadcast(_) | Coordination::Counter(_) | Coordination::Isolated => {
+                even_ceiling_fraction(gateways.len())
+            }
+        }
+    }
+
+    /// Evicts idle customers, so that one-off customers leave nothing behind.
     pub(crate) fn evict_idle_customers(&mut self) {
-        if !self.coordination.is_broadcast() {
-            self.customers.clear_unreported();
+        match self.coordination.fleet_mode() {
+            FleetMode::Broadcast => {}
+            FleetMode::LargeFleet => self.customers.clear_unreported(),
         }
+        let now_ms = self.clock.now_ms();
         let customers = self.customers.len();
         let settings = &self.settings;
-        let limit_ms = |plan: Option<PlanIndex>| idle_limit_ms(plan.map(|p| settings.plan(p)), customers);
-        self.customers.evict_idle(self.clock.now_ms(), limit_ms);
+        self.customers.evict(now_ms, |customer| {
+            let plan = customer.plan().map(|p| settings.plan(p));
+            is_evicted(customer.in_flight(), customer.idle_ms(now_ms), idle_limit_ms(plan, customers))
+        });
     }
 }
--- a/crates/admission/src/policy/dispatch.rs
+++ b/crates/admission/src/policy/dispatch.rs
@@ -3,7 +3,7 @@
 use crate::gateway::Gateway;
 use crate::id::{CustomerTag, RequestId};
 use crate::mechanism::virtual_finish_queue::FlowHead;
-use crate::policy::coordination::PEER_TIMEOUT_MS;
+use crate::policy::peer_messages::message_capacity::PEER_TIMEOUT_MS;
 use crate::settings::PlanSettings;
 use crate::state::{Customer, QuotaDecision};
 
--- a/crates/admission/src/policy/in_flight_band.rs
+++ b/crates/admission/src/policy/in_flight_band.rs
@@ -1,8 +1,8 @@
 //! The in-flight band: its watermark, its bounds, and whether the stock lets a request be sent.
 use crate::gateway::Gateway;
 use crate::id::RequestId;
-use crate::policy::coordination::PEER_TIMEOUT_MS;
 use crate::policy::outlier_detection::{CLEARLY_SLOW, HUNG_STALL_RATIO};
+use crate::policy::peer_messages::message_capacity::PEER_TIMEOUT_MS;
 use crate::state::{Band, BandLoad, BandPosition, Endpoint};
 
 /// Attempts in flight per ready endpoint where the band starts, the paper's `watermarkPerBackend`. The
--- a/crates/admission/src/startup.rs
+++ b/crates/admission/src/startup.rs
@@ -1,12 +1,12 @@
 //! The start of a gateway from its settings.
 use crate::gateway::Gateway;
 use crate::mechanism::splitmix64::{mix, SplitMix64};
-use crate::policy::coordination::broadcast_reaches_all;
+use crate::policy::coordination_choice::{choose_coordination_mode, CoordinationMode, CoordinationModeInput};
 use crate::policy::in_flight_band::INITIAL_DISPATCH_CREDIT;
 use crate::policy::outlier_detection::{
     INITIAL_OBJECTIVE_FRACTION, LATENCY_GAINS, RESPONSE_TIME_HALF_LIFE_MS,
 };
-use crate::policy::quota_owner::INITIAL_QUOTA_MESSAGES;
+use crate::policy::peer_messages::quota_message_budget::INITIAL_QUOTA_MESSAGES;
 use crate::policy::retry::INITIAL_RETRY_TOKENS;
 use crate::policy::slow_start::SEND_RATE_SPAN_S;
 use crate::settings::{Settings, SettingsError};
@@ -49,13 +49,16 @@
 
 /// The way in which the gateways of a fleet with these settings agree: the same on all of them.
 fn coordination_mode(settings: &Settings) -> Coordination {
-    if broadcast_reaches_all(settings) {
-        Coordination::Broadcast(Broadcast::new(settings))
-    } else if settings.peer_messages_allowed {
-        Coordination::Gossip(Gossip::new(settings, INITIAL_QUOTA_MESSAGES))
-    } else if settings.counter_allowed {
-        Coordination::Counter(CounterCalls::new())
-    } else {
-        Coordination::Isolated
+    let mode = choose_coordination_mode(CoordinationModeInput {
+        gateways: settings.gateways,
+        peer_messages_allowed: settings.peer_messages_allowed,
+        peer_messages_per_second: settings.peer_messages_per_second,
+        counter_allowed: settings.counter_allowed,
+    });
+    match mode {
+        CoordinationMode::Broadcast => Coordination::Broadcast(Broadcast::new(settings)),
+        CoordinationMode::Gossip => Coordination::Gossip(Gossip::new(settings, INITIAL_QUOTA_MESSAGES)),
+        CoordinationMode::Counter => Coordination::Counter(CounterCalls::new()),
+        CoordinationMode::Isolated => Coordination::Isolated,
     }
 }
--- a/crates/admission/src/state/fleet/gateway_set.rs
+++ b/crates/admission/src/state/fleet/gateway_set.rs
@@ -16,11 +16,11 @@
 
 /// A gateway and its rank for one customer. The lowest rank of a set owns the customer's quota.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-struct RankedGateway {
+pub(crate) struct RankedGateway {
     /// The rank, evenly spread over all gateways and customers.
-    rank: u64,
+    pub(crate) rank: u64,
     /// The gateway's number.
-    gateway: GatewayIndex,
+    pub(crate) gateway: GatewayIndex,
 }
 
 impl RankedGateway {
@@ -75,7 +75,7 @@
     }
 
     /// The set's gateways with their ranks for a customer, in the order of their numbers.
-    fn rendezvous_ranking(&self, tag: CustomerTag) -> impl Iterator<Item = RankedGateway> {
+    pub(crate) fn rendezvous_ranking(&self, tag: CustomerTag) -> impl Iterator<Item = RankedGateway> {
         self.members().map(move |gateway| RankedGateway::new(tag, gateway))
     }
 
@@ -84,15 +84,4 @@
         let rank = RankedGateway::new(tag, gateway).rank;
         self.rendezvous_ranking(tag).filter(|other| other.rank < rank).count()
     }
-
-    /// The owner of a customer's quota: the first in the ranking that is not suspected to be down. `None`
-    /// where all are.
-    pub(crate) fn owner(
-        &self,
-        tag: CustomerTag,
-        is_suspected: impl Fn(GatewayIndex) -> bool,
-    ) -> Option<GatewayIndex> {
-        let reachable = self.rendezvous_ranking(tag).filter(|ranked| !is_suspected(ranked.gateway));
-        reachable.min().map(|ranked| ranked.gateway)
-    }
 }
--- a/crates/admission/src/state/fleet/mod.rs
+++ b/crates/admission/src/state/fleet/mod.rs
@@ -11,6 +11,6 @@
 pub(crate) use broadcast_peers::Broadcast;
 pub(crate) use coordination_mode::{Coordination, FleetMode};
 pub(crate) use fleet_means::{FleetMeans, GatewayMeans};
-pub(crate) use gateway_set::GatewaySet;
+pub(crate) use gateway_set::{GatewaySet, RankedGateway};
 pub(crate) use gossip_credit::Gossip;
 pub(crate) use peer_record::{peer_indices, BroadcastPeer, GossipPeer};
--- a/crates/admission/src/state/fleet/peer_record.rs
+++ b/crates/admission/src/state/fleet/peer_record.rs
@@ -81,20 +81,26 @@
         true
     }
 
-    /// Adds the messages that the peer may be sent for the time since the last call. Those of a second may be
-    /// saved up, and one at least.
-    pub(crate) fn accrue_credit(&mut self, messages_per_second: f64, now_ms: f64) {
-        let accrued = messages_per_second * (now_ms - self.credit_ms) / 1000.0;
-        self.credit = (self.credit + accrued).min(messages_per_second.max(1.0));
+    /// Adds the reports that the peer may be sent for the time since the last call, up to a limit.
+    pub(crate) fn accrue_credit(&mut self, reports_per_second: f64, max_saved: f64, now_ms: f64) {
+        let accrued = reports_per_second * (now_ms - self.credit_ms) / 1000.0;
+        self.credit = (self.credit + accrued).min(max_saved);
         self.credit_ms = now_ms;
     }
 
-    /// Whether a message is to be sent: the peer can take one, and either the message says something new or
-    /// the last one was sent longer ago than the interval.
-    pub(crate) fn wants(&self, message: &CountsMessage, now_ms: f64, max_interval_ms: f64) -> bool {
-        let nothing_new =
-            message.is_empty() && self.sent_stock == message.stock && now_ms - self.sent_ms < max_interval_ms;
-        self.credit >= 1.0 && !nothing_new
+    /// Reports that the peer may be sent now.
+    pub(crate) fn credit(&self) -> f64 {
+        self.credit
+    }
+
+    /// Attempts in flight that the last report to the peer had.
+    pub(crate) fn sent_stock(&self) -> u32 {
+        self.sent_stock
+    }
+
+    /// Time since the last report to the peer.
+    pub(crate) fn since_sent_ms(&self, now_ms: f64) -> f64 {
+        now_ms - self.sent_ms
     }
 
     /// Enters a message that is sent, and gives it the next sequence number.
@@ -127,12 +133,15 @@
         *self = GossipPeer::default();
     }
 
-    /// Enters a quota request that the peer did not respond to in time. After `suspect_after` of these in a
-    /// row it is suspected.
-    pub(crate) fn record_missed_response(&mut self, suspect_after: u32, suspect_until_ms: f64) {
+    /// Records that the peer did not respond to a quota request in time, and returns how many responses in a
+    /// row it has missed.
+    pub(crate) fn record_missed_response(&mut self) -> u32 {
         self.missed_responses += 1;
-        if self.missed_responses >= suspect_after {
-            self.suspected_until_ms = suspect_until_ms;
-        }
+        self.missed_responses
+    }
+
+    /// Has the peer suspected to be down until a time.
+    pub(crate) fn suspect(&mut self, until_ms: f64) {
+        self.suspected_until_ms = until_ms;
     }
 }
--- a/crates/admission/src/state/mod.rs
+++ b/crates/admission/src/state/mod.rs
@@ -13,11 +13,11 @@
 pub(crate) use event_clock::EventClock;
 pub(crate) use fleet::{
     peer_indices, Band, BandLoad, BandPosition, Broadcast, BroadcastPeer, Coordination, FleetMeans,
-    FleetMode, GatewayMeans, GatewaySet, Gossip, GossipPeer, InFlightBand,
+    FleetMode, GatewayMeans, GatewaySet, Gossip, GossipPeer, InFlightBand, RankedGateway,
 };
 pub(crate) use quota::{
     CatchUp, CountedRequest, CounterAccount, CounterCall, CounterCalls, CounterEpoch, Customer,
     CustomerTable, Grant, OwnBucketCheck, PeerCount, QuotaDecision, QuotaExpectation, QuotaGrants,
-    QuotaRequests, QuotaRoute, QuotaState,
+    QuotaRequests, QuotaRoute, QuotaState, ReportedConsumption,
 };
 pub(crate) use request::{ActiveRequest, Attempt, AttemptRef, PendingAttempt, RequestTable, RetryBudget};
--- a/crates/admission/src/state/quota/customer_record.rs
+++ b/crates/admission/src/state/quota/customer_record.rs
@@ -59,7 +59,23 @@
     pub(crate) received_ms: f64,
 }
 
-/// What peers that reported lately have in flight for one customer.
+/// What a peer's report says of the units that it consumed of one customer's quota.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub(crate) enum ReportedConsumption {
+    /// The first report of this peer, or no plan is known here yet. It has only the fraction of the burst that
+    /// the peer sees in the quota.
+    Unknown {
+        /// That fraction, 0 to 1.
+        fill: f64,
+    },
+    /// Units consumed since the peer's last report.
+    Since {
+        /// The units; below 0 some were given back.
+        consumed_units: f64,
+    },
+}
+
+/// What peers that reported recently have in flight for one customer.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct PeerActivity {
     /// Attempts in flight, by their last reports.
@@ -195,10 +211,9 @@
         *self.reports.ceiling_transfers.entry(peer).or_insert(0.0) += units;
     }
 
-    /// Adds units of the ceiling that a peer gave, up to this gateway's even part of the burst: the sum of
-    /// all parts must not pass what the ceiling holds.
-    pub(crate) fn receive_ceiling(&mut self, plan: &PlanSettings, units: f64) {
-        self.ceiling.add(units, plan.ceiling_burst_units / self.gateways.len() as f64);
+    /// Adds units of the ceiling that a peer transferred, up to a limit.
+    pub(crate) fn receive_ceiling(&mut self, units: f64, max_units: f64) {
+        self.ceiling.add(units, max_units);
     }
 
     /// What peers reported to have in flight, by reports younger than the time-out.
@@ -210,38 +225,31 @@
         })
     }
 
-    /// Applies a peer's count, and keeps it to compare the next one with. `fill` is the fraction of the burst
-    /// that the peer sees in the quota.
-    pub(crate) fn apply_peer_count(
-        &mut self,
+    /// Lets time pass without adding tokens, while no plan is known that says how many.
+    pub(crate) fn skip_refill(&mut self, now_ms: f64) {
+        self.quota.skip_refill(now_ms);
+        self.ceiling.skip_refill(now_ms);
+    }
+
+    /// What a peer's count says of its consumption beyond its last count. `fill` is the fraction of the burst
+    /// that the peer sees in the quota. A peer that restarted counts from 0.
+    pub(crate) fn reported_consumption(
+        &self,
         peer: GatewayIndex,
-        count: PeerCount,
+        count: &PeerCount,
         fill: f64,
-        plan: Option<&PlanSettings>,
-        max_overdraft_units: f64,
-    ) {
-        let now_ms = count.received_ms;
-        match plan {
-            Some(plan) => self.refill(plan, now_ms),
-            None => {
-                self.quota.skip_refill(now_ms);
-                self.ceiling.skip_refill(now_ms);
-            }
-        }
-        let burst = plan.map_or(1.0, |p| p.burst_units);
-        let tokens = self.quota.tokens();
-        match self.reports.peers.get(&peer).filter(|_| plan.is_some()) {
-            Some(last) => {
-                // A peer that started anew counts from 0.
-                let same_start = last.incarnation == count.incarnation;
-                let earlier = if same_start { last.consumed } else { ConsumedUnits::default() };
-                let consumed = count.consumed.units_since(earlier);
-                self.quota.set((tokens - consumed).clamp(-max_overdraft_units, burst));
-            }
-            // The first count of this peer: its view of the quota is the best there is.
-            None => self.quota.set(tokens.min(fill * burst)),
-        }
-        self.last_used_ms = now_ms;
+    ) -> ReportedConsumption {
+        let last = self.reports.peers.get(&peer).filter(|_| self.plan.is_some());
+        let Some(last) = last else { return ReportedConsumption::Unknown { fill } };
+        let same_incarnation = last.incarnation == count.incarnation;
+        let earlier = if same_incarnation { last.consumed } else { ConsumedUnits::default() };
+        ReportedConsumption::Since { consumed_units: count.consumed.units_since(earlier) }
+    }
+
+    /// Records a peer's count, to compare the next one with, and the tokens that the quota has after it.
+    pub(crate) fn record_peer_count(&mut self, peer: GatewayIndex, count: PeerCount, quota_tokens: f64) {
+        self.quota.set(quota_tokens);
+        self.last_used_ms = count.received_ms;
         self.reports.peers.insert(peer, count);
     }
 
--- a/crates/admission/src/state/quota/customer_table.rs
+++ b/crates/admission/src/state/quota/customer_table.rs
@@ -1,5 +1,5 @@
 //! The customers that a gateway knows, and those of whom something is to be sent to peers.
-use crate::id::{CustomerTag, GatewayIndex, PlanIndex};
+use crate::id::{CustomerTag, GatewayIndex};
 use crate::settings::PlanSettings;
 use crate::state::Customer;
 use std::collections::{BTreeMap, BTreeSet};
@@ -92,12 +92,9 @@
         now_ms - self.evicted_ms
     }
 
-    /// Forgets customers that have nothing in flight and were not used for the time that `idle_limit_ms`
-    /// gives for their plan.
-    pub(crate) fn evict_idle(&mut self, now_ms: f64, idle_limit_ms: impl Fn(Option<PlanIndex>) -> f64) {
+    /// Evicts the customers for which `is_evicted` holds.
+    pub(crate) fn evict(&mut self, now_ms: f64, is_evicted: impl Fn(&Customer) -> bool) {
         self.evicted_ms = now_ms;
-        self.by_tag.retain(|_, customer| {
-            customer.in_flight() > 0 || customer.idle_ms(now_ms) < idle_limit_ms(customer.plan())
-        });
+        self.by_tag.retain(|_, customer| !is_evicted(customer));
     }
 }
--- a/crates/admission/src/state/quota/mod.rs
+++ b/crates/admission/src/state/quota/mod.rs
@@ -9,7 +9,7 @@
 pub(crate) use counter_account::{
     CatchUp, CountedRequest, CounterAccount, CounterCall, CounterCalls, CounterEpoch,
 };
-pub(crate) use customer_record::{Customer, PeerCount};
+pub(crate) use customer_record::{Customer, PeerCount, ReportedConsumption};
 pub(crate) use customer_table::CustomerTable;
 pub(crate) use grant_ledger::{Grant, QuotaGrants};
 pub(crate) use pending_quota_requests::{QuotaExpectation, QuotaRequests, QuotaRoute};
--- a/crates/admission/src/state/quota/pending_quota_requests.rs
+++ b/crates/admission/src/state/quota/pending_quota_requests.rs
@@ -7,13 +7,13 @@
 /// Who decides on a request's quota.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum QuotaRoute {
-    /// The owner is asked.
-    AskOwner,
-    /// This gateway decides alone, by what is to be expected of the customer.
+    /// The owner is sent a quota request.
+    ToOwner,
+    /// This gateway decides alone, by what is expected of the customer.
     DecideAlone(QuotaExpectation),
 }
 
-/// What is to be expected of a customer whose quota's owner cannot be asked.
+/// What is expected of a customer whose quota's owner cannot be reached.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum QuotaExpectation {
     /// It is most likely within its quota.
@@ -22,17 +22,6 @@
     Over,
 }
 
-impl QuotaExpectation {
-    /// `Within` where the condition holds.
-    pub(crate) fn within_if(condition: bool) -> Self {
-        if condition {
-            QuotaExpectation::Within
-        } else {
-            QuotaExpectation::Over
-        }
-    }
-}
-
 /// Quota requests that wait for a response, by their number.
 #[derive(Debug, Default)]
 pub(crate) struct QuotaRequests {
--- a/crates/admission/src/state/quota/quota_state.rs
+++ b/crates/admission/src/state/quota/quota_state.rs
@@ -8,7 +8,7 @@
     /// This gateway's own token bucket decides; nobody is asked.
     LocalBucket { within_quota: bool },
     /// The quota's owner was asked and has not answered.
-    AwaitingOwner { owner: GatewayIndex, number: QuotaRequestNumber, at_ms: f64, tries: u32 },
+    AwaitingOwner { owner: GatewayIndex, number: QuotaRequestNumber, at_ms: f64, retries: u32 },
     /// The owner keeps the request waiting until the customer has a free slot.
     QueuedAtOwner { owner: GatewayIndex, number: QuotaRequestNumber },
     /// The owner granted it. Where the quota is ample, the true units need not be reported.
--- /dev/null
+++ b/crates/admission/src/tests/quota_rules/message_bounds.rs
@@ -0,0 +1,62 @@
+//! The bounds of the figures that messages between gateways carry.
+use crate::id::{ClassIndex, PlanIndex};
+use crate::messages::observation_code::{Observation, ObservationKind};
+use crate::messages::quota_message::{
+    QuarterUnits, QuotaRelease, QuotaRequestNumber, SamplingFraction, WaitBudget,
+};
+
+/// What a receiver makes of an observation.
+fn received(kind: ObservationKind) -> ObservationKind {
+    let mut text = String::new();
+    Observation { endpoint: 7, kind }.encode(&mut text);
+    Observation::decode(&mut text.bytes()).expect("all digits are there").kind
+}
+
+/// Codes of classes end where those of plans begin. A failure of class 62 or beyond arrives as a rejection of a plan.
+#[test]
+fn classes_beyond_61_and_plans_beyond_95_have_no_code_of_their_own() {
+    let failed = |class| ObservationKind::Failed { class: ClassIndex(class) };
+    let rejected = |plan| ObservationKind::Rejected { plan: PlanIndex(plan) };
+    let cases = [
+        (failed(0), failed(0)),
+        (failed(61), failed(61)),
+        (failed(62), rejected(31)),
+        (failed(63), rejected(95)),
+        (failed(200), rejected(95)),
+        (rejected(0), rejected(0)),
+        (rejected(95), rejected(95)),
+        (rejected(96), rejected(95)),
+    ];
+    for (sent, expected) in cases {
+        assert_eq!(received(sent), expected, "{sent:?}");
+    }
+}
+
+#[test]
+fn sampling_fractions_are_63rds_above_zero_where_they_divide() {
+    assert_eq!(SamplingFraction::nearest(1.0), SamplingFraction::ALL);
+    assert_eq!(SamplingFraction::nearest_above_zero(0.001).fraction(), 1.0 / 63.0);
+    assert_eq!(SamplingFraction::at_most(0.999).fraction(), 62.0 / 63.0);
+    assert_eq!(SamplingFraction::nearest(0.0).extrapolate(2.0), 126.0);
+}
+
+#[test]
+fn wait_budgets_are_steps_of_16_ms_up_to_4095() {
+    let cases = [(-5.0, 0.0), (15.9, 0.0), (16.0, 16.0), (1e9, 65_520.0)];
+    for (ms, expected) in cases {
+        assert_eq!(WaitBudget::from_ms(ms).ms(), expected, "{ms}");
+    }
+}
+
+#[test]
+fn released_units_arrive_in_quarters_within_512() {
+    let cases = [(-600.0, -512.0), (-1.1, -1.0), (0.0, 0.0), (2.6, 2.5), (600.0, 511.75)];
+    for (units, expected) in cases {
+        let number = QuotaRequestNumber::default();
+        let release = QuotaRelease { customer: 5, number, additional_units: QuarterUnits::nearest(units) };
+        let mut text = String::new();
+        release.encode(&mut text);
+        let arrived = QuotaRelease::decode(&mut text.bytes()).expect("all digits are there");
+        assert_eq!(arrived.additional_units.units(), expected, "{units}");
+    }
+}
--- /dev/null
+++ b/crates/admission/src/tests/quota_rules/owner_rules.rs
@@ -0,0 +1,155 @@
+//! Gossip mode: who owns a quota, what the owner decides, and what a gateway does without a response.
+use super::{is_close, paying_plan, quota_plan};
+use crate::id::{CustomerTag, GatewayIndex};
+use crate::messages::quota_message::{QuotaVerdict, SamplingFraction};
+use crate::policy::quota_owner::ceiling_fraction::{ceiling_fraction_by_ranking, even_ceiling_fraction};
+use crate::policy::quota_owner::fallback_decision::{decide_without_owner, FallbackInput};
+use crate::policy::quota_owner::owner_sampling::{wanted_sampling_fraction, QuotaDemand};
+use crate::policy::quota_owner::owner_selection::{select_owner, suspected_until_ms};
+use crate::policy::quota_owner::owner_verdict::{
+    decide_quota_request, grant_lifetime_ms, verdict_to_send, OwnedQuota,
+};
+use crate::policy::quota_owner::quota_request_route::{
+    grant_useful_until_ms, may_retry_quota_request, response_wait_ms, route_quota_request, QuotaRouteInput,
+};
+use crate::settings::PlanSettings;
+use crate::state::{GatewaySet, QuotaExpectation, QuotaRoute, QuotaState, RankedGateway};
+
+#[test]
+fn verdict_goes_by_ceiling_then_quota_then_slots() {
+    let quota = quota_plan(10.0, 40.0);
+    let ceiling = PlanSettings { ceiling_rate_per_second: 5.0, ..paying_plan(10.0, 40.0) };
+    let slots = PlanSettings { open_limit: 3, ..quota_plan(0.0, 0.0) };
+    // Plan, quota tokens, ceiling tokens, granted and waiting requests; a request of 2 units.
+    let cases = [
+        (&quota, 2.0, 0.0, 9, 9, QuotaVerdict::Granted),
+        (&quota, 1.9, 0.0, 0, 0, QuotaVerdict::OverQuota),
+        (&paying_plan(10.0, 40.0), 1.9, 0.0, 0, 0, QuotaVerdict::OverQuotaAllowed),
+        (&ceiling, 2.0, 2.0, 0, 0, QuotaVerdict::Granted),
+        (&ceiling, 2.0, 1.9, 0, 0, QuotaVerdict::OverQuota),
+        (&ceiling, 1.9, 1.9, 0, 0, QuotaVerdict::OverQuota),
+        (&slots, 0.0, 0.0, 2, 0, QuotaVerdict::Granted),
+        (&slots, 0.0, 0.0, 3, 0, QuotaVerdict::Queued),
+        // Four requests may wait for each of the three slots.
+        (&slots, 0.0, 0.0, 3, 11, QuotaVerdict::Queued),
+        (&slots, 0.0, 0.0, 3, 12, QuotaVerdict::OverQuota),
+    ];
+    for (plan, quota_tokens, ceiling_tokens, granted_requests, waiting_requests, expected) in cases {
+        let owned = OwnedQuota { quota_tokens, ceiling_tokens, granted_requests, waiting_requests };
+        assert_eq!(decide_quota_request(plan, owned, 2.0), expected, "{plan:?} {owned:?}");
+    }
+}
+
+#[test]
+fn a_grant_is_ample_above_half_the_burst_of_a_plan_without_slots() {
+    let quota = quota_plan(10.0, 40.0);
+    let slots = PlanSettings { open_limit: 3, ..quota_plan(10.0, 40.0) };
+    let cases = [
+        (&quota, QuotaVerdict::Granted, 20.1, QuotaVerdict::GrantedAmple),
+        (&quota, QuotaVerdict::Granted, 20.0, QuotaVerdict::Granted),
+        (&slots, QuotaVerdict::Granted, 40.0, QuotaVerdict::Granted),
+        (&quota_plan(0.0, 40.0), QuotaVerdict::Granted, 40.0, QuotaVerdict::Granted),
+        (&quota, QuotaVerdict::Queued, 40.0, QuotaVerdict::Queued),
+    ];
+    for (plan, verdict, tokens_left, expected) in cases {
+        assert_eq!(verdict_to_send(plan, verdict, tokens_left), expected, "{verdict:?} {tokens_left}");
+    }
+}
+
+#[test]
+fn the_owner_wants_half_more_than_it_grants_within_a_twentieth_and_all() {
+    // Units requested and granted per second, of a rate of 4.
+    let cases = [(6.0, 4.0, 1.0), (12.0, 4.0, 0.5), (12.0, 0.0, 0.5), (12.0, 6.0, 0.75), (1000.0, 4.0, 0.05)];
+    for (requested_per_second, granted_per_second, expected) in cases {
+        let demand = QuotaDemand { requested_per_second, granted_per_second, plan_rate_per_second: 4.0 };
+        assert!(is_close(wanted_sampling_fraction(demand), expected), "{demand:?}");
+    }
+}
+
+#[test]
+fn the_first_in_the_ranking_that_is_not_suspected_owns_the_quota() {
+    let ranking =
+        || [(30, 5), (10, 6), (20, 7)].map(|(rank, n)| RankedGateway { rank, gateway: GatewayIndex(n) });
+    let me = GatewayIndex(9);
+    let owner = |suspected: &[usize]| select_owner(ranking().into_iter(), |g| suspected.contains(&g.0), me).0;
+    assert_eq!([owner(&[]), owner(&[6]), owner(&[6, 7]), owner(&[5, 6, 7])], [6, 7, 5, 9]);
+}
+
+/// Gateways that rank differently would each grant the customer's whole quota.
+#[test]
+fn the_ranking_names_one_owner_at_every_gateway() {
+    let (set, tag) = (GatewaySet::new(GatewayIndex(90), 20, 100), CustomerTag(7));
+    let owners = set.members().map(|me| select_owner(set.rendezvous_ranking(tag), |_| false, me));
+    let owners: Vec<GatewayIndex> = owners.collect();
+    assert!(owners.iter().all(|owner| *owner == owners[0]), "{owners:?}");
+    assert_eq!(set.ranking_position(tag, owners[0]), 0);
+}
+
+/// One lost datagram must not move a quota to another owner; a second missed response shows a silent gateway.
+#[test]
+fn a_gateway_is_suspected_for_2500_ms_from_the_second_missed_response_on() {
+    assert_eq!([1, 2, 3].map(|missed| suspected_until_ms(missed, 100.0)), [None, Some(2600.0), Some(2600.0)]);
+}
+
+#[test]
+fn a_quota_request_goes_to_the_owner_if_sampled_and_a_message_token_is_left() {
+    let (all, half) = (SamplingFraction::ALL, SamplingFraction::nearest(0.5));
+    let alone = QuotaRoute::DecideAlone;
+    // Owned here, retries, sampling, draw, message tokens.
+    let cases = [
+        (true, 0, half, 0.9, 0.0, QuotaRoute::ToOwner),
+        (false, 0, half, 0.4, 1.0, QuotaRoute::ToOwner),
+        (false, 0, half, 0.9, 1.0, alone(QuotaExpectation::Over)),
+        (false, 1, half, 0.9, 1.0, QuotaRoute::ToOwner),
+        (false, 0, half, 0.4, 0.9, alone(QuotaExpectation::Over)),
+        (false, 0, all, 0.9, 0.9, alone(QuotaExpectation::Within)),
+        (false, 0, all, 1.0, 1.0, QuotaRoute::ToOwner),
+    ];
+    for (owns_quota, retries, sampling, draw, message_tokens, expected) in cases {
+        let input = QuotaRouteInput { owns_quota, retries, sampling, draw, message_tokens };
+        assert_eq!(route_quota_request(input), expected, "{input:?}");
+    }
+}
+
+#[test]
+fn a_quota_request_is_retried_three_times_while_half_the_message_tokens_are_left() {
+    let cases = [(0, 21.1, true), (2, 21.1, true), (3, 21.1, false), (0, 21.0, false)];
+    for (retries, tokens, expected) in cases {
+        assert_eq!(may_retry_quota_request(retries, tokens, 42.0), expected, "{retries} {tokens}");
+    }
+}
+
+#[test]
+fn times_of_quota_requests_and_grants() {
+    // A tenth of the shortest objective, 60 ms at least.
+    assert_eq!([500.0, 600.0, 1000.0].map(response_wait_ms), [60.0, 60.0, 100.0]);
+    // 0.8 response times before the objective or the deadline.
+    assert!(is_close(grant_useful_until_ms(900.0, 2000.0, 50.0), 860.0));
+    assert!(is_close(grant_useful_until_ms(900.0, 700.0, 50.0), 660.0));
+    // As long as an attempt may take: two objectives.
+    assert_eq!(grant_lifetime_ms(1500.0), 3000.0);
+}
+
+#[test]
+fn without_the_owner_a_request_is_sent_only_where_nothing_speaks_against_it() {
+    let own_bucket = QuotaState::LocalBucket { within_quota: true };
+    let over_quota = QuotaState::OverQuota { within_ceiling: false };
+    let cases = [
+        (QuotaExpectation::Within, true, 0.0, own_bucket),
+        (QuotaExpectation::Over, true, 0.0, over_quota),
+        (QuotaExpectation::Within, false, 0.0, over_quota),
+        (QuotaExpectation::Within, true, 0.1, over_quota),
+    ];
+    for (expectation, band_is_ungated, ceiling_rate_per_second, expected) in cases {
+        let input = FallbackInput { expectation, band_is_ungated, ceiling_rate_per_second };
+        assert_eq!(decide_without_owner(input), expected, "{input:?}");
+    }
+}
+
+/// While a silent owner may still be alive, it and its successor both spend: together no more than the ceiling.
+#[test]
+fn ceiling_fractions_add_up_to_the_ceiling() {
+    assert_eq!(ceiling_fraction_by_ranking(1, 0), 1.0);
+    assert_eq!([0, 1, 2, 3].map(|position| ceiling_fraction_by_ranking(4, position)), [0.6, 0.4, 0.0, 0.0]);
+    assert_eq!([1, 4].map(even_ceiling_fraction), [1.0, 0.25]);
+}
--- /dev/null
+++ b/crates/admission/src/tests/quota_rules/retention_rules.rs
@@ -0,0 +1,33 @@
+//! How long idle customers are retained.
+use super::quota_plan;
+use crate::policy::customer_retention::{idle_limit_ms, is_evicted};
+use crate::settings::PlanSettings;
+
+/// An evicted customer comes back with a full quota; one with a ceiling would pass it.
+#[test]
+fn idle_customers_are_retained_until_their_quota_is_full_or_there_are_too_many() {
+    let slow = quota_plan(0.1, 10.0);
+    let fast = quota_plan(10.0, 40.0);
+    let ceiling = PlanSettings { ceiling_rate_per_second: 1.0, ..quota_plan(0.1, 10.0) };
+    // Plan, customers, limit: twice the time to fill, 30 s at least, 2 s beyond 50,000 customers.
+    let cases = [
+        (Some(&slow), 50_000, 200_000.0),
+        (Some(&fast), 1, 30_000.0),
+        (None, 1, 30_000.0),
+        (Some(&quota_plan(0.0, 40.0)), 1, 30_000.0),
+        (Some(&slow), 50_001, 2_000.0),
+        (None, 50_001, 2_000.0),
+        (Some(&ceiling), 50_001, 200_000.0),
+    ];
+    for (plan, customers, expected) in cases {
+        assert_eq!(idle_limit_ms(plan, customers), expected, "{plan:?} {customers}");
+    }
+}
+
+#[test]
+fn a_customer_with_attempts_in_flight_stays() {
+    let cases = [(0, 29_999.0, false), (0, 30_000.0, true), (1, 90_000.0, false)];
+    for (in_flight, idle_ms, expected) in cases {
+        assert_eq!(is_evicted(in_flight, idle_ms, 30_000.0), expected, "{in_flight} {idle_ms}");
+    }
+}
