--- a/crates/admission/src/coordination/count_reports.rs
+++ b/crates/admission/src/coordination/count_reports.rs
@@ -3,7 +3,8 @@
 use crate::gateway::Gateway;
 use crate::id::{CustomerTag, GatewayIndex};
 use crate::messages::counts_message::{
-    CeilingTransfer, ConsumedUnits, CountEntry, CountsMessage, QuotaFill, WatermarkOnWire, MAX_CUSTOMER_LEN,
+    CeilingRequest, CeilingTransfer, ConsumedUnits, CountEntry, CountsMessage, QuotaFill, WatermarkOnWire,
+    MAX_CUSTOMER_LEN,
 };
 use crate::policy::peer_messages::ceiling_transfer::{ceiling_transfer_units, max_ceiling_units};
 use crate::policy::peer_messages::count_merge::{quota_fill, quota_tokens_after_report};
@@ -43,7 +44,7 @@
                 message.counts.push(entry);
             }
             if customer.ceiling_requested() {
-                message.ceiling_requests.push(entry.tag);
+                message.ceiling_requests.push(CeilingRequest { tag: entry.tag });
             }
             if let Some(units) = customer.take_ceiling_transfer(peer) {
                 message.ceiling_transfers.push(CeilingTransfer::new(entry.tag, units));
@@ -121,8 +122,8 @@
         for entry in &message.counts {
             self.apply_count(from, message.incarnation, entry);
         }
-        for tag in &message.ceiling_requests {
-            self.on_ceiling_request(from, CustomerTag::from_short(*tag));
+        for request in &message.ceiling_requests {
+            self.on_ceiling_request(from, CustomerTag::from_short(request.tag));
         }
         for transfer in &message.ceiling_transfers {
             self.on_ceiling_transfer(transfer);
--- a/crates/admission/src/messages/base64_digits.rs
+++ b/crates/admission/src/messages/base64_digits.rs
@@ -4,18 +4,29 @@
 /// The digits in the order of their values.
 const DIGITS: &[u8; 64] = b"0123456789ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz-_";
 
-/// Bits that a digit holds.
+/// Bits of a number that one digit carries.
 const DIGIT_BITS: u32 = 6;
 
-/// Largest numbers that one digit and two digits hold.
-pub(crate) const MAX_ONE_DIGIT: u32 = 63;
-pub(crate) const MAX_TWO_DIGITS: u32 = 4095;
+/// The largest number that one digit carries.
+pub(crate) const MAX_ONE_DIGIT: u32 = max_value(1);
 
-/// Low bits of a 64-bit number that go into each of its last two parts, of five digits each. The first part
-/// has the four bits left, in one digit.
-const LONG_PART_BITS: u32 = 30;
-const LONG_PART_MASK: u64 = 0x3fff_ffff;
-const LONG_FIRST_MASK: u64 = 0xf;
+/// The largest number that two digits carry.
+pub(crate) const MAX_TWO_DIGITS: u32 = max_value(2);
+
+/// Low bits of a 64-bit number in each of its last two groups, of five digits each. The first group has the four
+/// bits left, in one digit.
+const GROUP_BITS: u32 = 30;
+
+/// Mask of the last two groups of a 64-bit number.
+const GROUP_MASK: u64 = 0x3fff_ffff;
+
+/// Mask of the first group of a 64-bit number.
+const FIRST_GROUP_MASK: u64 = 0xf;
+
+/// The largest number that so many digits carry; five digits at most.
+pub(crate) const fn max_value(digits: u32) -> u32 {
+    (1 << (DIGIT_BITS * digits)) - 1
+}
 
 /// Adds the low bits of a number as `digits` digits, the highest first.
 pub(crate) fn put(text: &mut String, value: u32, digits: u32) {
@@ -24,7 +35,12 @@
     }
 }
 
-/// Takes a number of `digits` digits; `None` where the text ends or holds anything else.
+/// Adds a number as `digits` digits; a larger one than they carry as the largest.
+pub(crate) fn put_at_most(text: &mut String, value: u32, digits: u32) {
+    put(text, value.min(max_value(digits)), digits);
+}
+
+/// Takes a number of `digits` digits; `None` where the text ends or has anything else.
 pub(crate) fn take(bytes: &mut Bytes<'_>, digits: u32) -> Option<u32> {
     let mut value = 0;
     for _ in 0..digits {
@@ -47,15 +63,15 @@
 
 /// Adds a 64-bit number as eleven digits.
 pub(crate) fn put_long(text: &mut String, value: u64) {
-    put(text, (value >> (2 * LONG_PART_BITS)) as u32, 1);
-    put(text, (value >> LONG_PART_BITS & LONG_PART_MASK) as u32, 5);
-    put(text, (value & LONG_PART_MASK) as u32, 5);
+    put(text, (value >> (2 * GROUP_BITS)) as u32, 1);
+    put(text, (value >> GROUP_BITS & GROUP_MASK) as u32, 5);
+    put(text, (value & GROUP_MASK) as u32, 5);
 }
 
-/// Takes a 64-bit number of eleven digits; `None` where the text ends or holds anything else.
+/// Takes a 64-bit number of eleven digits; `None` where the text ends or has anything else.
 pub(crate) fn take_long(bytes: &mut Bytes<'_>) -> Option<u64> {
-    let first = u64::from(take(bytes, 1)?) & LONG_FIRST_MASK;
+    let first = u64::from(take(bytes, 1)?) & FIRST_GROUP_MASK;
     let middle = u64::from(take(bytes, 5)?);
     let last = u64::from(take(bytes, 5)?);
-    Some(first << (2 * LONG_PART_BITS) | middle << LONG_PART_BITS | last)
+    Some(first << (2 * GROUP_BITS) | middle << GROUP_BITS | last)
 }
--- a/crates/admission/src/messages/counts_message.rs
+++ b/crates/admission/src/messages/counts_message.rs
@@ -1,27 +1,35 @@
-//! The counts message: what each gateway of a small fleet sends every other.
-use crate::messages::base64_digits::{put, take, MAX_ONE_DIGIT, MAX_TWO_DIGITS};
+//! The counts message: what each gateway sends every other in broadcast mode.
+use crate::messages::base64_digits::{put, put_at_most, take};
+use crate::messages::fixed_point::{FixedPoint, SixtyThirds};
+use crate::messages::message_entry::{put_entries, take_entry, take_version, MessageEntry};
+use std::str::Bytes;
 
 /// First character of every counts message.
-const VERSION: char = 'h';
+const VERSION: u8 = b'h';
 
-/// Bytes of the message's head, and of each entry with the character that marks it.
+/// Bytes of the message's head.
 const HEAD_LEN: usize = 10;
+
+/// Bytes of a count with its marker.
 const COUNT_LEN: usize = 10;
+
+/// Bytes of a ceiling request with its marker.
 const CEILING_REQUEST_LEN: usize = 5;
+
+/// Bytes of a ceiling transfer with its marker.
 const CEILING_TRANSFER_LEN: usize = 8;
 
-/// Bytes that all entries of one customer take at most.
+/// Bytes that all entries of one customer have at most.
 pub(crate) const MAX_CUSTOMER_LEN: usize = COUNT_LEN + CEILING_REQUEST_LEN + CEILING_TRANSFER_LEN;
 
-/// Sequence numbers have 12 bits.
+/// Mask of sequence numbers, which have 12 bits.
 pub(crate) const SEQUENCE_MASK: u32 = 0xfff;
 
-/// Consumed units are counted in quarters, of which the message has the low 18 bits.
-const QUARTERS: f64 = 4.0;
-const CONSUMED_MASK: u32 = 0x3_ffff;
+/// Steps of a unit, where units are counted in quarters.
+pub(crate) const QUARTERS_PER_UNIT: f64 = 4.0;
 
-/// Steps of the wire for a unit of watermark.
-const WATERMARK_STEPS: f64 = 16.0;
+/// Mask of the quarters consumed, of which the message carries the low 18 bits.
+const CONSUMED_MASK: u32 = 0x3_ffff;
 
 /// What a gateway reports of one customer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -30,13 +38,20 @@
     pub tag: u32,
     /// Units consumed since the sender's start.
     pub consumed: ConsumedUnits,
-    /// What the quota holds as the sender sees it.
+    /// The fraction of the burst that the sender sees in the quota.
     pub fill: QuotaFill,
-    /// Attempts the sender has in flight for the customer; the wire has 63 at most.
+    /// Attempts that the sender has in flight for the customer; the wire carries 63 at most.
     pub in_flight: u32,
 }
 
-/// Units of a hard ceiling that a gateway gives to another.
+/// Requests units of a customer's hard ceiling from the receiver.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(crate) struct CeilingRequest {
+    /// The customer's tag, 24 bits.
+    pub tag: u32,
+}
+
+/// Units of a customer's hard ceiling that the sender transfers to the receiver.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct CeilingTransfer {
     /// The customer's tag, 24 bits.
@@ -47,12 +62,12 @@
 impl CeilingTransfer {
     /// A transfer of units, rounded down to quarters: no more may arrive than was taken off.
     pub(crate) fn new(tag: u32, units: f64) -> Self {
-        CeilingTransfer { tag, quarter_units: (units * QUARTERS) as u32 }
+        CeilingTransfer { tag, quarter_units: (units * QUARTERS_PER_UNIT) as u32 }
     }
 
-    /// Units given.
+    /// Units transferred.
     pub(crate) fn units(&self) -> f64 {
-        f64::from(self.quarter_units) / QUARTERS
+        f64::from(self.quarter_units) / QUARTERS_PER_UNIT
     }
 }
 
@@ -63,13 +78,13 @@
 impl ConsumedUnits {
     /// The count of units consumed.
     pub(crate) fn new(units: f64) -> Self {
-        ConsumedUnits((units * QUARTERS).round() as i64 as u32 & CONSUMED_MASK)
+        ConsumedUnits((units * QUARTERS_PER_UNIT).round() as i64 as u32 & CONSUMED_MASK)
     }
 
     /// Units consumed since an earlier count. More than half the range means that some were given back.
     pub(crate) fn units_since(self, earlier: ConsumedUnits) -> f64 {
-        let range = f64::from(CONSUMED_MASK + 1) / QUARTERS;
-        let units = f64::from(self.0.wrapping_sub(earlier.0) & CONSUMED_MASK) / QUARTERS;
+        let range = f64::from(CONSUMED_MASK + 1) / QUARTERS_PER_UNIT;
+        let units = f64::from(self.0.wrapping_sub(earlier.0) & CONSUMED_MASK) / QUARTERS_PER_UNIT;
         if units >= range / 2.0 {
             units - range
         } else {
@@ -78,57 +93,44 @@
     }
 }
 
-/// What a quota holds, in 63rds of its burst.
+/// Tokens of a quota as a fraction of its burst, in 63rds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct QuotaFill(u32);
+pub(crate) struct QuotaFill(SixtyThirds);
 
 impl QuotaFill {
     /// The highest step that is not above a fraction of the burst.
     pub(crate) fn at_most(fraction: f64) -> Self {
-        QuotaFill((fraction.clamp(0.0, 1.0) * f64::from(MAX_ONE_DIGIT)) as u32)
+        QuotaFill(SixtyThirds::at_most(fraction))
     }
 
     /// The fraction of the burst.
     pub(crate) fn fraction(self) -> f64 {
-        f64::from(self.0) / f64::from(MAX_ONE_DIGIT)
+        self.0.figure()
     }
 }
 
-/// A message between gateways of a small fleet.
+/// A watermark in 16ths, as the message has it.
+pub(crate) type WatermarkOnWire = FixedPoint<16, 2>;
+
+/// A message between gateways in broadcast mode.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub(crate) struct CountsMessage {
-    /// Tells this start of the sender from earlier ones, 18 bits.
+    /// Distinguishes this start of the sender from earlier ones, 18 bits.
     pub incarnation: u32,
     /// The message's sequence number to this receiver, 12 bits.
     pub sequence: u32,
-    /// Attempts that the sender has in flight; the wire has 4095 at most.
+    /// Attempts that the sender has in flight; the wire carries 4095 at most.
     pub stock: u32,
     /// The sender's watermark.
     pub watermark: WatermarkOnWire,
     /// Customers that the sender consumed units of or has attempts in flight for.
     pub counts: Vec<CountEntry>,
-    /// Tags of customers of whose ceiling the sender requests units.
-    pub ceiling_requests: Vec<u32>,
-    /// Units of ceilings that the sender gives to the receiver.
+    /// Customers of whose ceiling the sender requests units.
+    pub ceiling_requests: Vec<CeilingRequest>,
+    /// Units of ceilings that the sender transfers to the receiver.
     pub ceiling_transfers: Vec<CeilingTransfer>,
 }
 
-/// A watermark in 16ths, as the message has it.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub(crate) struct WatermarkOnWire(u32);
-
-impl WatermarkOnWire {
-    /// The highest step that is not above a watermark.
-    pub(crate) fn at_most(watermark: f64) -> Self {
-        WatermarkOnWire((watermark * WATERMARK_STEPS) as u32)
-    }
-
-    /// The watermark.
-    pub(crate) fn watermark(self) -> f64 {
-        f64::from(self.0) / WATERMARK_STEPS
-    }
-}
-
 impl CountsMessage {
     /// Length of the text in bytes.
     pub(crate) fn len(&self) -> usize {
@@ -146,50 +148,33 @@
     /// The message as text.
     pub(crate) fn encode(&self) -> String {
         let mut text = String::with_capacity(self.len());
-        text.push(VERSION);
+        text.push(char::from(VERSION));
         put(&mut text, self.incarnation, 3);
         put(&mut text, self.sequence, 2);
-        put(&mut text, self.stock.min(MAX_TWO_DIGITS), 2);
-        put(&mut text, self.watermark.0.min(MAX_TWO_DIGITS), 2);
-        for count in &self.counts {
-            text.push('q');
-            put(&mut text, count.tag, 4);
-            put(&mut text, count.consumed.0, 3);
-            put(&mut text, count.fill.0.min(MAX_ONE_DIGIT), 1);
-            put(&mut text, count.in_flight.min(MAX_ONE_DIGIT), 1);
-        }
-        for tag in &self.ceiling_requests {
-            text.push('n');
-            put(&mut text, *tag, 4);
-        }
-        for transfer in &self.ceiling_transfers {
-            text.push('g');
-            put(&mut text, transfer.tag, 4);
-            put(&mut text, transfer.quarter_units, 3);
-        }
+        put_at_most(&mut text, self.stock, 2);
+        self.watermark.encode(&mut text);
+        put_entries(&mut text, &self.counts);
+        put_entries(&mut text, &self.ceiling_requests);
+        put_entries(&mut text, &self.ceiling_transfers);
         text
     }
 
     /// Reads a text; `None` where any of it is not of this format.
     pub(crate) fn decode(text: &str) -> Option<Self> {
         let mut bytes = text.bytes();
-        if bytes.next()? != VERSION as u8 {
-            return None;
-        }
+        take_version(&mut bytes, VERSION)?;
         let mut message = CountsMessage {
             incarnation: take(&mut bytes, 3)?,
             sequence: take(&mut bytes, 2)?,
             stock: take(&mut bytes, 2)?,
-            watermark: WatermarkOnWire(take(&mut bytes, 2)?),
+            watermark: WatermarkOnWire::decode(&mut bytes)?,
             ..CountsMessage::default()
         };
-        while let Some(kind) = bytes.next() {
-            match kind {
-                b'q' => message.counts.push(CountEntry::decode(&mut bytes)?),
-                b'n' => message.ceiling_requests.push(take(&mut bytes, 4)?),
-                b'g' => message
-                    .ceiling_transfers
-                    .push(CeilingTransfer { tag: take(&mut bytes, 4)?, quarter_units: take(&mut bytes, 3)? }),
+        while let Some(marker) = bytes.next() {
+            match marker {
+                CountEntry::MARKER => take_entry(&mut bytes, &mut message.counts)?,
+                CeilingRequest::MARKER => take_entry(&mut bytes, &mut message.ceiling_requests)?,
+                CeilingTransfer::MARKER => take_entry(&mut bytes, &mut message.ceiling_transfers)?,
                 _ => return None,
             }
         }
@@ -197,14 +182,47 @@
     }
 }
 
-impl CountEntry {
-    /// Reads a count from a message; `None` where its digits are not all there.
-    fn decode(bytes: &mut std::str::Bytes<'_>) -> Option<Self> {
+impl MessageEntry for CountEntry {
+    const MARKER: u8 = b'q';
+
+    fn encode(&self, text: &mut String) {
+        put(text, self.tag, 4);
+        put(text, self.consumed.0, 3);
+        self.fill.0.encode(text);
+        put_at_most(text, self.in_flight, 1);
+    }
+
+    fn decode(bytes: &mut Bytes<'_>) -> Option<Self> {
         Some(CountEntry {
             tag: take(bytes, 4)?,
             consumed: ConsumedUnits(take(bytes, 3)?),
-            fill: QuotaFill(take(bytes, 1)?),
+            fill: QuotaFill(SixtyThirds::decode(bytes)?),
             in_flight: take(bytes, 1)?,
         })
     }
 }
+
+impl MessageEntry for CeilingRequest {
+    const MARKER: u8 = b'n';
+
+    fn encode(&self, text: &mut String) {
+        put(text, self.tag, 4);
+    }
+
+    fn decode(bytes: &mut Bytes<'_>) -> Option<Self> {
+        Some(CeilingRequest { tag: take(bytes, 4)? })
+    }
+}
+
+impl MessageEntry for CeilingTransfer {
+    const MARKER: u8 = b'g';
+
+    fn encode(&self, text: &mut String) {
+        put(text, self.tag, 4);
+        put(text, self.quarter_units, 3);
+    }
+
+    fn decode(bytes: &mut Bytes<'_>) -> Option<Self> {
+        Some(CeilingTransfer { tag: take(bytes, 4)?, quarter_units: take(bytes, 3)? })
+    }
+}
--- a/crates/admission/src/messages/gossip_message.rs
+++ b/crates/admission/src/messages/gossip_message.rs
@@ -1,75 +1,93 @@
-//! The gossip message: fleet-wide means, observations of endpoints, and quota requests, responses and
-//! releases.
-use crate::messages::base64_digits::{put, take, MAX_TWO_DIGITS};
+//! The gossip message: means over the fleet, observations of endpoints, and quota requests, responses and releases.
+use crate::messages::fixed_point::FixedPoint;
+use crate::messages::message_entry::{put_entries, take_entry, take_version, MessageEntry};
 use crate::messages::observation_code::Observation;
 use crate::messages::quota_message::{QuotaRelease, QuotaRequest, QuotaResponse};
+use std::str::Bytes;
 
 /// First character of every gossip message.
-const VERSION: char = 'w';
+const VERSION: u8 = b'w';
 
-/// Steps of the wire for an attempt in flight, a unit of watermark, and a response a second.
-const STOCK_STEPS: f64 = 64.0;
-const WATERMARK_STEPS: f64 = 32.0;
-const RATE_STEPS: f64 = 32.0;
+/// Bytes that the text of a message is given space for at first: enough for one quota message.
+const USUAL_LEN: usize = 64;
 
-/// A message between gateways of a large fleet.
+/// A message between gateways in gossip mode.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub(crate) struct GossipMessage {
-    /// Fleet-wide means as the sender has them.
+    /// Means over the fleet as the sender has them.
     pub means: MeansOnWire,
     /// Quota requests to the receiver as the owner of the quotas.
     pub requests: Vec<QuotaRequest>,
     /// Responses to the receiver's quota requests.
     pub responses: Vec<QuotaResponse>,
-    /// Requests that the receiver had granted or kept waiting and that have ended.
+    /// Requests that the receiver granted or queued and that have ended.
     pub releases: Vec<QuotaRelease>,
     /// What the sender observed of endpoints.
     pub observations: Vec<Observation>,
 }
 
-/// Fleet-wide means of one gateway, in the steps of the wire.
+/// Means over the fleet of one gateway's figures, in the steps of the wire.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub(crate) struct MeansOnWire {
-    stock: u32,
-    watermark: u32,
-    rate: u32,
+    /// Attempts in flight.
+    stock: FixedPoint<64, 2>,
+    /// The watermark.
+    watermark: FixedPoint<32, 2>,
+    /// Good responses per second.
+    rate: FixedPoint<32, 2>,
 }
 
 impl MeansOnWire {
-    /// Means of a gateway's attempts in flight, its watermark, and its good responses a second.
+    /// Means of a gateway's attempts in flight, its watermark, and its good responses per second.
     pub(crate) fn new(stock: f64, watermark: f64, responses_per_second: f64) -> Self {
         MeansOnWire {
-            stock: (stock * STOCK_STEPS).round() as u32,
-            watermark: (watermark * WATERMARK_STEPS).round() as u32,
-            rate: (responses_per_second * RATE_STEPS).round() as u32,
+            stock: FixedPoint::nearest(stock),
+            watermark: FixedPoint::nearest(watermark),
+            rate: FixedPoint::nearest(responses_per_second),
         }
     }
 
     /// Mean attempts in flight of a gateway.
     pub(crate) fn stock(&self) -> f64 {
-        f64::from(self.stock) / STOCK_STEPS
+        self.stock.figure()
     }
 
     /// Mean watermark.
     pub(crate) fn watermark(&self) -> f64 {
-        f64::from(self.watermark) / WATERMARK_STEPS
+        self.watermark.figure()
     }
 
-    /// Mean good responses of a gateway a second.
+    /// Mean good responses of a gateway per second.
     pub(crate) fn responses_per_second(&self) -> f64 {
-        f64::from(self.rate) / RATE_STEPS
+        self.rate.figure()
     }
 
     /// Adds the means' digits to a message.
     fn encode(&self, text: &mut String) {
-        put(text, self.stock.min(MAX_TWO_DIGITS), 2);
-        put(text, self.watermark.min(MAX_TWO_DIGITS), 2);
-        put(text, self.rate.min(MAX_TWO_DIGITS), 2);
+        self.stock.encode(text);
+        self.watermark.encode(text);
+        self.rate.encode(text);
     }
 
     /// Reads the means from a message; `None` where their digits are not all there.
-    fn decode(bytes: &mut std::str::Bytes<'_>) -> Option<Self> {
-        Some(MeansOnWire { stock: take(bytes, 2)?, watermark: take(bytes, 2)?, rate: take(bytes, 2)? })
+    fn decode(bytes: &mut Bytes<'_>) -> Option<Self> {
+        Some(MeansOnWire {
+            stock: FixedPoint::decode(bytes)?,
+            watermark: FixedPoint::decode(bytes)?,
+            rate: FixedPoint::decode(bytes)?,
+        })
+    }
+}
+
+impl MessageEntry for Observation {
+    const MARKER: u8 = b's';
+
+    fn encode(&self, text: &mut String) {
+        Observation::encode(self, text);
+    }
+
+    fn decode(bytes: &mut Bytes<'_>) -> Option<Self> {
+        Observation::decode(bytes)
     }
 }
 
@@ -91,42 +109,28 @@
 
     /// The message as text.
     pub(crate) fn encode(&self) -> String {
-        let mut text = String::with_capacity(64);
-        text.push(VERSION);
+        let mut text = String::with_capacity(USUAL_LEN);
+        text.push(char::from(VERSION));
         self.means.encode(&mut text);
-        for request in &self.requests {
-            text.push('a');
-            request.encode(&mut text);
-        }
-        for response in &self.responses {
-            text.push('r');
-            response.encode(&mut text);
-        }
-        for release in &self.releases {
-            text.push('e');
-            release.encode(&mut text);
-        }
-        for observation in &self.observations {
-            text.push('s');
-            observation.encode(&mut text);
-        }
+        put_entries(&mut text, &self.requests);
+        put_entries(&mut text, &self.responses);
+        put_entries(&mut text, &self.releases);
+        put_entries(&mut text, &self.observations);
         text
     }
 
     /// Reads a text; `None` where any of it is not of this format.
     pub(crate) fn decode(text: &str) -> Option<Self> {
         let mut bytes = text.bytes();
-        if bytes.next()? != VERSION as u8 {
-            return None;
-        }
-        let mut message =
-            GossipMessage { means: MeansOnWire::decode(&mut bytes)?, ..GossipMessage::default() };
-        while let Some(kind) = bytes.next() {
-            match kind {
-                b'a' => message.requests.push(QuotaRequest::decode(&mut bytes)?),
-                b'r' => message.responses.push(QuotaResponse::decode(&mut bytes)?),
-                b'e' => message.releases.push(QuotaRelease::decode(&mut bytes)?),
-                b's' => message.observations.push(Observation::decode(&mut bytes)?),
+        take_version(&mut bytes, VERSION)?;
+        let means = MeansOnWire::decode(&mut bytes)?;
+        let mut message = GossipMessage { means, ..GossipMessage::default() };
+        while let Some(marker) = bytes.next() {
+            match marker {
+                QuotaRequest::MARKER => take_entry(&mut bytes, &mut message.requests)?,
+                QuotaResponse::MARKER => take_entry(&mut bytes, &mut message.responses)?,
+                QuotaRelease::MARKER => take_entry(&mut bytes, &mut message.releases)?,
+                Observation::MARKER => take_entry(&mut bytes, &mut message.observations)?,
                 _ => return None,
             }
         }
--- a/crates/admission/src/messages/quota_message.rs
+++ b/crates/admission/src/messages/quota_message.rs
@@ -1,8 +1,11 @@
 //! Quota requests, responses and releases: what passes between the owner of a customer's quota and the other
 //! gateways that the customer's requests come through.
-use crate::messages::base64_digits::{put, put_long, take, take_long, MAX_ONE_DIGIT, MAX_TWO_DIGITS};
+use crate::messages::base64_digits::{put, put_at_most, put_long, take, take_long, MAX_TWO_DIGITS};
+use crate::messages::fixed_point::SixtyThirds;
+use crate::messages::message_entry::MessageEntry;
+use std::str::Bytes;
 
-/// Asks the owner of a customer's quota whether a request may be sent.
+/// Requests from the owner of a customer's quota that a request may be sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct QuotaRequest {
     /// The customer's full id.
@@ -13,13 +16,13 @@
     pub units: u32,
     /// Number of the first gateway that the customer's requests come through.
     pub first_gateway: u32,
-    /// How many gateways these are; the rest follow the first, counted round.
+    /// How many gateways these are. The others follow the first, and gateway 0 follows the last of the fleet.
     pub gateways: u32,
     /// The quota request's number at its sender.
     pub number: QuotaRequestNumber,
     /// How long a response is of use.
     pub wait_budget: WaitBudget,
-    /// Fraction of such requests that the sender asks about.
+    /// Fraction of such requests for which the sender sends quota requests.
     pub sampling_fraction: SamplingFraction,
 }
 
@@ -30,18 +33,18 @@
     pub number: QuotaRequestNumber,
     /// What was decided.
     pub verdict: QuotaVerdict,
-    /// Fraction of such requests that the owner wants to be asked about.
+    /// Fraction of such requests for which the owner wants quota requests.
     pub sampling_fraction: SamplingFraction,
 }
 
-/// Tells the owner of a customer's quota that a request it granted or kept waiting has ended.
+/// Notifies the owner of a customer's quota that a request it granted or queued has ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct QuotaRelease {
     /// The customer's full id.
     pub customer: u64,
     /// Number of the quota request.
     pub number: QuotaRequestNumber,
-    /// What the request took beyond the units granted; below 0 gives some back.
+    /// What the request consumed beyond the units granted; below 0 some are given back.
     pub additional_units: QuarterUnits,
 }
 
@@ -52,9 +55,9 @@
     Granted,
     /// Within the quota, which is so full that the true units need not be reported.
     GrantedAmple,
-    /// Within the quota, but all the customer's slots are taken: the request waits at the owner.
+    /// Within the quota, but all the customer's slots are taken: the request is queued at the owner.
     Queued,
-    /// Over the quota, but plan and ceiling let it go where there is room.
+    /// Over the quota, but plan and ceiling allow it while there is capacity.
     OverQuotaAllowed,
     /// Over the quota or the ceiling.
     OverQuota,
@@ -84,7 +87,7 @@
     }
 }
 
-/// A quota request's number at its sender. It has the 12 bits of the wire, and begins again at 0 after them.
+/// A quota request's number at its sender. It has the 12 bits of the wire, and restarts at 0 after them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub(crate) struct QuotaRequestNumber(u32);
 
@@ -100,42 +103,43 @@
     }
 
     /// Reads a number from a message; `None` where its digits are not all there.
-    fn decode(bytes: &mut std::str::Bytes<'_>) -> Option<Self> {
+    fn decode(bytes: &mut Bytes<'_>) -> Option<Self> {
         take(bytes, 2).map(QuotaRequestNumber)
     }
 }
 
-/// A fraction of requests, in 63rds as one digit holds them.
+/// A fraction of requests, in 63rds as one digit carries them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct SamplingFraction(u32);
+pub(crate) struct SamplingFraction(SixtyThirds);
 
 impl SamplingFraction {
     /// All requests.
-    pub(crate) const ALL: Self = SamplingFraction(MAX_ONE_DIGIT);
+    pub(crate) const ALL: Self = SamplingFraction(SixtyThirds::ONE);
 
     /// The nearest 63rd to a fraction of 0 to 1.
     pub(crate) fn nearest(fraction: f64) -> Self {
-        SamplingFraction((fraction * f64::from(MAX_ONE_DIGIT)).round() as u32)
+        SamplingFraction(SixtyThirds::nearest(fraction))
     }
 
     /// The nearest 63rd to a fraction of 0 to 1, but one at least.
     pub(crate) fn nearest_above_zero(fraction: f64) -> Self {
-        SamplingFraction(Self::nearest(fraction).0.max(1))
+        SamplingFraction(SixtyThirds::nearest(fraction).max(SixtyThirds::ONE_STEP))
     }
 
     /// The highest 63rd that is not above a fraction of 0 to 1.
     pub(crate) fn at_most(fraction: f64) -> Self {
-        SamplingFraction((fraction * f64::from(MAX_ONE_DIGIT)) as u32)
+        SamplingFraction(SixtyThirds::at_most(fraction))
     }
 
     /// The fraction, 0 to 1.
     pub(crate) fn fraction(self) -> f64 {
-        f64::from(self.0.min(MAX_ONE_DIGIT)) / f64::from(MAX_ONE_DIGIT)
+        self.0.figure()
     }
 
     /// Units of all requests, where the requests of the fraction have `units`.
     pub(crate) fn extrapolate(self, units: f64) -> f64 {
-        units * f64::from(MAX_ONE_DIGIT) / f64::from(self.0.clamp(1, MAX_ONE_DIGIT))
+        let sampled = self.0.max(SixtyThirds::ONE_STEP);
+        units * f64::from(SixtyThirds::ONE.steps()) / f64::from(sampled.steps())
     }
 }
 
@@ -144,28 +148,35 @@
 pub(crate) struct WaitBudget(u32);
 
 impl WaitBudget {
+    /// Length of a step in ms.
     const STEP_MS: f64 = 16.0;
 
     /// The most steps that fit into a span.
     pub(crate) fn from_ms(ms: f64) -> Self {
-        WaitBudget((ms.max(0.0) / Self::STEP_MS) as u32)
+        let steps = (ms.max(0.0) / Self::STEP_MS) as u32;
+        WaitBudget(steps.min(MAX_TWO_DIGITS))
     }
 
     /// The span.
     pub(crate) fn ms(self) -> f64 {
-        Self::STEP_MS * f64::from(self.0).min(f64::from(MAX_TWO_DIGITS))
+        Self::STEP_MS * f64::from(self.0)
     }
 }
 
-/// Units in steps of a quarter; the wire holds -512 to 511.75.
+/// Units in steps of a quarter; the wire carries -512 to 511.75.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct QuarterUnits(i32);
 
 impl QuarterUnits {
+    /// Steps of a unit.
     const STEPS: f64 = 4.0;
+
     /// Added on the wire, which has no sign.
     const OFFSET: i32 = 2048;
 
+    /// The most steps that the wire carries.
+    const MAX_ON_WIRE: i32 = MAX_TWO_DIGITS as i32 - Self::OFFSET;
+
     /// The nearest step.
     pub(crate) fn nearest(units: f64) -> Self {
         QuarterUnits((units * Self::STEPS).round() as i32)
@@ -177,21 +188,21 @@
     }
 }
 
-impl QuotaRequest {
-    /// Adds the request's digits to a message.
-    pub(crate) fn encode(&self, text: &mut String) {
+impl MessageEntry for QuotaRequest {
+    const MARKER: u8 = b'a';
+
+    fn encode(&self, text: &mut String) {
         put_long(text, self.customer);
-        put(text, self.plan.min(MAX_ONE_DIGIT), 1);
-        put(text, self.units.min(MAX_ONE_DIGIT), 1);
-        put(text, self.first_gateway.min(MAX_TWO_DIGITS), 2);
-        put(text, self.gateways.min(MAX_TWO_DIGITS), 2);
+        put_at_most(text, self.plan, 1);
+        put_at_most(text, self.units, 1);
+        put_at_most(text, self.first_gateway, 2);
+        put_at_most(text, self.gateways, 2);
         self.number.encode(text);
-        put(text, self.wait_budget.0.min(MAX_TWO_DIGITS), 2);
-        put(text, self.sampling_fraction.0.min(MAX_ONE_DIGIT), 1);
+        put_at_most(text, self.wait_budget.0, 2);
+        self.sampling_fraction.0.encode(text);
     }
 
-    /// Reads a request from a message; `None` where its digits are not all there.
-    pub(crate) fn decode(bytes: &mut std::str::Bytes<'_>) -> Option<Self> {
+    fn decode(bytes: &mut Bytes<'_>) -> Option<Self> {
         Some(QuotaRequest {
             customer: take_long(bytes)?,
             plan: take(bytes, 1)?,
@@ -200,41 +211,40 @@
             gateways: take(bytes, 2)?,
             number: QuotaRequestNumber::decode(bytes)?,
             wait_budget: WaitBudget(take(bytes, 2)?),
-            sampling_fraction: SamplingFraction(take(bytes, 1)?),
+            sampling_fraction: SamplingFraction(SixtyThirds::decode(bytes)?),
         })
     }
 }
 
-impl QuotaResponse {
-    /// Adds the response's digits to a message.
-    pub(crate) fn encode(&self, text: &mut String) {
+impl MessageEntry for QuotaResponse {
+    const MARKER: u8 = b'r';
+
+    fn encode(&self, text: &mut String) {
         self.number.encode(text);
         put(text, self.verdict.code(), 1);
-        put(text, self.sampling_fraction.0.min(MAX_ONE_DIGIT), 1);
+        self.sampling_fraction.0.encode(text);
     }
 
-    /// Reads a response from a message; `None` where its digits are not all there.
-    pub(crate) fn decode(bytes: &mut std::str::Bytes<'_>) -> Option<Self> {
+    fn decode(bytes: &mut Bytes<'_>) -> Option<Self> {
         Some(QuotaResponse {
             number: QuotaRequestNumber::decode(bytes)?,
             verdict: QuotaVerdict::from_code(take(bytes, 1)?),
-            sampling_fraction: SamplingFraction(take(bytes, 1)?),
+            sampling_fraction: SamplingFraction(SixtyThirds::decode(bytes)?),
         })
     }
 }
 
-impl QuotaRelease {
-    /// Adds the release's digits to a message.
-    pub(crate) fn encode(&self, text: &mut String) {
+impl MessageEntry for QuotaRelease {
+    const MARKER: u8 = b'e';
+
+    fn encode(&self, text: &mut String) {
         put_long(text, self.customer);
         self.number.encode(text);
-        let max = MAX_TWO_DIGITS as i32 - QuarterUnits::OFFSET;
-        let quarters = self.additional_units.0.clamp(-QuarterUnits::OFFSET, max);
+        let quarters = self.additional_units.0.clamp(-QuarterUnits::OFFSET, QuarterUnits::MAX_ON_WIRE);
         put(text, (quarters + QuarterUnits::OFFSET) as u32, 2);
     }
 
-    /// Reads a release from a message; `None` where its digits are not all there.
-    pub(crate) fn decode(bytes: &mut std::str::Bytes<'_>) -> Option<Self> {
+    fn decode(bytes: &mut Bytes<'_>) -> Option<Self> {
         Some(QuotaRelease {
             customer: take_long(bytes)?,
             number: QuotaRequestNumber::decode(bytes)?,
--- a/crates/admission/src/state/fleet/peer_record.rs
+++ b/crates/admission/src/state/fleet/peer_record.rs
@@ -76,7 +76,7 @@
         self.incarnation = Some(message.incarnation);
         self.sequence = message.sequence;
         self.stock = message.stock;
-        self.watermark = message.watermark.watermark();
+        self.watermark = message.watermark.figure();
         self.received_ms = now_ms;
         true
     }
--- a/crates/admission/src/tests/quota_rules/message_bounds.rs
+++ b/crates/admission/src/tests/quota_rules/message_bounds.rs
@@ -1,5 +1,9 @@
 //! The bounds of the figures that messages between gateways carry.
 use crate::id::{ClassIndex, PlanIndex};
+use crate::messages::counts_message::{
+    CeilingRequest, CeilingTransfer, ConsumedUnits, CountEntry, CountsMessage, QuotaFill, WatermarkOnWire,
+};
+use crate::messages::message_entry::MessageEntry;
 use crate::messages::observation_code::{Observation, ObservationKind};
 use crate::messages::quota_message::{
     QuarterUnits, QuotaRelease, QuotaRequestNumber, SamplingFraction, WaitBudget,
@@ -60,3 +64,28 @@
         assert_eq!(arrived.additional_units.units(), expected, "{units}");
     }
 }
+
+/// Figures beyond what their digits carry count as the largest, and units transferred are rounded down.
+#[test]
+fn a_counts_message_has_this_text() {
+    let message = CountsMessage {
+        incarnation: 1,
+        sequence: 2,
+        stock: 5000,
+        watermark: WatermarkOnWire::at_most(2.5),
+        counts: vec![CountEntry {
+            tag: 1,
+            consumed: ConsumedUnits::new(1.25),
+            fill: QuotaFill::at_most(0.5),
+            in_flight: 70,
+        }],
+        ceiling_requests: vec![CeilingRequest { tag: 2 }],
+        ceiling_transfers: vec![CeilingTransfer::new(3, 1.3)],
+    };
+    let text = "h00102__0eq0001005V_n0002g0003005";
+    assert_eq!(message.encode(), text);
+    assert_eq!(message.len(), text.len());
+    let received = CountsMessage::decode(text).expect("it is of this format");
+    assert_eq!((received.stock, received.counts[0].in_flight), (4095, 63));
+    assert_eq!((received.watermark.figure(), received.ceiling_transfers[0].units()), (2.5, 1.25));
+}
