--- a/crates/gateway/src/discovery/watch.rs
+++ b/crates/gateway/src/discovery/watch.rs
@@ -1,8 +1,9 @@
-//! The watch that keeps the endpoint list current: one call after another over one connection to discovery,
-//! each held back by discovery until something changes or the wait is over.
+//! The watch that keeps the endpoint list current by long polling: one call after another over one
+//! connection, to each of which discovery responds when something changes or the call's wait is over.
 use super::endpoint_list::EndpointList;
 use super::error::{CallError, DiscoveryError};
 use super::lease_expiry::report_lease_expiry;
+use super::list_revision::{ListCall, ListRevision};
 use super::observer::EndpointListObserver;
 use super::refresh_policy::RefreshPolicy;
 use super::refresh_schedule::{CallPosition, RefreshSchedule};
@@ -21,15 +22,16 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout, timeout_at, Instant};
 
-/// The longest list that is read, in bytes.
+/// The maximum size of a list, in bytes.
 const MAX_LIST_BYTES: usize = 4 << 20;
 
-/// Keeps the endpoint list current, for good; `addr` is discovery's, which a reload may change.
+/// Keeps the endpoint list current and never returns. `addr` is discovery's address, which a reload may
+/// change.
 ///
-/// Where lists are asked for, the watch starts from `known_revision`, so that discovery has only changes to
-/// write. It starts again with the whole list after an outage, at a new address and, where lists are pushed,
-/// on each connection. A list that is asked for is on a lease: when that runs out, nothing may be sent until
-/// discovery has answered.
+/// Where lists are polled, the watch starts from `known_revision`, so that discovery writes the changes
+/// only. It restarts with the complete list after an outage, at a new address and, where lists are pushed,
+/// on each connection. A polled list is on a lease: when that runs out, nothing may be sent until discovery
+/// has responded.
 pub(crate) async fn watch_endpoint_list<O: EndpointListObserver + Clone + 'static>(
     observer: O,
     mut addr: watch::Receiver<SocketAddr>,
@@ -39,8 +41,8 @@
 ) {
     let schedule = RefreshSchedule::new(policy, seed, Instant::now());
     let (lease_end, lease_ends) = watch::channel(Instant::now());
-    let mut list_watch =
-        EndpointListWatch { observer, revision: known_revision, schedule, lease_end, is_healthy: true };
+    let revision = ListRevision(known_revision);
+    let mut list_watch = EndpointListWatch { observer, revision, schedule, lease_end, is_healthy: true };
     list_watch.publish_lease();
     if policy.lease_duration.is_some() {
         let observer = list_watch.observer.clone();
@@ -48,27 +50,33 @@
     }
     loop {
         let current = *addr.borrow_and_update();
-        // A new address ends a call and a pause alike: the old discovery may never answer again.
-        let has_moved = tokio::select! {
+        // A new address ends a call and a pause alike, because the old discovery may never respond again.
+        // What is lost with them: the connection, and a list that was only partly read. The new address
+        // starts with the complete list, and each change of the lease is published before the next wait, so
+        // neither is missed.
+        let address_changed = tokio::select! {
             () = list_watch.follow_until_error(current) => false,
             Ok(()) = addr.changed() => true,
         };
-        if has_moved {
+        if address_changed {
             list_watch.on_address_change();
         }
     }
 }
 
 fn on_lease_expired(observer: &impl EndpointListObserver) {
-    tracing::error!(target: target::DISCOVERY, "endpoint list expired; nothing is sent until discovery answers");
+    tracing::error!(
+        target: target::DISCOVERY,
+        "endpoint list expired; nothing is sent until discovery answers"
+    );
     observer.lease_expired();
 }
 
 /// The state of the watch.
 struct EndpointListWatch<O> {
     observer: O,
-    /// The version to ask for changes from; none where the whole list is wanted.
-    revision: Option<u64>,
+    /// The revision of the cached list.
+    revision: ListRevision,
     schedule: RefreshSchedule,
     /// When the lease runs out, for the task that reports it.
     lease_end: watch::Sender<Instant>,
@@ -76,10 +84,10 @@
     is_healthy: bool,
 }
 
-/// A list and how late it was.
+/// A list and its delay.
 struct ListResponse {
     list: EndpointList,
-    /// The time it took beyond the wait that was asked for.
+    /// The time it took beyond the wait that was requested.
     delay: Duration,
 }
 
@@ -87,16 +95,13 @@
     /// Follows discovery at one address until that fails, then pauses.
     async fn follow_until_error(&mut self, addr: SocketAddr) {
         let Err::<Infallible, DiscoveryError>(error) = self.follow(addr).await;
-        // Discovery that refuses calls is overloaded: asking for changes only costs it less.
-        if !matches!(error, DiscoveryError::Refused) {
-            self.revision = None;
-        }
+        self.revision.reset_after(&error);
         if std::mem::take(&mut self.is_healthy) {
             tracing::warn!(
                 target: target::DISCOVERY,
                 discovery = %addr,
                 reason = %ErrorChain(&error),
-                "discovery failed; the last endpoint list is kept"
+                "discovery failed; the cached endpoint list stays in use"
             );
         }
         let pause = self.schedule.on_error(&error, Instant::now());
@@ -105,7 +110,7 @@
     }
 
     fn on_address_change(&mut self) {
-        self.revision = None;
+        self.revision.reset();
         self.schedule.on_address_change(Instant::now());
         self.publish_lease();
     }
@@ -119,14 +124,15 @@
 
     /// Calls discovery at one address over one connection until that fails.
     async fn follow(&mut self, addr: SocketAddr) -> Result<Infallible, DiscoveryError> {
-        let whole_list_first = self.schedule.policy().whole_list_first;
-        if whole_list_first {
-            self.revision = None;
+        let complete_list_first = self.schedule.policy().complete_list_first;
+        if complete_list_first {
+            self.revision.reset();
         }
         let started = Instant::now();
         let mut connection = self.connect(addr, started).await?;
-        // Where lists are pushed, the connection and the first call over it share one timeout.
-        let called = if whole_list_first { started } else { Instant::now() };
+        // Where lists are pushed, the connection and the first call over it have one timeout together.
+        let called = if complete_list_first { started } else { Instant::now() };
+        // A first call that fails shows that something was reached, which an interrupted watch does not.
         let first = self.call(&mut connection, addr, CallPosition::First, called).await;
         let mut response = first.map_err(|error| match error {
             DiscoveryError::WatchInterrupted(cause) => DiscoveryError::NoList(cause),
@@ -146,15 +152,10 @@
             .map_err(|error| unreachable(CallError::ConnectFailed(error)))
     }
 
-    /// Takes a list in and reports it.
+    /// Renews the lease by a list and passes the list to the observer.
     fn accept(&mut self, response: ListResponse, addr: SocketAddr) -> Result<(), DiscoveryError> {
         let ListResponse { list, delay } = response;
-        // A response older than the version asked from was overtaken, or versions have begun anew. Its
-        // changes may be to another list than the known one, so only the whole list helps.
-        if self.revision.is_some_and(|known| list.revision < known) {
-            return Err(DiscoveryError::WatchInterrupted(CallError::RevisionWentBack));
-        }
-        self.revision = Some(list.revision);
+        self.revision.advance(list.revision)?;
         self.schedule.on_list(delay, Instant::now());
         self.publish_lease();
         if !std::mem::replace(&mut self.is_healthy, true) {
@@ -164,13 +165,13 @@
                 "discovery answers again; endpoint list current"
             );
         }
-        let kind = if list.is_whole { ListKind::Whole } else { ListKind::Changes };
+        let kind = if list.is_complete { ListKind::Whole } else { ListKind::Changes };
         self.observer.list_received(kind, list);
         Ok(())
     }
 
-    /// Makes one call, for what is newer than the known version or for the whole list. Its timeout runs from
-    /// `started`.
+    /// Makes one call, for the changes since the cached revision or for the complete list. Its timeout runs
+    /// from `started`.
     async fn call(
         &self,
         connection: &mut HttpConnection,
@@ -179,12 +180,7 @@
         started: Instant,
     ) -> Result<ListResponse, DiscoveryError> {
         let times = self.schedule.call_times(position, started);
-        let (path, wait) = match self.revision {
-            Some(revision) => {
-                (format!("/v1/servers?after={revision}&wait_ms={}", times.wait.as_millis()), times.wait)
-            }
-            None => ("/v1/servers".to_string(), Duration::ZERO),
-        };
+        let ListCall { path, wait } = self.revision.next_call(times.wait);
         let request = Request::get(path).header(HOST, addr.to_string()).body(Full::new(Bytes::new()));
         let request = request.map_err(|error| DiscoveryError::WatchInterrupted(error.into()))?;
         let deadline = started + wait + times.response_timeout;
@@ -200,7 +196,7 @@
 fn parse_list(response: &Response<Bytes>) -> Result<EndpointList, DiscoveryError> {
     match response.status() {
         StatusCode::OK => {}
-        StatusCode::SERVICE_UNAVAILABLE => return Err(DiscoveryError::Refused),
+        StatusCode::SERVICE_UNAVAILABLE => return Err(DiscoveryError::Rejected),
         other => return Err(DiscoveryError::NoList(CallError::UnexpectedStatus(other))),
     }
     serde_json::from_slice(response.body()).map_err(|error| DiscoveryError::NoList(error.into()))
--- a/crates/gateway/src/dispatcher/active_call.rs
+++ b/crates/gateway/src/dispatcher/active_call.rs
@@ -1,5 +1,5 @@
 //! The state of an active call: the channel for its response, and its attempts.
-use crate::clock::duration_from_ms;
+use super::call_deadlines::CallDeadlines;
 use crate::upstream::{AttemptResult, UpstreamRequest};
 use bytes::Bytes;
 use hyper::Response;
@@ -13,7 +13,7 @@
 pub(crate) enum FinalResponse {
     /// An endpoint's response.
     Served(Response<Bytes>),
-    /// The call was rejected and never processed, so that a retry is safe.
+    /// The call was rejected and never processed, so that the client's retry does no harm.
     Rejected {
         /// How long the client should wait before a retry.
         retry_after_ms: Option<f64>,
@@ -52,22 +52,22 @@
     /// `None` once the call has its response or its client has disconnected.
     responder: Option<Responder>,
     pub(super) request: Rc<UpstreamRequest>,
-    deadline: Instant,
+    deadlines: CallDeadlines,
     /// Indexed in the order sent; `None` if the attempt has ended.
     attempts: Vec<Option<Attempt>>,
 }
 
 impl ActiveCall {
-    /// Creates a call without attempts that must have its response by `deadline`.
+    /// Creates a call without attempts.
     pub(super) fn new(
         responder: oneshot::Sender<FinalResponse>,
         request: UpstreamRequest,
-        deadline: Instant,
+        deadlines: CallDeadlines,
     ) -> Self {
         ActiveCall {
             responder: Some(Responder(responder)),
             request: Rc::new(request),
-            deadline,
+            deadlines,
             attempts: Vec::new(),
         }
     }
@@ -102,18 +102,15 @@
         self.attempts.push(attempt);
     }
 
-    /// Takes an attempt that ends now, or returns `None` if it ended before.
+    /// Takes an attempt that ends now, or returns `None` if it ended before. So each attempt's end is
+    /// reported once, whether its response or its cancellation comes first.
     pub(super) fn take_attempt(&mut self, index: usize) -> Option<Attempt> {
         self.attempts.get_mut(index)?.take()
     }
 
-    /// The deadline of an attempt. With a timeout of 0 it is the deadline of the call.
+    /// When an attempt that is sent at `sent_at` times out; see [`CallDeadlines::attempt_deadline`].
     pub(super) fn attempt_deadline(&self, sent_at: Instant, timeout_ms: f64) -> Instant {
-        if timeout_ms == 0.0 {
-            self.deadline
-        } else {
-            self.deadline.min(sent_at + duration_from_ms(timeout_ms))
-        }
+        self.deadlines.attempt_deadline(sent_at, timeout_ms)
     }
 }
 
--- a/crates/gateway/src/dispatcher/mod.rs
+++ b/crates/gateway/src/dispatcher/mod.rs
@@ -1,15 +1,18 @@
-//! Connects the decision library to the sockets. The dispatcher is the only owner of the library's `Gateway`:
-//! it passes events to it, carries out its actions in order, and holds the active calls with their attempts.
+//! Connects the decision library to the sockets. The dispatcher is the only owner of the library's
+//! `Gateway`: it passes events to it, carries out its actions in order, and owns the active calls with
+//! their attempts.
 mod actions;
 mod active_call;
+mod call_deadlines;
 #[cfg(test)]
 mod tests;
 mod timers;
 
 pub(crate) use self::active_call::FinalResponse;
 use self::active_call::{ActiveCall, EndedAttempt};
+use self::call_deadlines::{response_without_result, CallDeadlines};
 use self::timers::{Due, Rearm, TimerQueue};
-use crate::clock::{duration_from_ms, Clock};
+use crate::clock::Clock;
 use crate::discovery::{EndpointList, EndpointListObserver};
 use crate::peers::{PeerMessageHandler, Peers};
 use crate::quota_counter::QuotaCounter;
@@ -23,10 +26,6 @@
 use tokio::sync::{oneshot, Notify};
 use tokio::time::Instant;
 
-/// How long before a request's deadline the dispatcher responds itself. The decision library normally
-/// responds sooner; this guarantees that every request gets a response, whatever the library does.
-const RESPONSE_GUARD_MS: f64 = 5.0;
-
 /// The state that events change.
 struct State {
     gateway: Gateway,
@@ -93,8 +92,8 @@
 
     /// Starts a call and returns the channel that its final response arrives on.
     ///
-    /// Returns `None` if a call with the same id is active: executing the same request twice could have its
-    /// effect twice.
+    /// Returns `None` if a call with the same id is active: it may be the same request, which could then
+    /// have its effect twice.
     pub(crate) fn on_request(
         self: &Rc<Self>,
         request: Request,
@@ -106,10 +105,9 @@
             if state.calls.contains_key(&request.id) {
                 return None;
             }
-            let deadline = Instant::now() + duration_from_ms(request.time_left_ms);
-            let guard = Instant::now() + duration_from_ms(request.time_left_ms - RESPONSE_GUARD_MS);
-            state.calls.insert(request.id, ActiveCall::new(sender, upstream_request, deadline));
-            self.schedule(&mut state, guard, Due::ResponseGuard(request.id));
+            let deadlines = CallDeadlines::new(Instant::now(), request.time_left_ms);
+            state.calls.insert(request.id, ActiveCall::new(sender, upstream_request, deadlines));
+            self.schedule(&mut state, deadlines.guard(), Due::DeadlineGuard(request.id));
         }
         self.on_event(Event::Request(request));
         Some(receiver)
@@ -124,10 +122,10 @@
         }
     }
 
-    /// Gives every active call its final response, because the process is about to end.
+    /// Sends every active call its final response, because the process is about to end.
     pub(crate) fn respond_to_all(self: &Rc<Self>) {
         let open: Vec<RequestId> = self.state.borrow().calls.keys().copied().collect();
-        open.into_iter().for_each(|request| self.give_up(request));
+        open.into_iter().for_each(|request| self.end_without_result(request));
     }
 
     /// Whether a call still waits for its response.
@@ -141,18 +139,16 @@
         }
     }
 
-    /// Responds to a call that still waits for its response. It is rejected only if nothing was ever sent.
-    fn give_up(self: &Rc<Self>, request: RequestId) {
+    /// Responds to a call that still waits for its response: rejects it if no attempt was ever sent, else
+    /// it failed.
+    fn end_without_result(self: &Rc<Self>, request: RequestId) {
         let (responder, was_attempted) = {
             let mut state = self.state.borrow_mut();
             let Some(call) = state.calls.get_mut(&request) else { return };
             let Some(responder) = call.take_responder() else { return };
             (responder, call.was_attempted())
         };
-        responder.respond(match was_attempted {
-            true => FinalResponse::Failed,
-            false => FinalResponse::Rejected { retry_after_ms: None },
-        });
+        responder.respond(response_without_result(was_attempted));
         self.on_event(Event::ClientGone { request });
         self.forget_if_over(request);
     }
--- a/crates/gateway/src/downstream/connection_table.rs
+++ b/crates/gateway/src/downstream/connection_table.rs
@@ -1,18 +1,13 @@
-//! The open connections of clients, and which of them makes room for a new one.
+//! The open connections of clients, and which of them is evicted for a new one.
 use super::connection::{Connection, ConnectionStage};
+use super::eviction_order::EvictionRank;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
-use std::time::Duration;
 use tokio::sync::Notify;
+use tokio::time::Instant;
 
-/// A usual client writes its first request as soon as it is connected: one that has been silent for so long
-/// is the first to make room.
-const MIN_SILENCE: Duration = Duration::from_millis(20);
-/// A connection that has served may be closed once it has been idle for so long.
-const MIN_IDLE: Duration = Duration::from_secs(2);
-
-/// A connection's number, in the order of their coming.
+/// A connection's number, in the order of their accepts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct ConnectionId(u64);
 
@@ -24,13 +19,13 @@
     connection_ended: Notify,
 }
 
-/// Whether a connection could be closed to make room for another.
+/// Whether a connection could be evicted for another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Eviction {
-    /// One was told to close.
+    /// One was notified to close.
     Evicted,
     /// All carry requests.
-    NoneFree,
+    AllActive,
 }
 
 impl ConnectionTable {
@@ -53,46 +48,42 @@
         self.connection_ended.notify_one();
     }
 
-    /// Asks the connections that have had a request to close once they have answered what they have taken.
+    /// Has the connections that have had a request close after the response to the one in progress.
     pub(super) fn request_close_of_used(&self) {
         let connections = self.connections.borrow();
         let used = connections.values().filter(|c| c.stage() != ConnectionStage::AwaitingFirstRequest);
         used.for_each(|connection| connection.request_close());
     }
 
-    /// Asks all connections to close once they have answered what they have taken.
+    /// Has all connections close after the response to the request in progress.
     pub(super) fn request_close_of_all(&self) {
         self.connections.borrow().values().for_each(|connection| connection.request_close());
     }
 
-    /// Waits until no connection is open. For one waiter only.
+    /// Waits until no connection is open. Only one task may wait at a time.
+    ///
+    /// Cancel safe: the table is looked at before each wait, so that a connection that ended meanwhile
+    /// counts.
     pub(super) async fn all_ended(&self) {
         while !self.connections.borrow().is_empty() {
             self.connection_ended.notified().await;
         }
     }
 
-    /// Makes room for a new connection: closes one that connected and stays silent, else one that has served
-    /// and stood idle for long, else whichever has carried no request for longest.
+    /// Evicts the connection that is the first in the eviction order, if any carries no request.
     pub(super) fn evict_one(&self) -> Eviction {
         let connections = self.connections.borrow();
-        let order = |connection: &Connection| {
-            let min_age = match connection.stage() {
-                ConnectionStage::AwaitingFirstRequest => MIN_SILENCE,
-                _ => MIN_IDLE,
-            };
-            let is_recent = connection.stage_since().elapsed() < min_age;
-            (is_recent, connection.stage(), connection.stage_since())
-        };
-        let carries_no_request = |connection: &&Rc<Connection>| {
-            matches!(connection.stage(), ConnectionStage::AwaitingFirstRequest | ConnectionStage::Idle)
+        let now = Instant::now();
+        let rank = |connection: &Connection| {
+            EvictionRank::new(connection.stage(), now.saturating_duration_since(connection.stage_since()))
         };
-        match connections.values().filter(carries_no_request).min_by_key(|connection| order(connection)) {
-            Some(connection) => {
+        let ranked = connections.values().filter_map(|connection| Some((rank(connection)?, connection)));
+        match ranked.min_by_key(|(rank, _)| *rank) {
+            Some((_, connection)) => {
                 connection.evict();
                 Eviction::Evicted
             }
-            None => Eviction::NoneFree,
+            None => Eviction::AllActive,
         }
     }
 }
--- a/crates/gateway/src/upstream/mod.rs
+++ b/crates/gateway/src/upstream/mod.rs
@@ -1,5 +1,6 @@
 //! The upstream side: the endpoints, the pool of connections to them, and single attempts to serve a request.
 mod attempt;
+mod outcomes;
 mod pool;
 mod request;
 mod reuse_delay;
@@ -10,5 +11,5 @@
 pub(crate) use self::pool::{UpstreamPool, IDLE_CHECK_INTERVAL};
 pub(crate) use self::request::UpstreamRequest;
 
-/// The maximum size of a request's or response's body.
+/// The maximum size of a request's or response's body, in bytes.
 pub(crate) const MAX_BODY_BYTES: usize = 64 * 1024;
