--- a/crates/admission/src/coordination/gossip_exchange.rs
+++ b/crates/admission/src/coordination/gossip_exchange.rs
@@ -3,8 +3,8 @@
 use crate::gateway::Gateway;
 use crate::id::GatewayIndex;
 use crate::messages::gossip_message::{GossipMessage, MeansOnWire};
+use crate::policy::band::watermark::MAX_WATERMARK;
 use crate::policy::coordination::{mean_attempt_age_ms, MEAN_GAIN, MEAN_GAIN_PER_SECOND, RECEIVED_MEAN_GAIN};
-use crate::policy::in_flight_band::MAX_WATERMARK;
 use crate::policy::quota_owner::{max_quota_messages, quota_messages_per_second, QUOTA_RATE_SPAN_S};
 use crate::state::{peer_indices, GatewayMeans};
 
--- a/crates/admission/src/lifecycle/attempts.rs
+++ b/crates/admission/src/lifecycle/attempts.rs
@@ -3,9 +3,9 @@
 use crate::event::{AttemptEnd, Outcome};
 use crate::gateway::Gateway;
 use crate::id::{EndpointId, RequestId};
+use crate::policy::band::dispatch_credit::MAX_CREDIT_OVERDRAFT;
 use crate::policy::coordination::REPORT_ROUNDS;
 use crate::policy::dispatch::{ATTEMPT_TIMEOUT_OBJECTIVES, MIN_ATTEMPT_TIMEOUT_MS};
-use crate::policy::in_flight_band::MAX_CREDIT_OVERDRAFT;
 use crate::policy::retry::{MAX_RETRY_TOKENS, RETRY_TOKENS_PER_REQUEST};
 use crate::state::{AttemptRef, InFlightAttempt};
 
--- /dev/null
+++ b/crates/admission/src/lifecycle/band_control.rs
@@ -0,0 +1,135 @@
+//! How the in-flight band follows the stock: its position for a request, saturation, the watermark's steps, and the
+//! refill of dispatch credit.
+use crate::gateway::Gateway;
+use crate::id::RequestId;
+use crate::policy::band::band_bounds::{is_saturated_in_broadcast_mode, position_in_broadcast_mode};
+use crate::policy::band::counted_endpoints::{
+    is_counted_in_broadcast_mode, is_counted_in_large_fleet, EndpointCondition,
+};
+use crate::policy::band::dispatch_credit::{
+    credit_refill, credit_required, position_in_large_fleet, LargeFleetBand,
+};
+use crate::policy::band::watermark::{
+    watermark_floor_in_broadcast_mode, watermark_floor_in_large_fleet, watermark_step_in_broadcast_mode,
+    watermark_step_in_large_fleet, watermark_step_is_due, WatermarkInput, MAX_WATERMARK,
+};
+use crate::policy::coordination::PEER_TIMEOUT_MS;
+use crate::state::{Band, BandLoad, BandPosition, Endpoint, FleetMode};
+
+impl Gateway {
+    /// The watermark that the band starts with and never falls below.
+    pub(crate) fn watermark_floor(&self) -> f64 {
+        match self.coordination.fleet_mode() {
+            FleetMode::Broadcast => watermark_floor_in_broadcast_mode(),
+            FleetMode::LargeFleet => watermark_floor_in_large_fleet(),
+        }
+    }
+
+    /// The endpoints that the band counts, and this gateway's attempts in flight at them. While most endpoints
+    /// seem to have failed, all count.
+    pub(crate) fn band_load(&self) -> BandLoad {
+        let mode = self.coordination.fleet_mode();
+        let is_correlated_failure = self.outliers.is_correlated_failure();
+        let counted = |endpoint: &&Endpoint| is_correlated_failure || self.is_counted(endpoint, mode);
+        let endpoints = self.endpoints.iter().filter(counted);
+        BandLoad::sum(endpoints.map(|endpoint| (endpoint, self.send_fraction(endpoint))))
+    }
+
+    /// Whether the band counts an endpoint's work.
+    fn is_counted(&self, endpoint: &Endpoint, mode: FleetMode) -> bool {
+        let now_ms = self.clock.now_ms();
+        let condition = EndpointCondition {
+            is_gone: endpoint.is_gone(),
+            consecutive_failures: endpoint.health.consecutive_failures(),
+            is_ejected: endpoint.health.is_ejected(now_ms),
+            is_any_class_ejected: endpoint.observed.is_any_class_ejected(now_ms),
+            stall_ratio: self.stall_ratio(endpoint),
+        };
+        match mode {
+            FleetMode::Broadcast => is_counted_in_broadcast_mode(&condition),
+            FleetMode::LargeFleet => {
+                let is_unresponsive = self.is_unresponsive(endpoint);
+                let slowness = self.kind_deviation(endpoint).excess;
+                is_counted_in_large_fleet(&condition, is_unresponsive, slowness)
+            }
+        }
+    }
+
+    /// The band by the counts that gateways report to each other.
+    fn reported_band(&self) -> Band {
+        let live = self.coordination.live_peers(self.clock.now_ms(), PEER_TIMEOUT_MS);
+        Band::from_reports(self.band_load(), self.band.watermark(), live)
+    }
+
+    /// The band of a large fleet, by gossip.
+    fn gossip_band(&self) -> LargeFleetBand {
+        LargeFleetBand {
+            mean_stock: self.fleet_means.received().stock,
+            gateways: self.settings.gateways,
+            watermark: self.band.watermark(),
+            ready_capacity: self.band.ready_capacity(),
+        }
+    }
+
+    /// Whether a large fleet's stock is so low that requests are sent without credit.
+    pub(crate) fn band_is_ungated(&self) -> bool {
+        self.gossip_band().is_ungated()
+    }
+
+    /// Whether the stock permits this request to be sent.
+    pub(crate) fn band_position(&self, id: RequestId) -> BandPosition {
+        match self.coordination.fleet_mode() {
+            FleetMode::Broadcast => position_in_broadcast_mode(&self.reported_band()),
+            FleetMode::LargeFleet => position_in_large_fleet(
+                &self.gossip_band(),
+                self.band.dispatch_credit(),
+                self.credit_required(id),
+            ),
+        }
+    }
+
+    /// Dispatch credit that a request requires.
+    fn credit_required(&self, id: RequestId) -> f64 {
+        let lowest = self.settings.lowest_priority_weight();
+        let active = self.requests.get(id);
+        let own = active.map_or(lowest, |a| self.settings.class(a.request.class).priority_weight);
+        credit_required(own, lowest)
+    }
+
+    /// Adds the dispatch credit of some seconds.
+    pub(crate) fn refill_dispatch_credit(&mut self, seconds: f64) {
+        let refill = credit_refill(&self.gossip_band(), self.latency.mean_response_ms(), seconds);
+        self.band.add_dispatch_credit(refill.amount, refill.limit);
+    }
+
+    /// Records whether the endpoints are saturated.
+    pub(crate) fn measure_saturation(&mut self) {
+        let is_saturated = match self.coordination.fleet_mode() {
+            FleetMode::Broadcast => is_saturated_in_broadcast_mode(&self.reported_band()),
+            FleetMode::LargeFleet => self.gossip_band().is_saturated(),
+        };
+        self.band.set_saturated(is_saturated);
+    }
+
+    /// Moves the watermark, where a step is due.
+    pub(crate) fn step_watermark(&mut self) {
+        let now_ms = self.clock.now_ms();
+        let shortest_objective_ms = self.settings.shortest_objective_ms();
+        if !watermark_step_is_due(self.band.since_step_ms(now_ms), shortest_objective_ms) {
+            return;
+        }
+        let input = WatermarkInput {
+            response_fraction: self.latency.objective_fraction(),
+            typical_age_ms: self.latency.typical_age_ms(),
+            shortest_objective_ms,
+            was_blocked: self.band.begin_step(now_ms),
+        };
+        let step = match self.coordination.fleet_mode() {
+            FleetMode::Broadcast => watermark_step_in_broadcast_mode(&input),
+            FleetMode::LargeFleet => watermark_step_in_large_fleet(&input, &self.gossip_band()),
+        };
+        if let Some(factor) = step.factor() {
+            self.band.scale_watermark(factor, self.watermark_floor(), MAX_WATERMARK);
+        }
+    }
+}
--- a/crates/admission/src/lifecycle/mod.rs
+++ b/crates/admission/src/lifecycle/mod.rs
@@ -2,6 +2,7 @@
 //!
 //! What is decided, and by which figures, stands in `policy`.
 mod attempts;
+mod band_control;
 mod customers;
 mod endpoints;
 mod requests;
--- a/crates/admission/src/policy/mod.rs
+++ b/crates/admission/src/policy/mod.rs
@@ -1,9 +1,9 @@
 //! Every decision and the figures it goes by, one file for each.
 pub(crate) mod admission;
+pub(crate) mod band;
 pub(crate) mod coordination;
 pub(crate) mod dispatch;
 pub(crate) mod endpoint_selection;
-pub(crate) mod in_flight_band;
 pub(crate) mod outlier_detection;
 pub(crate) mod quota_counter;
 pub(crate) mod quota_owner;
--- a/crates/admission/src/policy/outlier_detection.rs
+++ b/crates/admission/src/policy/outlier_detection.rs
@@ -12,9 +12,6 @@
 const FAILED_RESPONSE_TIMES: f64 = 3.0;
 const TYPICAL_AGE_FACTOR: f64 = 1.5;
 
-/// Stall ratio from which an endpoint's work leaves the stock.
-pub(crate) const HUNG_STALL_RATIO: f64 = 2.0;
-
 /// Part of the endpoints that must be healthy for an outlier to be at fault itself: else the cause is shared.
 pub(crate) const MIN_HEALTHY_FRACTION: f64 = 0.25;
 
@@ -37,7 +34,7 @@
 
 /// Relative response time over that of its kind from which an endpoint gets less: all gateways learn the
 /// same, and small differences would send them all to the same few.
-pub(crate) const CLEARLY_SLOW: f64 = 1.6;
+const CLEARLY_SLOW: f64 = 1.6;
 
 /// The usual relative response time of a kind counts as this at least.
 const MIN_KIND_BASELINE: f64 = 0.1;
--- a/crates/admission/src/startup.rs
+++ b/crates/admission/src/startup.rs
@@ -1,8 +1,8 @@
 //! The start of a gateway from its settings.
 use crate::gateway::Gateway;
 use crate::mechanism::splitmix64::{mix, SplitMix64};
+use crate::policy::band::dispatch_credit::INITIAL_DISPATCH_CREDIT;
 use crate::policy::coordination::broadcast_reaches_all;
-use crate::policy::in_flight_band::INITIAL_DISPATCH_CREDIT;
 use crate::policy::outlier_detection::{
     INITIAL_OBJECTIVE_FRACTION, LATENCY_GAINS, RESPONSE_TIME_HALF_LIFE_MS,
 };
--- /dev/null
+++ b/crates/admission/src/tests/load_rules/band_position_rules.rs
@@ -0,0 +1,77 @@
+//! Where the stock lies against the band, in both modes.
+use crate::policy::band::band_bounds::{is_saturated_in_broadcast_mode, position_in_broadcast_mode};
+use crate::policy::band::dispatch_credit::{
+    credit_refill, credit_required, position_in_large_fleet, CreditRefill, LargeFleetBand,
+};
+use crate::state::Band;
+
+/// Two gateways, and a band from 90 to 110 around 100 attempts: 45 at its lower bound for each gateway.
+fn reported_band(own: f64, stock: f64) -> Band {
+    Band { own, stock, middle: 100.0, gateways: 2.0 }
+}
+
+/// 10 gateways and 25 endpoints at a watermark of 4: a middle of 100 attempts, 10 for each gateway.
+fn gossip_band(stock: f64) -> LargeFleetBand {
+    LargeFleetBand { mean_stock: stock / 10.0, gateways: 10, watermark: 4.0, ready_capacity: 25.0 }
+}
+
+#[test]
+fn broadcast_mode_compares_the_stock_with_both_bounds_above_the_even_quota() {
+    let cases = [
+        (60.0, 89.0, (true, true)),
+        (60.0, 91.0, (false, true)),
+        (60.0, 109.0, (false, true)),
+        (60.0, 111.0, (false, false)),
+        (44.0, 500.0, (true, true)),
+        (45.0, 500.0, (false, false)),
+    ];
+    for (own, stock, expected) in cases {
+        let position = position_in_broadcast_mode(&reported_band(own, stock));
+        assert_eq!((position.under_lower, position.under_upper), expected, "{own} of {stock} in flight");
+    }
+}
+
+#[test]
+fn endpoints_are_saturated_beyond_half_of_the_middle() {
+    for (stock, saturated) in [(50.0, false), (51.0, true)] {
+        assert_eq!(is_saturated_in_broadcast_mode(&reported_band(0.0, stock)), saturated, "{stock}");
+        assert_eq!(gossip_band(stock).is_saturated(), saturated, "{stock} by gossip");
+    }
+}
+
+#[test]
+fn large_fleet_requires_credit_from_six_tenths_of_the_middle_on() {
+    let cases = [(59.0, 0.0, true), (61.0, 0.9, false), (61.0, 1.0, true)];
+    for (stock, credit, may_send) in cases {
+        let position = position_in_large_fleet(&gossip_band(stock), credit, 1.0);
+        assert_eq!((position.under_lower, position.under_upper), (may_send, may_send), "{stock}, {credit}");
+    }
+    assert!(gossip_band(61.0).is_gated() && !gossip_band(59.0).is_gated());
+}
+
+#[test]
+fn fill_of_a_band_without_capacity_is_finite() {
+    let band = LargeFleetBand { ready_capacity: 0.0, ..gossip_band(30.0) };
+    assert_eq!(band.fill(), 30.0, "a middle below one attempt counts as one");
+}
+
+#[test]
+fn credit_required_falls_with_the_priority_weight() {
+    for (weight, required) in [(1.0, 1.0), (3.0, 0.0), (0.0, 1.0)] {
+        let credit = credit_required(weight, 1.0);
+        assert!((credit - required).abs() < 1e-9, "{credit} for weight {weight}");
+    }
+    assert!((credit_required(1e12, 1.0) + 0.5).abs() < 1e-9, "half a credit may be overdrawn at most");
+}
+
+#[test]
+fn credit_refills_by_the_even_quota_faster_while_the_stock_is_low() {
+    // 10 attempts at a mean response time of 500 ms are 20 requests a second.
+    for (stock, requests_per_second) in [(0.0, 60.0), (100.0, 20.0), (120.0, 12.0), (1000.0, 6.0)] {
+        let refill = credit_refill(&gossip_band(stock), 500.0, 2.0);
+        assert!((refill.amount - 2.0 * requests_per_second).abs() < 1e-9, "{refill:?} at {stock}");
+        assert_eq!(refill.limit, 10.0);
+    }
+    let band = LargeFleetBand { ready_capacity: 1.0, ..gossip_band(4.0) };
+    assert_eq!(credit_refill(&band, 400.0, 1.0), CreditRefill { amount: 1.0, limit: 1.0 });
+}
--- /dev/null
+++ b/crates/admission/src/tests/load_rules/counted_endpoint_rules.rs
@@ -0,0 +1,37 @@
+//! Which endpoints' work the band counts.
+use crate::policy::band::counted_endpoints::{
+    is_counted_in_broadcast_mode, is_counted_in_large_fleet, EndpointCondition,
+};
+
+const HEALTHY: EndpointCondition = EndpointCondition {
+    is_gone: false,
+    consecutive_failures: 0,
+    is_ejected: false,
+    is_any_class_ejected: false,
+    stall_ratio: 2.0,
+};
+
+#[test]
+fn both_modes_leave_out_the_work_of_endpoints_that_failed() {
+    let cases = [
+        (HEALTHY, true),
+        (EndpointCondition { is_gone: true, ..HEALTHY }, false),
+        (EndpointCondition { consecutive_failures: 1, is_ejected: true, ..HEALTHY }, false),
+        // It paused after an overload response, or its ejection has ended.
+        (EndpointCondition { is_ejected: true, ..HEALTHY }, true),
+        (EndpointCondition { consecutive_failures: 1, ..HEALTHY }, true),
+        (EndpointCondition { is_any_class_ejected: true, ..HEALTHY }, false),
+        (EndpointCondition { stall_ratio: 2.1, ..HEALTHY }, false),
+    ];
+    for (condition, counted) in cases {
+        assert_eq!(is_counted_in_broadcast_mode(&condition), counted, "{condition:?}");
+        assert_eq!(is_counted_in_large_fleet(&condition, false, 1.0), counted, "{condition:?}");
+    }
+}
+
+#[test]
+fn large_fleet_leaves_out_the_work_of_unresponsive_and_far_slower_endpoints() {
+    assert!(is_counted_in_large_fleet(&HEALTHY, false, 1.6));
+    assert!(!is_counted_in_large_fleet(&HEALTHY, false, 1.7));
+    assert!(!is_counted_in_large_fleet(&HEALTHY, true, 1.0));
+}
