--- a/crates/admission/src/lifecycle/attempts.rs
+++ b/crates/admission/src/lifecycle/attempts.rs
@@ -3,9 +3,9 @@
 use crate::event::{AttemptEnd, Outcome};
 use crate::gateway::Gateway;
 use crate::id::{EndpointId, RequestId};
+use crate::policy::attempt_timeout::attempt_timeout_ms;
 use crate::policy::band::dispatch_credit::MAX_CREDIT_OVERDRAFT;
 use crate::policy::coordination::REPORT_ROUNDS;
-use crate::policy::dispatch::{ATTEMPT_TIMEOUT_OBJECTIVES, MIN_ATTEMPT_TIMEOUT_MS};
 use crate::policy::retry::{MAX_RETRY_TOKENS, RETRY_TOKENS_PER_REQUEST};
 use crate::state::{AttemptRef, InFlightAttempt};
 
@@ -18,8 +18,7 @@
         }
         let objective_ms = self.settings.class(active.request.class).latency_objective_ms;
         let time_left_ms = active.deadline_ms - self.clock.now_ms();
-        let timeout_ms =
-            (ATTEMPT_TIMEOUT_OBJECTIVES * objective_ms).min(time_left_ms).max(MIN_ATTEMPT_TIMEOUT_MS);
+        let timeout_ms = attempt_timeout_ms(objective_ms, time_left_ms);
         let is_first = active.is_unsent();
         self.band.spend_dispatch_credit(MAX_CREDIT_OVERDRAFT);
         if is_first {
--- a/crates/admission/src/lifecycle/mod.rs
+++ b/crates/admission/src/lifecycle/mod.rs
@@ -5,4 +5,7 @@
 mod band_control;
 mod customers;
 mod endpoints;
+mod queue_dispatch;
+mod request_admission;
+mod request_deadlines;
 mod requests;
--- /dev/null
+++ b/crates/admission/src/lifecycle/queue_dispatch.rs
@@ -0,0 +1,117 @@
+//! How queued requests leave: in the order of the queue, as far as quota and band permit.
+use crate::action::Action;
+use crate::gateway::Gateway;
+use crate::id::RequestId;
+use crate::mechanism::virtual_finish_queue::FlowHead;
+use crate::policy::coordination::PEER_TIMEOUT_MS;
+use crate::policy::queue::customer_limits::{check_customer_limits, LimitDecision, LimitInput, SlotUse};
+use crate::policy::queue::dispatch_order::{
+    first_to_leave, judge_head_in_broadcast_mode, judge_head_in_large_fleet, may_send_over_quota,
+    HeadDecision,
+};
+use crate::state::{ActiveRequest, Customer, FleetMode, QuotaDecision};
+
+impl Gateway {
+    /// Sends queued requests for as long as one may leave and an endpoint is found for it.
+    pub(crate) fn dispatch(&mut self, actions: &mut Vec<Action>) {
+        self.band.unblock();
+        while let Some(head) = self.next_to_dispatch(actions) {
+            let Some(endpoint) = self.select_endpoint(head.id) else {
+                self.band.block_for_endpoint();
+                return;
+            };
+            self.queue.release(head);
+            self.send(head.id, endpoint, actions);
+        }
+    }
+
+    /// The queued request to send next. Heads over their quota leave the queue on the way.
+    pub(crate) fn next_to_dispatch(&mut self, actions: &mut Vec<Action>) -> Option<FlowHead> {
+        let mode = self.coordination.fleet_mode();
+        let mut next: Option<FlowHead> = None;
+        for head in self.queue.heads() {
+            match self.judge_head(head.id, mode) {
+                HeadDecision::Eligible => next = Some(first_to_leave(next, head)),
+                HeadDecision::BlockedByBand => self.band.block(),
+                HeadDecision::OverQuota => self.dispatch_over_quota(head, actions),
+                HeadDecision::AwaitsQuota => {}
+            }
+        }
+        // Heads over their quota that were sent on the way have used up some of the band.
+        if !self.band_position(next?.id).under_lower {
+            self.band.block();
+            return None;
+        }
+        next
+    }
+
+    /// What becomes of the head of a flow.
+    fn judge_head(&mut self, id: RequestId, mode: FleetMode) -> HeadDecision {
+        let quota = self.quota_decision(id);
+        match mode {
+            FleetMode::Broadcast => judge_head_in_broadcast_mode(quota),
+            FleetMode::LargeFleet => judge_head_in_large_fleet(quota, || self.band_position(id).under_lower),
+        }
+    }
+
+    /// Removes a request over its quota from the queue, and sends or finishes it.
+    pub(crate) fn dispatch_over_quota(&mut self, head: FlowHead, actions: &mut Vec<Action>) {
+        self.queue.remove(head.tag, head.id);
+        let endpoint = if self.may_send_over_quota(head.id) { self.select_endpoint(head.id) } else { None };
+        match endpoint {
+            Some(endpoint) => self.send(head.id, endpoint, actions),
+            None => self.finish(head.id, self.over_quota_retry_after(), actions),
+        }
+    }
+
+    /// Whether a request over its quota is sent all the same.
+    pub(crate) fn may_send_over_quota(&self, id: RequestId) -> bool {
+        let Some(active) = self.requests.get(id) else { return false };
+        may_send_over_quota(active.quota().may_exceed_quota(), || self.band_position(id).under_lower)
+    }
+
+    /// Whether quota, open limit and ceiling permit a request to be sent now. Peers are sent a request for units
+    /// of the ceiling where these are short.
+    pub(crate) fn quota_decision(&mut self, id: RequestId) -> QuotaDecision {
+        let Some(active) = self.requests.get(id) else { return QuotaDecision::OverQuota };
+        if let Some(decision) = active.quota().decision() {
+            return decision;
+        }
+        let tag = active.tag;
+        let plan = self.settings.plan(active.request.plan);
+        self.customers.refill(tag, plan, self.clock.now_ms());
+        let Some(limits) = self.customer_limits(id) else { return QuotaDecision::OverQuota };
+        if limits == LimitDecision::WaitForCeiling {
+            self.customers.schedule_ceiling_request(tag);
+        }
+        limits.quota_decision()
+    }
+
+    /// What the customer's limits permit, by the records of this gateway as of the customer's last refill; `None`
+    /// where there is no such request or customer.
+    pub(crate) fn customer_limits(&self, id: RequestId) -> Option<LimitDecision> {
+        let active = self.requests.get(id)?;
+        let customer = self.customers.get(active.tag)?;
+        let plan = self.settings.plan(active.request.plan);
+        Some(check_customer_limits(&LimitInput {
+            plan,
+            units: active.request.units,
+            local_bucket_decides: active.quota().is_local_bucket(),
+            quota_tokens: customer.quota_tokens(),
+            ceiling_tokens: customer.ceiling_tokens(),
+            slots: (plan.open_limit > 0).then(|| self.slot_use(active, customer)),
+        }))
+    }
+
+    /// A customer's attempts in flight, and how its slots are spread over gateways.
+    fn slot_use(&self, active: &ActiveRequest, customer: &Customer) -> SlotUse {
+        let peers = customer.peer_activity(self.clock.now_ms(), PEER_TIMEOUT_MS);
+        SlotUse {
+            in_flight: customer.in_flight(),
+            peer_in_flight: peers.in_flight,
+            busy_peers: peers.busy,
+            gateways: customer.gateways().len() as u32,
+            place: customer.gateways().place(active.tag, self.settings.me),
+        }
+    }
+}
--- /dev/null
+++ b/crates/admission/src/lifecycle/request_admission.rs
@@ -0,0 +1,115 @@
+//! How a new request is admitted: gathers what the rules of admission go by and applies what they say.
+use crate::action::Action;
+use crate::gateway::Gateway;
+use crate::id::RequestId;
+use crate::policy::admission::local_bucket::{check_local_bucket, withheld_burst_units, LocalBucketInput};
+use crate::policy::admission::new_request::{
+    admit_in_broadcast_mode, admit_in_large_fleet, lacks_ceiling_units_only, queue_or_reject,
+    reject_if_too_late, Admission, AdmissionInput, LargeFleetAdmissionInput,
+};
+use crate::policy::queue::flow_weight::{
+    flow_weight, queue_size_in_broadcast_mode, queue_size_in_large_fleet,
+};
+use crate::settings::PlanSettings;
+use crate::state::{FleetMode, GatewaySet, OwnBucketCheck, QuotaState};
+
+impl Gateway {
+    /// Admits a request in broadcast mode: at once, to the queue, or not at all.
+    pub(crate) fn admit_in_broadcast_mode(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+        let Some(quota) = self.check_own_bucket(id) else { return };
+        let Some(active) = self.requests.get(id) else { return };
+        let tag = active.tag;
+        let times = self.request_times(active);
+        if let Some(rejection) = reject_if_too_late(&times, self.settings.max_retry_after_ms) {
+            self.apply_admission(id, rejection, actions);
+            return;
+        }
+        let Some(limits) = self.customer_limits(id) else { return };
+        let input = AdmissionInput {
+            quota,
+            limits,
+            band: self.band_position(id),
+            queue_is_blocked: self.band.is_blocked(),
+            queued_requests: self.queue.len(),
+        };
+        if lacks_ceiling_units_only(&input) {
+            self.customers.schedule_ceiling_request(tag);
+        }
+        let is_applied = self.apply_admission(id, admit_in_broadcast_mode(&input), actions);
+        if !is_applied {
+            self.apply_admission(id, queue_or_reject(&input), actions);
+        }
+    }
+
+    /// Admits a request in a large fleet: to the queue, where it waits for its quota check, or not at all.
+    pub(crate) fn admit_in_large_fleet(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+        let Some(active) = self.requests.get(id) else { return };
+        let input = LargeFleetAdmissionInput {
+            times: self.request_times(active),
+            queued_requests: self.queue.len(),
+            max_retry_after_ms: self.settings.max_retry_after_ms,
+        };
+        let admission = admit_in_large_fleet(&input);
+        self.apply_admission(id, admission, actions);
+        if admission == Admission::Queue {
+            self.check_quota(id, actions);
+        }
+    }
+
+    /// Applies an admission. `false` where the request is to be sent and no endpoint is found for it.
+    fn apply_admission(&mut self, id: RequestId, admission: Admission, actions: &mut Vec<Action>) -> bool {
+        match admission {
+            Admission::Send => {
+                let Some(endpoint) = self.select_endpoint(id) else { return false };
+                self.send(id, endpoint, actions);
+            }
+            Admission::Queue => self.enqueue(id),
+            Admission::Reject { retry_after_ms } => self.finish(id, retry_after_ms, actions),
+        }
+        true
+    }
+
+    /// Puts a request at the end of its customer's flow.
+    fn enqueue(&mut self, id: RequestId) {
+        let Some(active) = self.requests.get(id) else { return };
+        let units = active.request.units;
+        let size = match self.coordination.fleet_mode() {
+            FleetMode::Broadcast => queue_size_in_broadcast_mode(units),
+            FleetMode::LargeFleet => {
+                let priority_weight = self.settings.class(active.request.class).priority_weight;
+                queue_size_in_large_fleet(units, priority_weight)
+            }
+        };
+        let weight = self.flow_weight(self.settings.plan(active.request.plan));
+        self.queue.enqueue(active.tag, id, size, weight);
+    }
+
+    /// The weight of a plan's flows in the queue, in units per second.
+    pub(crate) fn flow_weight(&self, plan: &PlanSettings) -> f64 {
+        flow_weight(plan, self.latency.mean_response_ms())
+    }
+
+    /// Checks a new request against its customer's token bucket here, and records the result with the request.
+    fn check_own_bucket(&mut self, id: RequestId) -> Option<OwnBucketCheck> {
+        let active = self.requests.get(id)?;
+        let (tag, plan_index, units) = (active.tag, active.request.plan, active.request.units);
+        let gateways = GatewaySet::of_request(&active.request, self.settings.gateways);
+        let customer = self.customer_entry(tag, plan_index, gateways);
+        let (quota_tokens, ceiling_tokens) = (customer.quota_tokens(), customer.ceiling_tokens());
+        let plan = self.settings.plan(plan_index);
+        let check = check_local_bucket(&LocalBucketInput {
+            plan,
+            units,
+            quota_tokens,
+            ceiling_tokens,
+            queued_units: self.queue.queued_size(tag),
+            withheld_units: withheld_burst_units(
+                plan.burst_units,
+                gateways.len(),
+                self.clock.since_start_ms(),
+            ),
+        });
+        self.requests.get_mut(id)?.set_quota(QuotaState::LocalBucket { within_quota: check.is_met });
+        Some(check)
+    }
+}
--- /dev/null
+++ b/crates/admission/src/lifecycle/request_deadlines.rs
@@ -0,0 +1,70 @@
+//! Requests against their time: what a client has waited already, what is too late, and what is overdue.
+use crate::action::Action;
+use crate::gateway::Gateway;
+use crate::id::{ClassIndex, RequestId};
+use crate::policy::admission::deadline::{is_overdue, RequestTimes};
+use crate::policy::admission::elapsed_wait::{already_waited_ms, TimeBudgetInput, TIME_BUDGET_VOTE};
+use crate::policy::admission::retry_after::{
+    retry_after_over_quota_in_broadcast_mode, retry_after_over_quota_in_large_fleet, retry_after_overload,
+};
+use crate::state::{ActiveRequest, FleetMode};
+
+impl Gateway {
+    /// The times by which a request is judged.
+    pub(crate) fn request_times(&self, active: &ActiveRequest) -> RequestTimes {
+        RequestTimes {
+            now_ms: self.clock.now_ms(),
+            objective_at_ms: active.objective_at_ms,
+            deadline_ms: active.deadline_ms,
+            tick_ms: self.settings.tick_ms,
+            mean_response_ms: self.latency.response_ms(active.request.class),
+            endpoints_saturated: self.band.is_saturated(),
+        }
+    }
+
+    /// Whether a response can no longer come in time.
+    pub(crate) fn cannot_meet_deadline(&self, active: &ActiveRequest) -> bool {
+        self.request_times(active).is_too_late()
+    }
+
+    /// Whether a request must be finished now.
+    pub(crate) fn is_overdue(&self, active: &ActiveRequest) -> bool {
+        !active.is_closed() && is_overdue(&self.request_times(active), active.is_unsent())
+    }
+
+    /// Finishes requests that run out of time.
+    pub(crate) fn finish_overdue_requests(&mut self, actions: &mut Vec<Action>) {
+        let overdue = self.requests.iter().filter(|active| self.is_overdue(active));
+        let overdue: Vec<RequestId> = overdue.map(|active| active.request.id).collect();
+        for id in overdue {
+            let is_unsent = self.requests.get(id).is_some_and(ActiveRequest::is_unsent);
+            let retry_after_ms = if is_unsent { self.overload_retry_after() } else { None };
+            self.finish(id, retry_after_ms, actions);
+        }
+    }
+
+    /// How long the client of a new request has waited already; its time budget goes into the vote of its class.
+    pub(crate) fn already_waited_ms(&mut self, class: ClassIndex, time_left_ms: f64) -> f64 {
+        let votes = self.latency.record_time_budget(class, time_left_ms, TIME_BUDGET_VOTE);
+        let settings = self.settings.class(class);
+        already_waited_ms(&TimeBudgetInput {
+            time_left_ms,
+            votes_for_another_budget: votes,
+            latency_objective_ms: settings.latency_objective_ms,
+            deadline_ms: settings.deadline_ms,
+        })
+    }
+
+    /// Retry-After of a request that found no capacity in time, in ms.
+    pub(crate) fn overload_retry_after(&self) -> Option<f64> {
+        retry_after_overload(self.settings.max_retry_after_ms)
+    }
+
+    /// Retry-After of a queued request that is over its quota, in ms.
+    pub(crate) fn over_quota_retry_after(&self) -> Option<f64> {
+        match self.coordination.fleet_mode() {
+            FleetMode::Broadcast => retry_after_over_quota_in_broadcast_mode(),
+            FleetMode::LargeFleet => retry_after_over_quota_in_large_fleet(self.settings.max_retry_after_ms),
+        }
+    }
+}
--- a/crates/admission/src/lifecycle/requests.rs
+++ b/crates/admission/src/lifecycle/requests.rs
@@ -3,10 +3,9 @@
 use crate::event::Request;
 use crate::gateway::Gateway;
 use crate::id::{CustomerTag, GatewayIndex, RequestId};
-use crate::mechanism::virtual_finish_queue::FlowHead;
 use crate::messages::gossip_message::GossipMessage;
 use crate::messages::quota_message::{QuarterUnits, QuotaRelease, QuotaRequestNumber};
-use crate::state::{ActiveRequest, QuotaState};
+use crate::state::{ActiveRequest, FleetMode, QuotaState};
 
 impl Gateway {
     /// Takes a request in: checks it, enters it into the records, and has it admitted, queued or rejected.
@@ -17,10 +16,9 @@
             return;
         }
         self.enter(request);
-        if self.coordination.is_broadcast() {
-            self.admit_in_small_fleet(id, actions);
-        } else {
-            self.admit_in_large_fleet(id, actions);
+        match self.coordination.fleet_mode() {
+            FleetMode::Broadcast => self.admit_in_broadcast_mode(id, actions),
+            FleetMode::LargeFleet => self.admit_in_large_fleet(id, actions),
         }
     }
 
@@ -40,39 +38,6 @@
         self.requests.insert(active);
     }
 
-    /// Sends queued requests for as long as the policy names one and an endpoint is found for it.
-    pub(crate) fn dispatch(&mut self, actions: &mut Vec<Action>) {
-        self.band.unblock();
-        while let Some(head) = self.next_to_dispatch(actions) {
-            let Some(endpoint) = self.select_endpoint(head.id) else {
-                self.band.block_for_endpoint();
-                return;
-            };
-            self.queue.release(head);
-            self.send(head.id, endpoint, actions);
-        }
-    }
-
-    /// Takes a request over its quota out of the queue, and sends or finishes it.
-    pub(crate) fn dispatch_over_quota(&mut self, head: FlowHead, actions: &mut Vec<Action>) {
-        self.queue.remove(head.tag, head.id);
-        let may_send = self.may_send_over_quota(head.id);
-        match if may_send { self.select_endpoint(head.id) } else { None } {
-            Some(endpoint) => self.send(head.id, endpoint, actions),
-            None => self.finish(head.id, self.over_quota_retry_after(), actions),
-        }
-    }
-
-    /// Finishes requests that run out of time.
-    pub(crate) fn finish_overdue_requests(&mut self, actions: &mut Vec<Action>) {
-        let overdue = self.requests.iter().filter(|active| self.is_overdue(active));
-        let overdue: Vec<RequestId> = overdue.map(|active| active.request.id).collect();
-        for id in overdue {
-            let unsent = self.requests.get(id).is_some_and(ActiveRequest::is_unsent);
-            self.finish(id, if unsent { self.overload_retry_after() } else { None }, actions);
-        }
-    }
-
     /// Gives the final answer: a rejection where trying again is harmless, else a failure.
     pub(crate) fn finish(&mut self, id: RequestId, retry_after_ms: Option<f64>, actions: &mut Vec<Action>) {
         let Some(active) = self.requests.get(id).filter(|active| !active.is_closed()) else { return };
--- /dev/null
+++ b/crates/admission/src/policy/admission/local_bucket.rs
@@ -0,0 +1,47 @@
+//! What the customer's token bucket at this gateway has for a new request, in broadcast mode.
+use crate::settings::PlanSettings;
+use crate::state::OwnBucketCheck;
+
+/// Time after its start for which a gateway withholds its peers' fraction of each burst, in ms: it has not
+/// received yet what they consumed.
+const STARTUP_MS: f64 = 1000.0;
+
+/// A new request and the token bucket of its customer.
+#[derive(Debug, Clone, Copy)]
+pub(crate) struct LocalBucketInput<'a> {
+    /// The customer's plan.
+    pub(crate) plan: &'a PlanSettings,
+    /// Units that the request counts.
+    pub(crate) units: f64,
+    /// Units in the quota's bucket.
+    pub(crate) quota_tokens: f64,
+    /// Units in this gateway's fraction of the hard ceiling.
+    pub(crate) ceiling_tokens: f64,
+    /// Units of the customer's queued requests, which are reserved for these.
+    pub(crate) queued_units: f64,
+    /// Units that are left to peers just after the start.
+    pub(crate) withheld_units: f64,
+}
+
+/// Whether a new request is within its customer's quota, and if not, whether it may be sent all the same and
+/// when the bucket has filled enough.
+pub(crate) fn check_local_bucket(input: &LocalBucketInput) -> OwnBucketCheck {
+    let plan = input.plan;
+    let available_units = input.quota_tokens - input.queued_units - input.withheld_units;
+    let has_ceiling_units = plan.ceiling_rate_per_second <= 0.0 || input.ceiling_tokens >= input.units;
+    OwnBucketCheck {
+        is_met: plan.rate_per_second <= 0.0 || available_units >= input.units,
+        may_exceed: plan.pays_over_quota() && has_ceiling_units,
+        retry_after_ms: plan.refill_time_ms(input.units - available_units),
+    }
+}
+
+/// Units of a burst that a gateway leaves to its peers: all but its even quota just after its start, none
+/// later. `gateways` counts those that the customer's requests come through.
+pub(crate) fn withheld_burst_units(burst_units: f64, gateways: usize, since_start_ms: f64) -> f64 {
+    if since_start_ms < STARTUP_MS {
+        burst_units * (1.0 - 1.0 / gateways as f64)
+    } else {
+        0.0
+    }
+}
--- /dev/null
+++ b/crates/admission/src/policy/admission/mod.rs
@@ -0,0 +1,6 @@
+//! Whether a new request is sent, queued or rejected, and until when a request may wait.
+pub(crate) mod deadline;
+pub(crate) mod elapsed_wait;
+pub(crate) mod local_bucket;
+pub(crate) mod new_request;
+pub(crate) mod retry_after;
--- /dev/null
+++ b/crates/admission/src/policy/admission/retry_after.rs
@@ -0,0 +1,18 @@
+//! Which Retry-After a rejected request carries.
+
+/// Retry-After of a request that found no capacity in time, in ms: the longest that clients honour. A sooner retry
+/// would most likely be too late as well, and each costs work. `None` where clients honour none.
+pub(crate) fn retry_after_overload(max_retry_after_ms: f64) -> Option<f64> {
+    Some(max_retry_after_ms).filter(|ms| *ms > 0.0)
+}
+
+/// Retry-After in broadcast mode of a queued request that turned out to be over its quota: none.
+pub(crate) fn retry_after_over_quota_in_broadcast_mode() -> Option<f64> {
+    None
+}
+
+/// Retry-After in a large fleet of a request over its quota, in ms. This gateway does not know when the quota
+/// has filled, so it gives the longest that clients honour.
+pub(crate) fn retry_after_over_quota_in_large_fleet(max_retry_after_ms: f64) -> Option<f64> {
+    Some(max_retry_after_ms)
+}
--- a/crates/admission/src/policy/mod.rs
+++ b/crates/admission/src/policy/mod.rs
@@ -1,10 +1,14 @@
 //! Every decision and the figures it goes by, one file for each.
+//!
+//! A rule is a function of its inputs: it does not see `Gateway`. The methods of `Gateway` in `lifecycle` and
+//! `coordination` gather the inputs, call the rule and apply its result.
 pub(crate) mod admission;
+pub(crate) mod attempt_timeout;
 pub(crate) mod band;
 pub(crate) mod coordination;
-pub(crate) mod dispatch;
 pub(crate) mod endpoint_selection;
 pub(crate) mod outlier_detection;
+pub(crate) mod queue;
 pub(crate) mod quota_counter;
 pub(crate) mod quota_owner;
 pub(crate) mod retry;
--- a/crates/admission/src/policy/quota_owner.rs
+++ b/crates/admission/src/policy/quota_owner.rs
@@ -3,8 +3,8 @@
 use crate::gateway::Gateway;
 use crate::id::{CustomerTag, GatewayIndex, RequestId};
 use crate::messages::quota_message::{QuotaVerdict, SamplingFraction};
+use crate::policy::attempt_timeout::ATTEMPT_TIMEOUT_OBJECTIVES;
 use crate::policy::coordination::PEER_MESSAGE_FRACTION;
-use crate::policy::dispatch::ATTEMPT_TIMEOUT_OBJECTIVES;
 use crate::policy::quota_counter::AMPLE_FRACTION;
 use crate::settings::{PlanSettings, Settings};
 use crate::state::{ActiveRequest, Customer, GatewaySet, QuotaExpectation, QuotaRoute, QuotaState};
--- /dev/null
+++ b/crates/admission/src/tests/load_rules/deadline_rules.rs
@@ -0,0 +1,74 @@
+//! Which requests come too late, which are overdue, and what a client has waited already.
+use crate::policy::admission::deadline::{is_overdue, RequestTimes};
+use crate::policy::admission::elapsed_wait::{already_waited_ms, TimeBudgetInput};
+use crate::policy::admission::retry_after::{
+    retry_after_over_quota_in_broadcast_mode, retry_after_over_quota_in_large_fleet, retry_after_overload,
+};
+
+/// A request at time 1,000 with 500 ms until its objective and 2,000 ms until its deadline, in a class that is
+/// answered in 200 ms.
+const TIMES: RequestTimes = RequestTimes {
+    now_ms: 1000.0,
+    objective_at_ms: 1500.0,
+    deadline_ms: 3000.0,
+    tick_ms: 2.0,
+    mean_response_ms: 200.0,
+    endpoints_saturated: false,
+};
+
+#[test]
+fn time_left_ends_with_the_objective_or_the_last_response_before_the_deadline() {
+    assert_eq!(TIMES.time_left_ms(), 500.0);
+    // 20 ms for a round of upkeep and 4 ms for two ticks.
+    assert_eq!(RequestTimes { deadline_ms: 1400.0, ..TIMES }.time_left_ms(), 376.0);
+}
+
+#[test]
+fn too_late_depends_on_the_mean_response_time_and_on_saturation() {
+    // 0.8 mean response times are 160 ms; while saturated 2.5 are 500 ms.
+    let cases = [(160.0, false, false), (159.0, false, true), (500.0, true, false), (499.0, true, true)];
+    for (left_ms, endpoints_saturated, too_late) in cases {
+        let times = RequestTimes { objective_at_ms: 1000.0 + left_ms, endpoints_saturated, ..TIMES };
+        assert_eq!(times.is_too_late(), too_late, "{left_ms} ms left, saturated: {endpoints_saturated}");
+    }
+}
+
+#[test]
+fn overdue_near_the_deadline_or_unsent_and_too_late() {
+    let late = RequestTimes { objective_at_ms: 1100.0, ..TIMES };
+    let cases = [(TIMES, true, false), (late, true, true), (late, false, false)];
+    for (times, is_unsent, overdue) in cases {
+        assert_eq!(is_overdue(&times, is_unsent), overdue, "{times:?}");
+    }
+    for (deadline_ms, overdue) in [(1024.0, false), (1023.0, true)] {
+        assert_eq!(is_overdue(&RequestTimes { deadline_ms, ..late }, false), overdue, "{deadline_ms}");
+    }
+}
+
+#[test]
+fn client_has_waited_for_what_its_budget_lacks_where_the_usual_budget_is_certain() {
+    let cases = [
+        (None, 1900.0, 0.0),
+        (Some(9), 1900.0, 0.0),
+        (Some(10), 1900.0, 1100.0),
+        // No more than the objective: an impatient client's first attempt.
+        (Some(10), 1000.0, 0.0),
+        (Some(10), 4000.0, 0.0),
+    ];
+    for (votes_for_another_budget, time_left_ms, expected_ms) in cases {
+        let input = TimeBudgetInput {
+            time_left_ms,
+            votes_for_another_budget,
+            latency_objective_ms: 1000.0,
+            deadline_ms: 3000.0,
+        };
+        assert_eq!(already_waited_ms(&input), expected_ms, "{input:?}");
+    }
+}
+
+#[test]
+fn retry_after_is_the_longest_that_clients_honour() {
+    assert_eq!((retry_after_overload(1000.0), retry_after_overload(0.0)), (Some(1000.0), None));
+    assert_eq!(retry_after_over_quota_in_broadcast_mode(), None);
+    assert_eq!(retry_after_over_quota_in_large_fleet(1000.0), Some(1000.0));
+}
--- /dev/null
+++ b/crates/admission/src/tests/load_rules/new_request_rules.rs
@@ -0,0 +1,105 @@
+//! What becomes of a new request.
+use crate::policy::admission::deadline::RequestTimes;
+use crate::policy::admission::new_request::{
+    admit_in_broadcast_mode, admit_in_large_fleet, lacks_ceiling_units_only, queue_or_reject,
+    reject_if_too_late, Admission, AdmissionInput, LargeFleetAdmissionInput,
+};
+use crate::policy::queue::customer_limits::LimitDecision;
+use crate::state::{BandPosition, OwnBucketCheck};
+
+const REJECTED: Admission = Admission::Reject { retry_after_ms: Some(70.0) };
+
+/// A request within its quota while the stock is under both bounds.
+const ADMITTED: AdmissionInput = AdmissionInput {
+    quota: OwnBucketCheck { is_met: true, may_exceed: false, retry_after_ms: Some(70.0) },
+    limits: LimitDecision::Admit,
+    band: BandPosition { under_lower: true, under_upper: true },
+    queue_is_blocked: false,
+    queued_requests: 3999,
+};
+
+const BETWEEN_BOUNDS: BandPosition = BandPosition { under_lower: false, under_upper: true };
+const ABOVE_BOUNDS: BandPosition = BandPosition { under_lower: false, under_upper: false };
+
+/// A request with this much time left in a class that is answered in 100 ms.
+fn times(time_left_ms: f64) -> RequestTimes {
+    RequestTimes {
+        now_ms: 0.0,
+        objective_at_ms: time_left_ms,
+        deadline_ms: 3000.0,
+        tick_ms: 2.0,
+        mean_response_ms: 100.0,
+        endpoints_saturated: false,
+    }
+}
+
+#[test]
+fn broadcast_mode_sends_within_quota_up_to_the_upper_bound() {
+    let cases = [
+        (ADMITTED, Admission::Send),
+        (AdmissionInput { band: BETWEEN_BOUNDS, ..ADMITTED }, Admission::Send),
+        (AdmissionInput { band: ABOVE_BOUNDS, ..ADMITTED }, Admission::Queue),
+        (AdmissionInput { limits: LimitDecision::WaitForSlot, ..ADMITTED }, Admission::Queue),
+        (AdmissionInput { queue_is_blocked: true, ..ADMITTED }, Admission::Queue),
+        (AdmissionInput { queue_is_blocked: true, queued_requests: 4000, ..ADMITTED }, REJECTED),
+    ];
+    for (input, expected) in cases {
+        assert_eq!(admit_in_broadcast_mode(&input), expected, "{input:?}");
+    }
+}
+
+#[test]
+fn broadcast_mode_sends_beyond_the_quota_up_to_the_lower_bound_where_the_plan_pays() {
+    let over = OwnBucketCheck { is_met: false, ..ADMITTED.quota };
+    let paying = OwnBucketCheck { may_exceed: true, ..over };
+    // The customer's limits bind use within the quota only.
+    let limits = LimitDecision::WaitForSlot;
+    let cases = [
+        (AdmissionInput { quota: over, ..ADMITTED }, REJECTED),
+        (AdmissionInput { quota: paying, limits, ..ADMITTED }, Admission::Send),
+        (AdmissionInput { quota: paying, band: BETWEEN_BOUNDS, ..ADMITTED }, REJECTED),
+        (AdmissionInput { quota: paying, queue_is_blocked: true, ..ADMITTED }, REJECTED),
+    ];
+    for (input, expected) in cases {
+        assert_eq!(admit_in_broadcast_mode(&input), expected, "{input:?}");
+    }
+}
+
+#[test]
+fn without_an_endpoint_a_request_within_its_quota_is_queued() {
+    let over = OwnBucketCheck { is_met: false, may_exceed: true, ..ADMITTED.quota };
+    assert_eq!(queue_or_reject(&ADMITTED), Admission::Queue);
+    assert_eq!(queue_or_reject(&AdmissionInput { queued_requests: 4000, ..ADMITTED }), REJECTED);
+    assert_eq!(queue_or_reject(&AdmissionInput { quota: over, ..ADMITTED }), REJECTED);
+}
+
+#[test]
+fn ceiling_units_are_requested_where_nothing_else_is_lacking() {
+    let lacking = AdmissionInput { limits: LimitDecision::WaitForCeiling, ..ADMITTED };
+    let over = OwnBucketCheck { is_met: false, may_exceed: true, ..ADMITTED.quota };
+    let cases = [
+        (ADMITTED, false),
+        (lacking, true),
+        (AdmissionInput { band: ABOVE_BOUNDS, ..lacking }, false),
+        (AdmissionInput { quota: over, ..lacking }, false),
+    ];
+    for (input, expected) in cases {
+        assert_eq!(lacks_ceiling_units_only(&input), expected, "{input:?}");
+    }
+}
+
+#[test]
+fn both_modes_reject_what_comes_too_late_and_a_large_fleet_queues_the_rest() {
+    let overloaded = Admission::Reject { retry_after_ms: Some(1000.0) };
+    assert_eq!(reject_if_too_late(&times(79.0), 1000.0), Some(overloaded));
+    assert_eq!(reject_if_too_late(&times(80.0), 1000.0), None);
+    let cases = [(79.0, 0, overloaded), (80.0, 3999, Admission::Queue), (80.0, 4000, overloaded)];
+    for (time_left_ms, queued_requests, expected) in cases {
+        let input = LargeFleetAdmissionInput {
+            times: times(time_left_ms),
+            queued_requests,
+            max_retry_after_ms: 1000.0,
+        };
+        assert_eq!(admit_in_large_fleet(&input), expected, "{input:?}");
+    }
+}
