--- a/crates/admission/src/event_handling.rs
+++ b/crates/admission/src/event_handling.rs
@@ -49,7 +49,7 @@
     fn on_timer(&mut self, actions: &mut Vec<Action>) {
         match self.coordination.fleet_mode() {
             FleetMode::Broadcast => self.upkeep_in_broadcast_mode(actions),
-            FleetMode::LargeFleet if self.clock.tick_is_due() => self.upkeep_in_large_fleet(actions),
+            FleetMode::LargeFleet if self.upkeep_is_due() => self.upkeep_in_large_fleet(actions),
             FleetMode::LargeFleet => {}
         }
     }
--- a/crates/admission/src/lifecycle/mod.rs
+++ b/crates/admission/src/lifecycle/mod.rs
@@ -9,3 +9,4 @@
 mod request_admission;
 mod request_deadlines;
 mod requests;
+mod upkeep_schedule;
--- a/crates/admission/src/lifecycle/requests.rs
+++ b/crates/admission/src/lifecycle/requests.rs
@@ -1,14 +1,16 @@
-//! How requests are taken in, sent from the queue, and closed.
+//! How requests are received, finished and closed.
 use crate::action::Action;
 use crate::event::Request;
 use crate::gateway::Gateway;
 use crate::id::{CustomerTag, GatewayIndex, RequestId};
 use crate::messages::gossip_message::GossipMessage;
 use crate::messages::quota_message::{QuarterUnits, QuotaRelease, QuotaRequestNumber};
-use crate::state::{ActiveRequest, FleetMode, QuotaState};
+use crate::policy::request_end::final_response::{final_response, FinalResponse};
+use crate::policy::request_end::quota_settlement::{settlement_at_end, EndedRequest, QuotaSettlement};
+use crate::state::{ActiveRequest, FleetMode};
 
 impl Gateway {
-    /// Takes a request in: checks it, enters it into the records, and has it admitted, queued or rejected.
+    /// Receives a request: checks it, enters it into the records, and has it sent, queued or rejected.
     pub(crate) fn on_request(&mut self, request: Request, actions: &mut Vec<Action>) {
         let id = request.id;
         if !self.is_valid(&request) {
@@ -22,7 +24,7 @@
         }
     }
 
-    /// Whether a request names a class and a plan of the settings, and is not in work already.
+    /// Whether a request names a class and a plan of the settings, and is not active already.
     fn is_valid(&self, request: &Request) -> bool {
         request.class.0 < self.settings.classes.len()
             && request.plan.0 < self.settings.plans.len()
@@ -38,20 +40,20 @@
         self.requests.insert(active);
     }
 
-    /// Gives the final answer: a rejection where trying again is harmless, else a failure.
+    /// Responds without a good response: rejects the request where a retry by its client does no harm, and
+    /// fails it otherwise.
     pub(crate) fn finish(&mut self, id: RequestId, retry_after_ms: Option<f64>, actions: &mut Vec<Action>) {
         let Some(active) = self.requests.get(id).filter(|active| !active.is_closed()) else { return };
         let idempotency = self.settings.class(active.request.class).idempotency;
-        actions.push(if !active.may_have_run() || idempotency.allows_new_try() {
-            Action::Reject { request: id, retry_after_ms }
-        } else {
-            Action::Fail { request: id }
+        actions.push(match final_response(active.may_have_run(), idempotency) {
+            FinalResponse::Reject => Action::Reject { request: id, retry_after_ms },
+            FinalResponse::Fail => Action::Fail { request: id },
         });
         self.close(id, actions);
     }
 
-    /// The request is answered, or its client has gone: cancels the attempts in flight, once, and forgets the
-    /// request when all its attempts have ended.
+    /// The request has its final response, or its client has gone: cancels the attempts in flight, once, and
+    /// forgets the request when all its attempts have ended.
     pub(crate) fn close(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(active) = self.requests.get_mut(id) else { return };
         let pending: Vec<u32> = active.pending_attempts().map(|(number, _)| number).collect();
@@ -63,50 +65,46 @@
         self.queue.remove(tag, id);
         if pending.is_empty() {
             if let Some(active) = self.requests.remove(id) {
-                self.report_request_end(&active, actions);
+                self.settle_quota(&active, actions);
             }
         }
     }
 
-    /// Tells whoever holds the quota what an ended request took, where that matters to its count.
-    fn report_request_end(&mut self, active: &ActiveRequest, actions: &mut Vec<Action>) {
-        let unsent = active.is_unsent();
-        let unused = -active.request.units;
-        match active.quota() {
-            QuotaState::AdmittedByCounter { .. } => self.settle_counted(active, actions),
-            QuotaState::GrantedByOwner { owner, number, .. } if unsent => {
-                self.send_release(owner, active.tag, number, unused, actions)
+    /// Settles the quota of an ended request with whoever counts it.
+    fn settle_quota(&mut self, active: &ActiveRequest, actions: &mut Vec<Action>) {
+        let ended = EndedRequest {
+            quota: active.quota(),
+            is_unsent: active.is_unsent(),
+            units: active.request.units,
+            settled_units: active.settled_units(),
+            has_open_limit: self.settings.plan(active.request.plan).open_limit > 0,
+        };
+        match settlement_at_end(&ended) {
+            QuotaSettlement::Nothing => {}
+            QuotaSettlement::SettleWithCounter => self.settle_counted(active, actions),
+            QuotaSettlement::Release { owner, number, additional_units } => {
+                self.send_release(owner, active.tag, number, additional_units, actions)
             }
-            QuotaState::GrantedByOwner { owner, number, ample } => {
-                let holds_slot = self.settings.plan(active.request.plan).open_limit > 0;
-                if holds_slot || active.settled_units() != 0.0 && !ample {
-                    self.send_release(owner, active.tag, number, active.settled_units(), actions);
-                }
-            }
-            QuotaState::QueuedAtOwner { owner, number } | QuotaState::AwaitingOwner { owner, number, .. } => {
+            QuotaSettlement::Withdraw { owner, number, additional_units } => {
                 if let Some(gossip) = self.coordination.gossip_mut() {
                     gossip.requests.remove(number);
                 }
-                self.send_release(owner, active.tag, number, unused, actions);
+                self.send_release(owner, active.tag, number, additional_units, actions);
             }
-            QuotaState::LocalBucket { .. }
-            | QuotaState::OverQuota { .. }
-            | QuotaState::AwaitingCounter
-            | QuotaState::AdmittedUncounted => {}
         }
     }
 
-    /// Tells a quota's owner that a request it was asked about has ended, and how many units to take beyond
-    /// those granted; below 0 it gives them back.
+    /// Sends a quota's owner the end of a request that it was sent a quota request for, with the units to take
+    /// beyond those granted; below 0 they go back.
     fn send_release(
         &mut self,
         owner: GatewayIndex,
         tag: CustomerTag,
         number: QuotaRequestNumber,
-        units: f64,
+        additional_units: f64,
         actions: &mut Vec<Action>,
     ) {
-        let additional_units = QuarterUnits::nearest(units);
+        let additional_units = QuarterUnits::nearest(additional_units);
         let release = QuotaRelease { customer: tag.0, number, additional_units };
         self.send_gossip(owner, GossipMessage::release(release), actions);
     }
--- /dev/null
+++ b/crates/admission/src/lifecycle/upkeep_schedule.rs
@@ -0,0 +1,32 @@
+//! When periodic work is due.
+use crate::gateway::Gateway;
+use crate::policy::upkeep::{
+    eviction_is_due, review_is_due, upkeep_interval_ms_in_broadcast_mode, upkeep_interval_ms_in_large_fleet,
+    upkeep_is_due,
+};
+use crate::state::FleetMode;
+
+impl Gateway {
+    /// Time until the next round of upkeep.
+    pub(crate) fn upkeep_interval_ms(&self) -> f64 {
+        match self.coordination.fleet_mode() {
+            FleetMode::Broadcast => upkeep_interval_ms_in_broadcast_mode(),
+            FleetMode::LargeFleet => upkeep_interval_ms_in_large_fleet(!self.requests.is_empty()),
+        }
+    }
+
+    /// Whether the scheduled round of upkeep is due.
+    pub(crate) fn upkeep_is_due(&self) -> bool {
+        upkeep_is_due(self.clock.now_ms(), self.clock.next_tick_ms())
+    }
+
+    /// Whether a large fleet's gateway is to review all endpoints again.
+    pub(crate) fn review_is_due(&self) -> bool {
+        review_is_due(self.fleet_means.since_measured_ms(self.clock.now_ms()))
+    }
+
+    /// Whether idle customers are to be evicted again.
+    pub(crate) fn eviction_is_due(&self) -> bool {
+        eviction_is_due(self.customers.since_eviction_ms(self.clock.now_ms()))
+    }
+}
--- a/crates/admission/src/policy/mod.rs
+++ b/crates/admission/src/policy/mod.rs
@@ -11,6 +11,7 @@
 pub(crate) mod queue;
 pub(crate) mod quota_counter;
 pub(crate) mod quota_owner;
+pub(crate) mod request_end;
 pub(crate) mod retry;
 pub(crate) mod slow_start;
 pub(crate) mod upkeep;
--- a/crates/admission/src/policy/upkeep.rs
+++ b/crates/admission/src/policy/upkeep.rs
@@ -1,34 +1,43 @@
 //! How often a gateway does its periodic work.
-use crate::gateway::Gateway;
 
-/// Time between two rounds of upkeep: short beside any latency objective, so that nothing is noticed late.
+/// Time between two rounds of upkeep, in ms: short beside any latency objective, so that nothing is noticed late.
 pub(crate) const UPKEEP_MS: f64 = 20.0;
 
-/// Time between two looks at all endpoints in a large fleet, and between two rounds of upkeep there while the
-/// gateway has no request. With many gateways and endpoints each look costs more.
+/// Time between two reviews of all endpoints in a large fleet, and between two rounds of upkeep there while the
+/// gateway has no request, in ms. With many gateways and endpoints each review costs more.
 const LARGE_FLEET_REVIEW_MS: f64 = 100.0;
 
-/// Time between two evictions of idle customers.
+/// Time between two evictions of idle customers, in ms.
 const EVICTION_INTERVAL_MS: f64 = 1000.0;
 
-impl Gateway {
-    /// Time until the next round of upkeep.
-    pub(crate) fn upkeep_interval_ms(&self) -> f64 {
-        let idle = !self.coordination.is_broadcast() && self.requests.is_empty();
-        if idle {
-            LARGE_FLEET_REVIEW_MS
-        } else {
-            UPKEEP_MS
-        }
-    }
+/// A timer that fires at most this much early still counts for its round of upkeep, in ms.
+const TIMER_TOLERANCE_MS: f64 = 0.5;
 
-    /// Whether a large fleet's gateway is to look at all endpoints again.
-    pub(crate) fn review_is_due(&self) -> bool {
-        self.fleet_means.since_measured_ms(self.clock.now_ms()) >= LARGE_FLEET_REVIEW_MS
-    }
+/// Time until the next round of upkeep in broadcast mode, in ms.
+pub(crate) fn upkeep_interval_ms_in_broadcast_mode() -> f64 {
+    UPKEEP_MS
+}
 
-    /// Whether idle customers are to be evicted again.
-    pub(crate) fn eviction_is_due(&self) -> bool {
-        self.customers.since_eviction_ms(self.clock.now_ms()) >= EVICTION_INTERVAL_MS
+/// Time until the next round of upkeep in a large fleet, in ms.
+pub(crate) fn upkeep_interval_ms_in_large_fleet(has_active_requests: bool) -> f64 {
+    if has_active_requests {
+        UPKEEP_MS
+    } else {
+        LARGE_FLEET_REVIEW_MS
     }
 }
+
+/// Whether a round of upkeep that is scheduled for `next_ms` is due.
+pub(crate) fn upkeep_is_due(now_ms: f64, next_ms: f64) -> bool {
+    now_ms >= next_ms - TIMER_TOLERANCE_MS
+}
+
+/// Whether a gateway of a large fleet reviews all endpoints again, this long after the last time.
+pub(crate) fn review_is_due(since_review_ms: f64) -> bool {
+    since_review_ms >= LARGE_FLEET_REVIEW_MS
+}
+
+/// Whether idle customers are evicted again, this long after the last time.
+pub(crate) fn eviction_is_due(since_eviction_ms: f64) -> bool {
+    since_eviction_ms >= EVICTION_INTERVAL_MS
+}
--- a/crates/admission/src/state/event_clock.rs
+++ b/crates/admission/src/state/event_clock.rs
@@ -10,9 +10,6 @@
     ticking: bool,
 }
 
-/// A timer that fires at most this much early still counts for its round of upkeep.
-const TIMER_TOLERANCE_MS: f64 = 0.5;
-
 impl EventClock {
     /// A clock of a gateway that starts now.
     pub(crate) fn new(now_ms: f64) -> Self {
@@ -45,9 +42,9 @@
         self.next_tick_ms
     }
 
-    /// Whether the next round of upkeep is due.
-    pub(crate) fn tick_is_due(&self) -> bool {
-        self.now_ms >= self.next_tick_ms - TIMER_TOLERANCE_MS
+    /// When the next round of upkeep is scheduled.
+    pub(crate) fn next_tick_ms(&self) -> f64 {
+        self.next_tick_ms
     }
 
     /// Whether the next round of upkeep comes later than after this time.
--- a/crates/admission/src/tests/load_rules/mod.rs
+++ b/crates/admission/src/tests/load_rules/mod.rs
@@ -6,6 +6,8 @@
 mod dispatch_order_rules;
 mod local_bucket_rules;
 mod new_request_rules;
+mod request_end_rules;
+mod upkeep_rules;
 mod watermark_rules;
 
 use crate::settings::PlanSettings;
