--- a/crates/admission/src/coordination/gossip_exchange.rs
+++ b/crates/admission/src/coordination/gossip_exchange.rs
@@ -3,7 +3,7 @@
 use crate::gateway::Gateway;
 use crate::id::GatewayIndex;
 use crate::messages::gossip_message::{GossipMessage, MeansOnWire};
-use crate::policy::in_flight_band::MAX_WATERMARK;
+use crate::policy::band::watermark::MAX_WATERMARK;
 use crate::policy::peer_messages::fleet_mean_rules::{
     mean_attempt_age_ms, MEAN_GAIN, MEAN_GAIN_PER_SECOND, RECEIVED_MEAN_GAIN,
 };
--- a/crates/admission/src/lifecycle/mod.rs
+++ b/crates/admission/src/lifecycle/mod.rs
@@ -2,6 +2,11 @@
 //!
 //! What is decided, and by which figures, stands in `policy`.
 mod attempts;
+mod band_control;
 mod customers;
 mod endpoints;
+mod queue_dispatch;
+mod request_admission;
+mod request_deadlines;
 mod requests;
+mod upkeep_schedule;
