--- a/crates/admission/src/coordination/observations.rs
+++ b/crates/admission/src/coordination/observations.rs
@@ -10,6 +10,7 @@
     OBSERVATION_SPAN_S, OBSERVED_RESPONSE_TIME_GAIN, SCOPED_EJECTION,
 };
 use crate::policy::quota_owner::QUOTA_RATE_SPAN_S;
+use crate::policy::slow_start::has_warmed_up;
 use crate::state::{EjectionScope, PendingAttempt};
 
 impl Gateway {
@@ -93,7 +94,7 @@
         let relative = self.latency.relative_to_mean(objective_fraction);
         let baseline = self.latency.kind_baseline(endpoint.kind());
         endpoint.response_time.record_observed(now_ms, relative, baseline, OBSERVED_RESPONSE_TIME_GAIN);
-        if endpoint.has_warmed_up(now_ms, self.settings.warm_up_ms) {
+        if has_warmed_up(endpoint.age_ms(now_ms), self.settings.warm_up_ms) {
             let sample = relative.min(MAX_RELATIVE_SAMPLE);
             self.latency.record_kind_response_time(endpoint.kind(), sample);
             self.latency.record_observed_fraction(objective_fraction);
--- a/crates/admission/src/lifecycle/endpoints.rs
+++ b/crates/admission/src/lifecycle/endpoints.rs
@@ -3,14 +3,14 @@
 //! The figures and the decisions lie in `policy::outlier_detection` and `policy::slow_start`.
 use crate::event::{AttemptEnd, Outcome};
 use crate::gateway::Gateway;
-use crate::id::{ClassIndex, EndpointId, PlanIndex};
+use crate::id::{ClassIndex, PlanIndex};
 use crate::mechanism::backoff::jitter_factor;
 use crate::mechanism::percentile::percentile;
 use crate::policy::outlier_detection::{
     EJECTION, EJECTION_JITTER, ERROR_GAIN, IDLE_AGE_FRACTION, OVERLOAD_EJECTION_FRACTION,
     TYPICAL_AGE_PERCENTILE,
 };
-use crate::state::{Endpoint, WarmUpBudget};
+use crate::state::Endpoint;
 
 impl Gateway {
     /// Learns an endpoint's speed and health from how an attempt ended.
@@ -48,30 +48,4 @@
         let ages = self.endpoints.iter().map(age).collect();
         self.latency.set_typical_age_ms(percentile(ages, TYPICAL_AGE_PERCENTILE).unwrap_or(0.0));
     }
-
-    /// Brings warm-up tokens up to now at the budgets that held until now, and then the rates they follow.
-    pub(crate) fn refill_warm_up_tokens(&mut self) {
-        let now_ms = self.clock.now_ms();
-        let budget_of = |endpoint: &Endpoint| Some((endpoint.id(), self.warm_up_budget(endpoint)?));
-        let budgets: Vec<(EndpointId, WarmUpBudget)> = self.endpoints.iter().filter_map(budget_of).collect();
-        if budgets.is_empty() {
-            return;
-        }
-        for (id, budget) in budgets {
-            if let Some(endpoint) = self.endpoints.get_mut(id) {
-                endpoint.warm_up_tokens.refill(now_ms, budget);
-            }
-        }
-        let warm = self.endpoints.ready().filter(|e| !self.is_warming_up(e));
-        let rates: Vec<_> = warm.map(|e| (e.kind(), e.send_rate(now_ms))).collect();
-        self.slow_start.set_warm_send_rates(rates.into_iter());
-    }
-
-    /// Mean of own attempts in flight at a warm endpoint. Large fleets draw by weights that fall with
-    /// attempts in flight: endpoints that are warming up, with none, would draw most of the work.
-    pub(crate) fn mean_warm_in_flight(&self) -> f64 {
-        let warm = self.endpoints.ready().filter(|e| !self.is_warming_up(e));
-        let counts: Vec<usize> = warm.map(|e| e.in_flight().len()).collect();
-        counts.iter().sum::<usize>() as f64 / counts.len().max(1) as f64
-    }
 }
--- a/crates/admission/src/lifecycle/mod.rs
+++ b/crates/admission/src/lifecycle/mod.rs
@@ -5,3 +5,4 @@
 mod customers;
 mod endpoints;
 mod requests;
+mod warm_up;
--- /dev/null
+++ b/crates/admission/src/lifecycle/warm_up.rs
@@ -0,0 +1,78 @@
+//! What the rules of slow start go by, and the tokens that follow from them.
+use crate::gateway::Gateway;
+use crate::id::{EndpointId, MachineKindIndex, RequestId};
+use crate::policy::slow_start;
+use crate::policy::slow_start::{SendCapacity, WarmUpAdmission, WarmUpBudgetInput};
+use crate::state::{Endpoint, FleetMode, WarmUpBudget};
+
+impl Gateway {
+    /// Fraction of its full capacity that an endpoint has at least, by its age.
+    pub(crate) fn warm_fraction(&self, endpoint: &Endpoint) -> f64 {
+        let settings = &self.settings;
+        let age_ms = endpoint.age_ms(self.clock.now_ms());
+        slow_start::warm_fraction(age_ms, settings.warm_up_ms, settings.cold_start_fraction)
+    }
+
+    /// Whether an endpoint does not have its full capacity yet.
+    pub(crate) fn is_warming_up(&self, endpoint: &Endpoint) -> bool {
+        slow_start::is_warming_up(self.warm_fraction(endpoint))
+    }
+
+    /// Work that the fleet may send an endpoint, as a fraction of a warm endpoint's.
+    pub(crate) fn send_fraction(&self, endpoint: &Endpoint) -> f64 {
+        let warm_fraction = self.warm_fraction(endpoint);
+        match self.coordination.fleet_mode() {
+            FleetMode::Broadcast => slow_start::send_fraction_in_broadcast_mode(warm_fraction),
+            FleetMode::LargeFleet => slow_start::send_fraction_in_large_fleet(warm_fraction),
+        }
+    }
+
+    /// What this gateway may send an endpoint that is warming up; `None` where it is warm.
+    pub(crate) fn warm_up_budget(&self, endpoint: &Endpoint) -> Option<WarmUpBudget> {
+        let warm_fraction = Some(self.warm_fraction(endpoint)).filter(|w| slow_start::is_warming_up(*w))?;
+        Some(slow_start::warm_up_budget(&WarmUpBudgetInput {
+            warm_fraction,
+            warm_send_rate: self.slow_start.warm_send_rate(endpoint.kind()),
+            mean_response_ms: self.latency.mean_response_ms(),
+            typical_age_ms: self.latency.typical_age_ms(),
+            gateways: self.settings.gateways,
+            overload_multiple: self.settings.overload_multiple,
+            overload_window_ms: self.settings.overload_window_ms,
+        }))
+    }
+
+    /// Large fleets: whether an attempt of a request may go to an endpoint that is warming up.
+    pub(crate) fn warm_up_admission(&self, id: RequestId, attempt: usize) -> WarmUpAdmission {
+        let mut capacity = SendCapacity::default();
+        for endpoint in self.endpoints.ready() {
+            let warm_fraction = self.warm_fraction(endpoint);
+            capacity.add(slow_start::send_fraction_in_large_fleet(warm_fraction), warm_fraction);
+        }
+        let draw = slow_start::warm_up_draw(id, self.incarnation, attempt);
+        slow_start::warm_up_admission(&capacity, draw)
+    }
+
+    /// Broadcast mode: brings warm-up tokens up to now by the budgets that held until now, and then the send
+    /// rates that the budgets go by.
+    pub(crate) fn refill_warm_up_tokens(&mut self) {
+        let now_ms = self.clock.now_ms();
+        let budget_of = |endpoint: &Endpoint| Some((endpoint.id(), self.warm_up_budget(endpoint)?));
+        let budgets: Vec<(EndpointId, WarmUpBudget)> = self.endpoints.iter().filter_map(budget_of).collect();
+        if budgets.is_empty() {
+            return;
+        }
+        for (id, budget) in budgets {
+            if let Some(endpoint) = self.endpoints.get_mut(id) {
+                endpoint.warm_up_tokens.refill(now_ms, budget);
+            }
+        }
+        let rates = self.warm_endpoints().map(|e| (e.kind(), e.send_rate(now_ms)));
+        let rates: Vec<(MachineKindIndex, f64)> = rates.collect();
+        self.slow_start.set_warm_send_rates(rates.into_iter());
+    }
+
+    /// The ready endpoints that have their full capacity.
+    pub(crate) fn warm_endpoints(&self) -> impl Iterator<Item = &Endpoint> {
+        self.endpoints.ready().filter(|endpoint| !self.is_warming_up(endpoint))
+    }
+}
--- a/crates/admission/src/policy/endpoint_selection.rs
+++ b/crates/admission/src/policy/endpoint_selection.rs
@@ -3,7 +3,7 @@
 use crate::id::{EndpointId, RequestId};
 use crate::mechanism::weighted_choice::{inverse_cost_weights, weighted_choice};
 use crate::policy::outlier_detection::MIN_HEALTHY_FRACTION;
-use crate::policy::slow_start::{WARM_UP_BUDGET_FRACTION, WARM_UP_WEIGHT};
+use crate::policy::slow_start::{WarmUpAdmission, WARM_UP_BUDGET_FRACTION, WARM_UP_WEIGHT};
 use crate::settings::Idempotency;
 use crate::state::{ActiveRequest, Candidate, Endpoint, ZoneCapacity};
 
@@ -107,9 +107,11 @@
     ) -> Option<EndpointId> {
         let local_fraction = self.local_fraction(&candidates);
         let warming_up = |c: &Candidate<'_>| self.is_warming_up(c.endpoint);
-        match self.warm_up_odds(active.request.id, active.attempt_count()) {
-            Some(odds) => candidates.iter_mut().filter(|c| warming_up(c)).for_each(|c| c.cost /= odds),
-            None => candidates.retain(|c| !warming_up(c)),
+        match self.warm_up_admission(active.request.id, active.attempt_count()) {
+            WarmUpAdmission::Admitted { weight_factor } => {
+                candidates.iter_mut().filter(|c| warming_up(c)).for_each(|c| c.cost /= weight_factor)
+            }
+            WarmUpAdmission::WarmOnly => candidates.retain(|c| !warming_up(c)),
         }
         // Where most look like outliers the cause is not theirs, and none is left out.
         let healthy = candidates.iter().filter(|c| !c.is_outlier).count() as f64;
@@ -122,6 +124,13 @@
         weighted_choice(draw, &weights).map(|index| candidates[index].endpoint.id())
     }
 
+    /// Mean of own attempts in flight at a warm endpoint. Large fleets draw by weights that fall with
+    /// attempts in flight: endpoints that are warming up, with none, would draw most of the work.
+    fn mean_warm_in_flight(&self) -> f64 {
+        let counts: Vec<usize> = self.warm_endpoints().map(|e| e.in_flight().len()).collect();
+        counts.iter().sum::<usize>() as f64 / counts.len().max(1) as f64
+    }
+
     /// Part of the attempts that stay in the local zone: by what its candidates can take beside those of the
     /// mean zone, so that none of them gets more than a candidate of a remote zone.
     fn local_fraction(&self, candidates: &[Candidate<'_>]) -> f64 {
--- a/crates/admission/src/policy/outlier_detection.rs
+++ b/crates/admission/src/policy/outlier_detection.rs
@@ -3,6 +3,7 @@
 use crate::gateway::Gateway;
 use crate::id::ClassIndex;
 use crate::mechanism::backoff::BackoffLimits;
+use crate::policy::slow_start::has_warmed_up;
 use crate::state::{Endpoint, KindDeviation, LatencyGains};
 
 /// Mean response times without an answer that count as a stall: with several attempts in flight, with one,
@@ -156,7 +157,7 @@
         let relative = end.took_ms / self.latency.expected_ms(class);
         let Some(endpoint) = self.endpoints.get_mut(end.endpoint) else { return };
         let unanswered_ms = endpoint.health.unanswered_ms(now_ms);
-        let has_warmed_up = endpoint.has_warmed_up(now_ms, self.settings.warm_up_ms);
+        let has_warmed_up = has_warmed_up(endpoint.age_ms(now_ms), self.settings.warm_up_ms);
         match end.outcome {
             Outcome::Ok => {
                 endpoint.response_time.record_own(unanswered_ms, relative, OWN_RESPONSE_TIME_GAIN);
@@ -179,7 +180,7 @@
     pub(crate) fn learn_mean_response_time(&mut self, end: &AttemptEnd, class: ClassIndex) {
         let now_ms = self.clock.now_ms();
         let Some(endpoint) = self.endpoints.get(end.endpoint) else { return };
-        let has_warmed_up = endpoint.has_warmed_up(now_ms, self.settings.warm_up_ms);
+        let has_warmed_up = has_warmed_up(endpoint.age_ms(now_ms), self.settings.warm_up_ms);
         if end.outcome == Outcome::Ok && has_warmed_up {
             let max_ms = MAX_RESPONSE_SAMPLE * self.latency.expected_ms(class);
             self.latency.record_response_ms(class, end.took_ms.min(max_ms));
--- /dev/null
+++ b/crates/admission/src/policy/slow_start/warm_up_admission.rs
@@ -0,0 +1,68 @@
+//! Large fleets: which requests may go to an endpoint that is warming up.
+use crate::id::RequestId;
+use crate::mechanism::splitmix64::{fraction, mix};
+use crate::policy::slow_start::warm_fraction::is_warming_up;
+
+/// Requests admitted to warming endpoints, as a multiple of these endpoints' fraction of the send capacity. The
+/// fraction of endpoints that are warm is added to it, since warm endpoints then take most of the work.
+const WARM_UP_ADMISSION_FACTOR: f64 = 1.2;
+
+/// Work that the ready endpoints may be sent, in multiples of a warm endpoint's.
+#[derive(Debug, Clone, Copy, Default)]
+pub(crate) struct SendCapacity {
+    total: f64,
+    warming_up: f64,
+    warm_endpoints: u32,
+    endpoints: u32,
+}
+
+impl SendCapacity {
+    /// Adds an endpoint that may be sent `send_fraction` of a warm endpoint's work.
+    pub(crate) fn add(&mut self, send_fraction: f64, warm_fraction: f64) {
+        self.total += send_fraction;
+        self.endpoints += 1;
+        if is_warming_up(warm_fraction) {
+            self.warming_up += send_fraction;
+        } else {
+            self.warm_endpoints += 1;
+        }
+    }
+
+    /// Fraction of the endpoints that are warm.
+    fn warm_endpoint_fraction(&self) -> f64 {
+        f64::from(self.warm_endpoints) / f64::from(self.endpoints.max(1))
+    }
+}
+
+/// Whether a request may go to an endpoint that is warming up.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub(crate) enum WarmUpAdmission {
+    /// It may, and these endpoints then weigh this many times as much: few requests are admitted, and these
+    /// have to use the capacity of all.
+    Admitted {
+        /// Factor on the weight of a warming endpoint; at least 1.
+        weight_factor: f64,
+    },
+    /// It goes to a warm endpoint.
+    WarmOnly,
+}
+
+/// Whether an attempt may go to an endpoint that is warming up, by a draw from 0 to 1.
+///
+/// The admitted fraction of requests is little more than these endpoints' fraction of the capacity, however
+/// busy or faulty the warm ones are: work that these cannot take would overload an endpoint that has just
+/// started.
+pub(crate) fn warm_up_admission(capacity: &SendCapacity, draw: f64) -> WarmUpAdmission {
+    let factor = WARM_UP_ADMISSION_FACTOR + capacity.warm_endpoint_fraction();
+    if draw * capacity.total < factor * capacity.warming_up {
+        WarmUpAdmission::Admitted { weight_factor: capacity.total / capacity.warming_up }
+    } else {
+        WarmUpAdmission::WarmOnly
+    }
+}
+
+/// The draw for an attempt, from 0 to 1. It is a hash, so that a request that waits for an endpoint does not get
+/// another draw with each poll.
+pub(crate) fn warm_up_draw(request: RequestId, incarnation: u32, attempt: usize) -> f64 {
+    fraction(mix(mix(request.0 ^ u64::from(incarnation)).wrapping_add(attempt as u64)))
+}
--- a/crates/admission/src/state/endpoint/endpoint_record.rs
+++ b/crates/admission/src/state/endpoint/endpoint_record.rs
@@ -115,19 +115,6 @@
     pub(crate) fn age_ms(&self, now_ms: f64) -> Option<f64> {
         self.entry.started_at_ms.map(|started_ms| now_ms - started_ms)
     }
-
-    /// Part of its capacity that it has at least: from `initial` at the start of its process it rises evenly
-    /// to 1 in `warm_up_ms`.
-    pub(crate) fn warm_fraction(&self, now_ms: f64, warm_up_ms: f64, initial: f64) -> f64 {
-        let Some(age_ms) = self.age_ms(now_ms).filter(|_| warm_up_ms > 0.0) else { return 1.0 };
-        let progress = (age_ms / warm_up_ms).clamp(0.0, 1.0);
-        initial + (1.0 - initial) * progress
-    }
-
-    /// Whether its process started at least `warm_up_ms` ago.
-    pub(crate) fn has_warmed_up(&self, now_ms: f64, warm_up_ms: f64) -> bool {
-        self.age_ms(now_ms).is_none_or(|age_ms| age_ms >= warm_up_ms)
-    }
 }
 
 /// This gateway's own attempts.
--- a/crates/admission/src/state/endpoint/warm_up_tokens.rs
+++ b/crates/admission/src/state/endpoint/warm_up_tokens.rs
@@ -72,33 +72,3 @@
         self.send_rate_by_kind = rates_by_kind.into_iter().map(|(kind, rates)| (kind, mean(rates))).collect();
     }
 }
-
-/// Work that the ready endpoints may be sent, in parts of a warm endpoint's.
-#[derive(Debug, Clone, Copy, Default)]
-pub(crate) struct FleetCapacity {
-    /// That of all of them.
-    pub(crate) total: f64,
-    /// That of those which are warming up.
-    pub(crate) warming_up: f64,
-    warm_count: u32,
-    count: u32,
-}
-
-impl FleetCapacity {
-    /// Adds an endpoint that may be sent this part of a warm one's work; `warm_fraction` is below 1 while it is
-    /// warming up.
-    pub(crate) fn add(&mut self, capacity: f64, warm_fraction: f64) {
-        self.total += capacity;
-        self.count += 1;
-        if warm_fraction < 1.0 {
-            self.warming_up += capacity;
-        } else {
-            self.warm_count += 1;
-        }
-    }
-
-    /// Warm endpoints among all, as a fraction.
-    pub(crate) fn warm_fraction(&self) -> f64 {
-        f64::from(self.warm_count) / f64::from(self.count.max(1))
-    }
-}
--- a/crates/admission/src/state/mod.rs
+++ b/crates/admission/src/state/mod.rs
@@ -6,9 +6,9 @@
 mod request;
 
 pub(crate) use endpoint::{
-    Candidate, EjectionScope, Endpoint, EndpointHealth, EndpointSmoothing, EndpointTable, FleetCapacity,
-    InFlightAttempt, KindDeviation, LatencyGains, LatencyModel, ObservedHealth, OutlierDetector,
-    RecentObservations, RelativeResponseTime, SlowStart, WarmUpBudget, WarmUpTokens, ZoneCapacity,
+    Candidate, EjectionScope, Endpoint, EndpointHealth, EndpointSmoothing, EndpointTable, InFlightAttempt,
+    KindDeviation, LatencyGains, LatencyModel, ObservedHealth, OutlierDetector, RecentObservations,
+    RelativeResponseTime, SlowStart, WarmUpBudget, WarmUpTokens, ZoneCapacity,
 };
 pub(crate) use event_clock::EventClock;
 pub(crate) use fleet::{
--- a/crates/admission/src/tests/endpoint_rules/mod.rs
+++ b/crates/admission/src/tests/endpoint_rules/mod.rs
@@ -1,1 +1,7 @@
 //! Rules on endpoints: selection, ejection, slow start, and retries.
+mod slow_start_rules;
+
+/// Whether two figures agree but for rounding.
+fn is_close(left: f64, right: f64) -> bool {
+    (left - right).abs() < 1e-9
+}
--- /dev/null
+++ b/crates/admission/src/tests/endpoint_rules/slow_start_rules.rs
@@ -0,0 +1,84 @@
+//! Slow start: the capacity of warming endpoints, their budgets, and the admission to them.
+use super::is_close;
+use crate::id::RequestId;
+use crate::policy::slow_start::{
+    has_warmed_up, send_fraction_in_broadcast_mode, send_fraction_in_large_fleet, warm_fraction,
+    warm_up_admission, warm_up_budget, warm_up_draw, SendCapacity, WarmUpAdmission, WarmUpBudgetInput,
+};
+
+#[test]
+fn capacity_rises_evenly_from_the_initial_fraction_to_1() {
+    // Age of the process, time to warm up, initial fraction, and the fraction expected.
+    let rows = [
+        (None, 10_000.0, 0.2, 1.0),
+        (Some(0.0), 10_000.0, 0.2, 0.2),
+        (Some(5_000.0), 10_000.0, 0.2, 0.6),
+        (Some(20_000.0), 10_000.0, 0.2, 1.0),
+        (Some(-5.0), 10_000.0, 0.2, 0.2),
+        (Some(0.0), 0.0, 0.2, 1.0),
+    ];
+    for (age_ms, warm_up_ms, initial, expected) in rows {
+        let fraction = warm_fraction(age_ms, warm_up_ms, initial);
+        assert!(is_close(fraction, expected), "{fraction} at {age_ms:?} of {warm_up_ms} ms");
+    }
+}
+
+#[test]
+fn an_endpoint_has_warmed_up_from_the_time_of_the_settings_on() {
+    for (age_ms, expected) in [(None, true), (Some(999.0), false), (Some(1000.0), true)] {
+        assert_eq!(has_warmed_up(age_ms, 1000.0), expected, "{age_ms:?}");
+    }
+}
+
+#[test]
+fn a_warming_endpoint_is_sent_less_than_its_capacity() {
+    assert!(is_close(send_fraction_in_broadcast_mode(0.5), 0.6 * 0.5));
+    assert!(is_close(send_fraction_in_large_fleet(0.5), 0.5 * 0.5));
+    assert!(is_close(send_fraction_in_broadcast_mode(1.0), 1.0));
+    assert!(is_close(send_fraction_in_large_fleet(1.0), 1.0));
+}
+
+#[test]
+fn the_budget_is_the_larger_of_the_even_quota_and_the_rate_of_a_warm_endpoint() {
+    let quiet = WarmUpBudgetInput {
+        warm_fraction: 0.5,
+        warm_send_rate: 0.0,
+        mean_response_ms: 100.0,
+        typical_age_ms: 50.0,
+        gateways: 4,
+        overload_multiple: 2.0,
+        overload_window_ms: 1000.0,
+    };
+    // 10 responses a second over 4 gateways, 0.6 of twice that, at half capacity.
+    let rows = [
+        ("even quota", quiet, 1.5),
+        ("warm endpoints get more", WarmUpBudgetInput { warm_send_rate: 10.0, ..quiet }, 0.6 * 7.0),
+        ("attempts in flight are old", WarmUpBudgetInput { typical_age_ms: 200.0, ..quiet }, 0.75),
+    ];
+    for (name, input, expected) in rows {
+        let budget = warm_up_budget(&input);
+        assert!(is_close(budget.tokens_per_second, expected), "{name}: {budget:?}");
+        assert!(is_close(budget.max_tokens, expected * 0.5), "{name}: half a window is saved: {budget:?}");
+    }
+}
+
+#[test]
+fn requests_are_admitted_to_warming_endpoints_by_their_fraction_of_the_capacity() {
+    let mut capacity = SendCapacity::default();
+    (0..3).for_each(|_| capacity.add(1.0, 1.0));
+    capacity.add(0.25, 0.5);
+    // Three of four endpoints are warm: 1.2 + 0.75 times the fraction 0.25 of 3.25, which is 0.15.
+    assert_eq!(warm_up_admission(&capacity, 0.14), WarmUpAdmission::Admitted { weight_factor: 13.0 });
+    assert_eq!(warm_up_admission(&capacity, 0.16), WarmUpAdmission::WarmOnly);
+    assert_eq!(warm_up_admission(&SendCapacity::default(), 0.0), WarmUpAdmission::WarmOnly);
+}
+
+#[test]
+fn a_request_draws_once_for_each_attempt() {
+    let draw = |request, incarnation, attempt| warm_up_draw(RequestId(request), incarnation, attempt);
+    assert_eq!(draw(7, 1, 0), draw(7, 1, 0));
+    for other in [draw(8, 1, 0), draw(7, 2, 0), draw(7, 1, 1)] {
+        assert_ne!(draw(7, 1, 0), other);
+        assert!((0.0..1.0).contains(&other));
+    }
+}
