--- a/crates/admission/src/lifecycle/mod.rs
+++ b/crates/admission/src/lifecycle/mod.rs
@@ -4,5 +4,7 @@
 mod attempts;
 mod customers;
 mod endpoints;
+mod outlier_checks;
 mod requests;
+mod response_times;
 mod warm_up;
--- /dev/null
+++ b/crates/admission/src/lifecycle/outlier_checks.rs
@@ -0,0 +1,91 @@
+//! What the rules of outlier detection go by.
+use crate::event::AttemptEnd;
+use crate::gateway::Gateway;
+use crate::id::ClassIndex;
+use crate::policy::observation::OBSERVATION_SPAN_S;
+use crate::policy::outlier;
+use crate::policy::outlier::{AttemptFailureInput, HealthVerdict, StallInput, Symptoms, UnresponsiveInput};
+use crate::state::{Endpoint, FleetMode};
+
+impl Gateway {
+    /// Finds out whether so many endpoints look like outliers that the cause is not theirs.
+    pub(crate) fn detect_correlated_failure(&mut self) {
+        let ready = self.endpoints.ready().count();
+        let healthy = self.endpoints.ready().filter(|endpoint| !self.is_outlier(endpoint)).count();
+        self.outliers.set_correlated_failure(outlier::is_correlated_failure(healthy, ready));
+    }
+
+    /// Whether an endpoint shows a fault to this gateway itself.
+    pub(crate) fn is_outlier(&self, endpoint: &Endpoint) -> bool {
+        outlier::is_outlier(&Symptoms {
+            is_gone: endpoint.is_gone(),
+            is_ejected: endpoint.health.is_ejected(self.clock.now_ms()),
+            stall_ratio: self.stall_ratio(endpoint),
+        })
+    }
+
+    /// Time without any response while attempts are in flight, in multiples of what counts as a stall; 0 where
+    /// none is in flight.
+    pub(crate) fn stall_ratio(&self, endpoint: &Endpoint) -> f64 {
+        let Some(oldest_sent_ms) = endpoint.oldest_sent_ms() else { return 0.0 };
+        outlier::stall_ratio(&StallInput {
+            now_ms: self.clock.now_ms(),
+            oldest_sent_ms,
+            last_response_ms: endpoint.health.last_response_ms(),
+            in_flight: endpoint.in_flight().len(),
+            relative_response_time: endpoint.response_time.last(),
+            warm_fraction: self.warm_fraction(endpoint),
+            reference_ms: outlier::reference_ms(
+                self.latency.mean_response_ms(),
+                self.latency.typical_age_ms(),
+            ),
+        })
+    }
+
+    /// Whether the fleet gets no responses from an endpoint any more. In broadcast mode gateways exchange no
+    /// observations that would show it.
+    pub(crate) fn is_unresponsive(&self, endpoint: &Endpoint) -> bool {
+        let now_ms = self.clock.now_ms();
+        match self.coordination.fleet_mode() {
+            FleetMode::Broadcast => false,
+            FleetMode::LargeFleet => outlier::is_unresponsive(&UnresponsiveInput {
+                missed_responses: endpoint.observed.missed_responses(),
+                since_response_ms: endpoint.observed.since_response_ms(now_ms),
+                observed_responses_per_second: self
+                    .outliers
+                    .observed_responses_per_second(now_ms, OBSERVATION_SPAN_S),
+                endpoints: self.endpoints.len(),
+            }),
+        }
+    }
+
+    /// What follows for an endpoint from the end of an attempt that its health has recorded.
+    pub(crate) fn health_verdict(
+        &self,
+        endpoint: &Endpoint,
+        end: &AttemptEnd,
+        class: ClassIndex,
+    ) -> HealthVerdict {
+        let input = AttemptFailureInput {
+            outcome: end.outcome,
+            took_ms: end.took_ms,
+            error_fraction: endpoint.health.error_fraction(),
+            consecutive_failures: endpoint.health.consecutive_failures(),
+            since_response_ms: endpoint.health.since_response_ms(self.clock.now_ms()),
+            class_response_ms: self.latency.expected_ms(class),
+            typical_age_ms: self.latency.typical_age_ms(),
+        };
+        match self.coordination.fleet_mode() {
+            FleetMode::Broadcast => outlier::verdict_in_broadcast_mode(&input),
+            FleetMode::LargeFleet => outlier::verdict_in_large_fleet(&input),
+        }
+    }
+
+    /// Broadcast mode: measures the typical age of own attempts in flight.
+    pub(crate) fn update_typical_age(&mut self) {
+        let now_ms = self.clock.now_ms();
+        let ages_ms = self.endpoints.iter().map(|endpoint| endpoint.mean_in_flight_age_ms(now_ms));
+        let typical_ms = outlier::typical_age_ms(ages_ms, self.latency.mean_response_ms());
+        self.latency.set_typical_age_ms(typical_ms);
+    }
+}
--- a/crates/admission/src/messages/observation_code.rs
+++ b/crates/admission/src/messages/observation_code.rs
@@ -2,23 +2,28 @@
 use crate::id::{ClassIndex, PlanIndex};
 use crate::messages::base64_digits::{put, take};
 
-/// Codes of one class: its answers by response time, and its failure.
+/// Codes of one class: its responses by response time, and its failure.
 const CODES_PER_CLASS: u32 = 64;
 
 /// Code, within its class, of a failure.
 const FAILED: u32 = 63;
 
-/// Codes from here on name the plan whose request was turned away; codes below belong to classes.
+/// Codes from here on name the plan whose request was rejected; codes below belong to classes.
 const FIRST_PLAN_CODE: u32 = 4000;
 
 /// Highest code that two digits hold.
 const MAX_CODE: u32 = 4095;
 
-/// Scale of response times: steps to an octave, octaves below the objective at which it begins, its highest
-/// step, and the shortest response time that is told apart from none, in parts of the objective.
+/// Steps of the scale of response times for each doubling.
 const STEPS_PER_OCTAVE: f64 = 5.0;
+
+/// Doublings between the first step of the scale and the latency objective.
 const OCTAVES_BELOW_OBJECTIVE: f64 = 6.0;
+
+/// Highest step of the scale.
 const MAX_STEP: f64 = 60.0;
+
+/// Shortest response time that is distinguished, as a fraction of the latency objective.
 const MIN_OBJECTIVE_FRACTION: f64 = 1e-3;
 
 /// What a gateway observed of an endpoint.
@@ -33,37 +38,37 @@
 /// What an attempt showed of its endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ObservationKind {
-    /// It answered a request of a class.
-    Answered {
+    /// It responded to a request of a class.
+    Responded {
         /// The class, an index into the settings.
         class: ClassIndex,
         /// How long that took.
         response_time: ResponseTimeCode,
     },
-    /// A request of a class failed, or got no answer in time.
+    /// A request of a class failed, or got no response in time.
     Failed {
         /// The class, an index into the settings.
         class: ClassIndex,
     },
-    /// It turned a request of a plan away.
+    /// It rejected a request of a plan.
     Rejected {
         /// The plan, an index into the settings.
         plan: PlanIndex,
     },
 }
 
-/// A response time in parts of the class's latency objective, on a logarithmic scale.
+/// A response time as a fraction of the class's latency objective, on a logarithmic scale.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct ResponseTimeCode(u32);
 
 impl ResponseTimeCode {
-    /// The code next to a response time given in parts of the objective.
+    /// The code next to a response time, given as a fraction of the objective.
     pub(crate) fn from_objective_fraction(fraction: f64) -> Self {
         let octaves = fraction.max(MIN_OBJECTIVE_FRACTION).log2() + OCTAVES_BELOW_OBJECTIVE;
         ResponseTimeCode((octaves * STEPS_PER_OCTAVE).round().clamp(0.0, MAX_STEP) as u32)
     }
 
-    /// The response time that the code stands for, in parts of the objective.
+    /// The response time that the code stands for, as a fraction of the objective.
     pub(crate) fn objective_fraction(self) -> f64 {
         2f64.powf(f64::from(self.0) / STEPS_PER_OCTAVE - OCTAVES_BELOW_OBJECTIVE)
     }
@@ -73,7 +78,7 @@
     /// The number that stands for it on the wire.
     fn code(self) -> u32 {
         match self {
-            ObservationKind::Answered { class, response_time } => {
+            ObservationKind::Responded { class, response_time } => {
                 CODES_PER_CLASS * class.0 as u32 + response_time.0
             }
             ObservationKind::Failed { class } => CODES_PER_CLASS * class.0 as u32 + FAILED,
@@ -89,7 +94,7 @@
         let class = ClassIndex((code / CODES_PER_CLASS) as usize);
         match code % CODES_PER_CLASS {
             FAILED => ObservationKind::Failed { class },
-            step => ObservationKind::Answered { class, response_time: ResponseTimeCode(step) },
+            step => ObservationKind::Responded { class, response_time: ResponseTimeCode(step) },
         }
     }
 }
@@ -101,7 +106,7 @@
         put(text, self.kind.code().min(MAX_CODE), 2);
     }
 
-    /// Reads an observation from a message; `None` where its digits are not all there.
+    /// Reads an observation from a message; `None` where digits are missing.
     pub(crate) fn decode(bytes: &mut std::str::Bytes<'_>) -> Option<Self> {
         let endpoint = take(bytes, 4)?;
         let kind = ObservationKind::from_code(take(bytes, 2)?);
--- a/crates/admission/src/policy/endpoint_selection.rs
+++ b/crates/admission/src/policy/endpoint_selection.rs
@@ -2,7 +2,7 @@
 use crate::gateway::Gateway;
 use crate::id::{EndpointId, RequestId};
 use crate::mechanism::weighted_choice::{inverse_cost_weights, weighted_choice};
-use crate::policy::outlier_detection::MIN_HEALTHY_FRACTION;
+use crate::policy::outlier::is_correlated_failure;
 use crate::policy::slow_start::{WarmUpAdmission, WARM_UP_BUDGET_FRACTION, WARM_UP_WEIGHT};
 use crate::settings::Idempotency;
 use crate::state::{ActiveRequest, Candidate, Endpoint, ZoneCapacity};
@@ -47,7 +47,7 @@
         let mut cost = (endpoint.in_flight().len() as f64 + 1.0) / self.warm_fraction(endpoint);
         cost *= if active.was_sent_to(endpoint.id()) { REPEAT_COST } else { 1.0 };
         cost *= if endpoint.zone() == self.settings.zone { 1.0 } else { REMOTE_ZONE_COST };
-        cost *= endpoint.response_time.own(endpoint.health.unanswered_ms(now_ms));
+        cost *= endpoint.response_time.own(endpoint.health.since_response_ms(now_ms));
         if let Some(budget) = self.warm_up_budget(endpoint) {
             if endpoint.warm_up_tokens.available(now_ms, budget) < 1.0 {
                 return None;
@@ -114,8 +114,8 @@
             WarmUpAdmission::WarmOnly => candidates.retain(|c| !warming_up(c)),
         }
         // Where most look like outliers the cause is not theirs, and none is left out.
-        let healthy = candidates.iter().filter(|c| !c.is_outlier).count() as f64;
-        let is_shared_cause = healthy < MIN_HEALTHY_FRACTION * candidates.len() as f64;
+        let healthy = candidates.iter().filter(|c| !c.is_outlier).count();
+        let is_shared_cause = is_correlated_failure(healthy, candidates.len());
         if !self.outliers.is_correlated_failure() && !is_shared_cause {
             candidates.retain(|c| !c.is_outlier);
         }
--- a/crates/admission/src/policy/in_flight_band.rs
+++ b/crates/admission/src/policy/in_flight_band.rs
@@ -2,7 +2,8 @@
 use crate::gateway::Gateway;
 use crate::id::RequestId;
 use crate::policy::coordination::PEER_TIMEOUT_MS;
-use crate::policy::outlier_detection::{CLEARLY_SLOW, HUNG_STALL_RATIO};
+use crate::policy::outlier::HUNG_STALL_RATIO;
+use crate::policy::response_time::CLEARLY_SLOW;
 use crate::state::{Band, BandLoad, BandPosition, Endpoint};
 
 /// Attempts in flight per ready endpoint where the band starts, the paper's `watermarkPerBackend`. The
--- /dev/null
+++ b/crates/admission/src/policy/observation/attempt_observation.rs
@@ -0,0 +1,33 @@
+//! What the end of an own attempt shows the fleet of its endpoint, and how many observations are sent on.
+use crate::event::Outcome;
+use crate::id::{ClassIndex, PlanIndex};
+use crate::messages::observation_code::{ObservationKind, ResponseTimeCode};
+
+/// Observations in a message, at most, and retained for the next ones.
+pub(crate) const MAX_OBSERVATIONS: usize = 3;
+
+/// Span over which the rate of observed responses is smoothed, in seconds.
+pub(crate) const OBSERVATION_SPAN_S: f64 = 3.0;
+
+/// What the end of an attempt shows of its endpoint; `None` where it shows nothing. `objective_fraction` is the
+/// time it took as a fraction of the latency objective.
+pub(crate) fn observation_of_attempt(
+    outcome: Outcome,
+    class: ClassIndex,
+    plan: PlanIndex,
+    objective_fraction: f64,
+) -> Option<ObservationKind> {
+    match outcome {
+        Outcome::Ok => {
+            let response_time = ResponseTimeCode::from_objective_fraction(objective_fraction);
+            Some(ObservationKind::Responded { class, response_time })
+        }
+        Outcome::Overloaded => Some(ObservationKind::Rejected { plan }),
+        // A time-out is a failure and not a slow response: it shows a fault of this endpoint, not how slow the
+        // fleet is.
+        Outcome::Error | Outcome::Reset | Outcome::ConnectFailed | Outcome::TimedOut => {
+            Some(ObservationKind::Failed { class })
+        }
+        Outcome::Cancelled | Outcome::TooLate => None,
+    }
+}
--- /dev/null
+++ b/crates/admission/src/policy/outlier/mod.rs
@@ -0,0 +1,16 @@
+//! Outlier detection: which endpoints are faulty, and for how long they are ejected.
+mod attempt_failure;
+mod class_failure;
+mod correlated_failure;
+mod ejection;
+mod stall;
+mod unresponsive;
+
+pub(crate) use attempt_failure::{
+    verdict_in_broadcast_mode, verdict_in_large_fleet, AttemptFailureInput, HealthVerdict, ERROR_GAIN,
+};
+pub(crate) use class_failure::{fails_class, CLASS_FAILURE_GAIN};
+pub(crate) use correlated_failure::is_correlated_failure;
+pub(crate) use ejection::{ejection_jitter, is_outlier, Symptoms, EJECTION, SCOPED_EJECTION};
+pub(crate) use stall::{reference_ms, stall_ratio, typical_age_ms, StallInput, HUNG_STALL_RATIO};
+pub(crate) use unresponsive::{is_unresponsive, UnresponsiveInput};
--- a/crates/admission/src/policy/retry.rs
+++ b/crates/admission/src/policy/retry.rs
@@ -4,7 +4,7 @@
 use crate::id::{ClassIndex, RequestId};
 use crate::policy::upkeep::UPKEEP_MS;
 use crate::settings::Idempotency;
-use crate::state::{ActiveRequest, AttemptRef, EjectionScope, Endpoint, PendingAttempt};
+use crate::state::{ActiveRequest, AttemptRef, EjectionScope, Endpoint, FleetMode, PendingAttempt};
 
 /// Retry tokens at the start, those that each first attempt brings, and the limit to which they are saved up.
 pub(crate) const INITIAL_RETRY_TOKENS: f64 = 10.0;
@@ -68,7 +68,10 @@
             return;
         }
         let stalled = self.stalled_attempts();
-        self.report_long_attempts();
+        match self.coordination.fleet_mode() {
+            FleetMode::Broadcast => {}
+            FleetMode::LargeFleet => self.report_long_attempts(),
+        }
         for AttemptRef { request, attempt } in stalled {
             let Some(active) = self.requests.get(request) else { continue };
             let is_hedged = active.pending_attempts().count() > 1;
--- a/crates/admission/src/startup.rs
+++ b/crates/admission/src/startup.rs
@@ -3,10 +3,8 @@
 use crate::mechanism::splitmix64::{mix, SplitMix64};
 use crate::policy::coordination::broadcast_reaches_all;
 use crate::policy::in_flight_band::INITIAL_DISPATCH_CREDIT;
-use crate::policy::outlier_detection::{
-    INITIAL_OBJECTIVE_FRACTION, LATENCY_GAINS, RESPONSE_TIME_HALF_LIFE_MS,
-};
 use crate::policy::quota_owner::INITIAL_QUOTA_MESSAGES;
+use crate::policy::response_time::{INITIAL_OBJECTIVE_FRACTION, LATENCY_GAINS, RESPONSE_TIME_HALF_LIFE_MS};
 use crate::policy::retry::INITIAL_RETRY_TOKENS;
 use crate::policy::slow_start::SEND_RATE_SPAN_S;
 use crate::settings::{Settings, SettingsError};
--- a/crates/admission/src/state/endpoint/endpoint_health.rs
+++ b/crates/admission/src/state/endpoint/endpoint_health.rs
@@ -6,34 +6,34 @@
 /// An endpoint's health as this gateway's own attempts show it.
 #[derive(Debug)]
 pub(crate) struct EndpointHealth {
-    /// When an own attempt was last answered.
-    answered_ms: f64,
+    /// When the endpoint last responded to an own attempt, in ms.
+    last_response_ms: f64,
     /// Fraction of own attempts that ended in errors or broken connections, smoothed.
     error_fraction: f64,
-    /// How long the endpoint is left alone after failures.
+    /// For how long the endpoint is ejected after failures.
     ejection: Backoff,
 }
 
 impl EndpointHealth {
-    /// A healthy endpoint, taken to have answered at `now_ms`.
+    /// A healthy endpoint, taken to have responded at `now_ms`.
     pub(crate) fn new(now_ms: f64) -> Self {
-        EndpointHealth { answered_ms: now_ms, error_fraction: 0.0, ejection: Backoff::default() }
+        EndpointHealth { last_response_ms: now_ms, error_fraction: 0.0, ejection: Backoff::default() }
     }
 
-    /// Records how an own attempt ended. An answer of any kind is a sign of life; errors and broken
-    /// connections count by `error_gain` in the smoothed fraction.
+    /// Records how an own attempt ended. A response of any kind shows that the endpoint is
+    /// alive. Errors and broken connections have the weight `error_gain` in the smoothed fraction.
     pub(crate) fn record_outcome(&mut self, outcome: Outcome, now_ms: f64, error_gain: f64) {
         match outcome {
             Outcome::Ok => {
-                self.answered_ms = now_ms;
+                self.last_response_ms = now_ms;
                 self.ejection.reset_failures();
                 self.error_fraction *= 1.0 - error_gain;
             }
             Outcome::Error => {
-                self.answered_ms = now_ms;
+                self.last_response_ms = now_ms;
                 smooth(&mut self.error_fraction, 1.0, error_gain);
             }
-            Outcome::Overloaded => self.answered_ms = now_ms,
+            Outcome::Overloaded => self.last_response_ms = now_ms,
             Outcome::ConnectFailed | Outcome::Reset => smooth(&mut self.error_fraction, 1.0, error_gain),
             Outcome::TimedOut | Outcome::Cancelled | Outcome::TooLate => {}
         }
@@ -44,14 +44,14 @@
         self.error_fraction
     }
 
-    /// When an own attempt was last answered.
-    pub(crate) fn answered_ms(&self) -> f64 {
-        self.answered_ms
+    /// When the endpoint last responded to an own attempt, in ms.
+    pub(crate) fn last_response_ms(&self) -> f64 {
+        self.last_response_ms
     }
 
-    /// Time since an own attempt was last answered.
-    pub(crate) fn unanswered_ms(&self, now_ms: f64) -> f64 {
-        now_ms - self.answered_ms
+    /// Time since the endpoint last responded to an own attempt, in ms.
+    pub(crate) fn since_response_ms(&self, now_ms: f64) -> f64 {
+        now_ms - self.last_response_ms
     }
 
     /// Failures in a row that each led to an ejection.
@@ -59,17 +59,17 @@
         self.ejection.failures()
     }
 
-    /// Whether the endpoint is left alone.
+    /// Whether the endpoint is ejected or paused.
     pub(crate) fn is_ejected(&self, now_ms: f64) -> bool {
         self.ejection.is_active(now_ms)
     }
 
-    /// Leaves the endpoint alone after a failure, the longer the more failures came before.
+    /// Ejects the endpoint after a failure, the longer the more failures came before.
     pub(crate) fn eject(&mut self, now_ms: f64, limits: BackoffLimits, jitter: f64) {
         self.ejection.record_failure(now_ms, limits, jitter);
     }
 
-    /// Leaves the endpoint alone until a time without counting a failure.
+    /// Pauses the endpoint until a time, without counting a failure.
     pub(crate) fn pause_until(&mut self, until_ms: f64) {
         self.ejection.pause_until(until_ms);
     }
--- a/crates/admission/src/state/endpoint/outlier_detector.rs
+++ b/crates/admission/src/state/endpoint/outlier_detector.rs
@@ -6,7 +6,7 @@
 pub(crate) struct OutlierDetector {
     /// Most endpoints look like outliers.
     correlated_failure: bool,
-    /// Answers of endpoints a second that the fleet observed, as far as this gateway learns of them.
+    /// Responses of endpoints a second that the fleet observes, as far as this gateway is notified.
     response_rate: DecayingRate,
 }
 
@@ -21,12 +21,12 @@
         self.correlated_failure = correlated;
     }
 
-    /// Counts an answer that some gateway observed; the rate is smoothed over `span_s`.
+    /// Counts a response that some gateway observed; the rate is smoothed over `span_s` seconds.
     pub(crate) fn record_observed_response(&mut self, now_ms: f64, span_s: f64) {
         self.response_rate.add(1.0, now_ms, span_s);
     }
 
-    /// Answers a second that the fleet observed.
+    /// Responses a second that the fleet observes.
     pub(crate) fn observed_responses_per_second(&self, now_ms: f64, span_s: f64) -> f64 {
         self.response_rate.now(now_ms, span_s)
     }
--- a/crates/admission/src/state/endpoint/recent_observations.rs
+++ b/crates/admission/src/state/endpoint/recent_observations.rs
@@ -1,4 +1,4 @@
-//! Own observations of endpoints that go along with the next messages.
+//! Own observations of endpoints, to be sent with the next messages.
 use crate::messages::observation_code::Observation;
 use std::collections::VecDeque;
 
@@ -9,7 +9,7 @@
 }
 
 impl RecentObservations {
-    /// Keeps an observation, unless it is the same as the last, and drops the oldest beyond the limit.
+    /// Adds an observation, unless it is the same as the last, and drops the oldest beyond the limit.
     pub(crate) fn push(&mut self, observation: Observation, limit: usize) {
         if self.latest.back() != Some(&observation) {
             self.latest.push_back(observation);
@@ -19,7 +19,7 @@
         }
     }
 
-    /// The observations kept.
+    /// The observations, oldest first.
     pub(crate) fn to_vec(&self) -> Vec<Observation> {
         self.latest.iter().copied().collect()
     }
--- a/crates/admission/src/state/endpoint/relative_response_time.rs
+++ b/crates/admission/src/state/endpoint/relative_response_time.rs
@@ -1,23 +1,15 @@
 //! An endpoint's response time over what is usual.
 use crate::mechanism::smoothing::{decay_towards, smooth};
 
-/// An endpoint's relative response time beside that of its machine kind.
-#[derive(Debug, Clone, Copy, PartialEq)]
-pub(crate) struct KindDeviation {
-    /// Usual relative response time of the kind.
-    pub(crate) baseline: f64,
-    /// The endpoint's over that of a clearly slow one of its kind; at least 1.
-    pub(crate) excess: f64,
-}
-
-/// An endpoint's response time over what is usual, smoothed. Small fleets learn it from own attempts, large
-/// ones from what their gateways observe.
+/// An endpoint's response time over what is usual, smoothed. In broadcast mode it is learned from own attempts,
+/// in large fleets from what their gateways observe.
 #[derive(Debug)]
 pub(crate) struct RelativeResponseTime {
+    /// The value when it was last recorded; it has no unit.
     value: f64,
-    /// When some gateway last observed it.
+    /// When some gateway last observed it, in ms.
     observed_ms: f64,
-    /// Without samples, half of the distance to what is usual is forgotten in this time.
+    /// Without samples, the distance to what is usual halves in this time, in ms.
     half_life_ms: f64,
 }
 
@@ -32,22 +24,22 @@
         self.value
     }
 
-    /// As own attempts show it, of which none was answered for `unanswered_ms`. It returns to 1.
-    pub(crate) fn own(&self, unanswered_ms: f64) -> f64 {
-        decay_towards(1.0, self.value, unanswered_ms, self.half_life_ms)
+    /// As own attempts show it, of which none got a response for `since_response_ms`. It returns to 1.
+    pub(crate) fn own(&self, since_response_ms: f64) -> f64 {
+        decay_towards(1.0, self.value, since_response_ms, self.half_life_ms)
     }
 
-    /// Records an own attempt that was answered.
-    pub(crate) fn record_own(&mut self, unanswered_ms: f64, sample: f64, gain: f64) {
-        self.value = self.own(unanswered_ms);
+    /// Records the response time of an own attempt.
+    pub(crate) fn record_own(&mut self, since_response_ms: f64, sample: f64, gain: f64) {
+        self.value = self.own(since_response_ms);
         smooth(&mut self.value, sample, gain);
     }
 
-    /// Records an own attempt that timed out. Its sample can only be too low, so that it never lowers the
-    /// smoothed value.
-    pub(crate) fn record_own_time_out(&mut self, unanswered_ms: f64, sample: f64, gain: f64) {
-        let current = self.own(unanswered_ms);
-        self.record_own(unanswered_ms, sample.max(current), gain);
+    /// Records that an own attempt got no response within a time. The sample can only be too low, so that it
+    /// never lowers the smoothed value.
+    pub(crate) fn record_own_at_least(&mut self, since_response_ms: f64, sample: f64, gain: f64) {
+        let current = self.own(since_response_ms);
+        self.record_own(since_response_ms, sample.max(current), gain);
     }
 
     /// As the fleet observes it. Without observations it returns to `baseline`, what is usual of its kind.
--- a/crates/admission/src/state/mod.rs
+++ b/crates/admission/src/state/mod.rs
@@ -7,8 +7,8 @@
 
 pub(crate) use endpoint::{
     Candidate, EjectionScope, Endpoint, EndpointHealth, EndpointSmoothing, EndpointTable, InFlightAttempt,
-    KindDeviation, LatencyGains, LatencyModel, ObservedHealth, OutlierDetector, RecentObservations,
-    RelativeResponseTime, SlowStart, WarmUpBudget, WarmUpTokens, ZoneCapacity,
+    LatencyGains, LatencyModel, ObservedHealth, OutlierDetector, RecentObservations, RelativeResponseTime,
+    SlowStart, WarmUpBudget, WarmUpTokens, ZoneCapacity,
 };
 pub(crate) use event_clock::EventClock;
 pub(crate) use fleet::{
--- /dev/null
+++ b/crates/admission/src/tests/endpoint_rules/outlier_rules.rs
@@ -0,0 +1,153 @@
+//! Outlier detection: stalls, unresponsive endpoints, and what the end of an attempt means for its endpoint.
+use super::is_close;
+use crate::event::Outcome;
+use crate::policy::outlier::{
+    ejection_jitter, fails_class, is_correlated_failure, is_outlier, is_unresponsive, reference_ms,
+    stall_ratio, typical_age_ms, verdict_in_broadcast_mode, verdict_in_large_fleet, AttemptFailureInput,
+    HealthVerdict, StallInput, Symptoms, UnresponsiveInput,
+};
+
+#[test]
+fn an_endpoint_is_an_outlier_by_any_symptom() {
+    let healthy = Symptoms { is_gone: false, is_ejected: false, stall_ratio: 1.0 };
+    assert!(!is_outlier(&healthy));
+    assert!(is_outlier(&Symptoms { is_gone: true, ..healthy }));
+    assert!(is_outlier(&Symptoms { is_ejected: true, ..healthy }));
+    assert!(is_outlier(&Symptoms { stall_ratio: 1.01, ..healthy }));
+}
+
+#[test]
+fn silence_is_measured_in_stalls() {
+    // Five attempts in flight, the oldest sent 500 ms ago, 100 ms are usual: a stall is 250 ms.
+    let busy = StallInput {
+        now_ms: 1000.0,
+        oldest_sent_ms: 500.0,
+        last_response_ms: 0.0,
+        in_flight: 5,
+        relative_response_time: 1.0,
+        warm_fraction: 1.0,
+        reference_ms: 100.0,
+    };
+    let rows = [
+        ("several attempts", busy, 2.0),
+        ("one attempt: a stall is 500 ms", StallInput { in_flight: 1, ..busy }, 1.0),
+        ("a response since", StallInput { last_response_ms: 900.0, ..busy }, 0.4),
+        ("a slow endpoint", StallInput { relative_response_time: 2.0, ..busy }, 1.0),
+        ("a fast endpoint", StallInput { relative_response_time: 0.5, ..busy }, 2.0),
+        ("a warming endpoint", StallInput { warm_fraction: 0.5, ..busy }, 1.0),
+    ];
+    for (name, input, expected) in rows {
+        let ratio = stall_ratio(&input);
+        assert!(is_close(ratio, expected), "{name}: {ratio}");
+    }
+}
+
+#[test]
+fn the_usual_response_time_follows_old_attempts_in_flight() {
+    assert!(is_close(reference_ms(100.0, 50.0), 100.0));
+    assert!(is_close(reference_ms(100.0, 200.0), 300.0));
+    // Of five endpoints the third youngest is typical; an idle one counts as half of 100 ms.
+    let ages = [Some(900.0), Some(10.0), None, Some(70.0), Some(800.0)];
+    assert!(is_close(typical_age_ms(ages.into_iter(), 100.0), 70.0));
+    assert!(is_close(typical_age_ms([None].into_iter(), 100.0), 50.0));
+    assert!(is_close(typical_age_ms([].into_iter(), 100.0), 0.0));
+}
+
+#[test]
+fn an_endpoint_is_unresponsive_after_two_missed_responses_and_enough_time() {
+    // 20 responses a second of 10 endpoints: 2.5 responses of one take 1250 ms.
+    let silent = UnresponsiveInput {
+        missed_responses: 2,
+        since_response_ms: 1251.0,
+        observed_responses_per_second: 20.0,
+        endpoints: 10,
+    };
+    let rows = [
+        ("silent", silent, true),
+        ("one missed", UnresponsiveInput { missed_responses: 1, ..silent }, false),
+        ("too early", UnresponsiveInput { since_response_ms: 1249.0, ..silent }, false),
+        ("few observations", UnresponsiveInput { observed_responses_per_second: 2.0, ..silent }, false),
+        (
+            "few observations, 2 s",
+            UnresponsiveInput {
+                observed_responses_per_second: 0.0,
+                since_response_ms: 2001.0,
+                endpoints: 0,
+                ..silent
+            },
+            true,
+        ),
+    ];
+    for (name, input, expected) in rows {
+        assert_eq!(is_unresponsive(&input), expected, "{name}");
+    }
+}
+
+#[test]
+fn a_failure_is_correlated_when_fewer_than_a_quarter_are_healthy() {
+    for (healthy, endpoints, expected) in [(2, 8, false), (1, 8, true), (0, 0, false), (0, 1, true)] {
+        assert_eq!(is_correlated_failure(healthy, endpoints), expected, "{healthy} of {endpoints}");
+    }
+}
+
+#[test]
+fn a_class_is_ejected_above_half_failed_and_for_a_time_within_a_quarter_of_its_length() {
+    assert!(!fails_class(0.5) && fails_class(0.51));
+    assert!(is_close(ejection_jitter(0.0), 0.75) && is_close(ejection_jitter(1.0), 1.25));
+}
+
+/// An attempt that ended after 400 ms at an endpoint that responded 10 ms ago; 100 ms are usual.
+fn ended(outcome: Outcome) -> AttemptFailureInput {
+    AttemptFailureInput {
+        outcome,
+        took_ms: 400.0,
+        error_fraction: 0.0,
+        consecutive_failures: 0,
+        since_response_ms: 10.0,
+        class_response_ms: 100.0,
+        typical_age_ms: 0.0,
+    }
+}
+
+#[test]
+fn the_end_of_an_attempt_ejects_its_endpoint_alike_in_both_modes() {
+    use HealthVerdict::{Eject, Unchanged};
+    let failing = |outcome, error_fraction| AttemptFailureInput { error_fraction, ..ended(outcome) };
+    let silent = |outcome, since_response_ms| AttemptFailureInput { since_response_ms, ..ended(outcome) };
+    let rows = [
+        (silent(Outcome::Ok, 9000.0), Unchanged),
+        (silent(Outcome::TooLate, 9000.0), Unchanged),
+        (failing(Outcome::Error, 0.3), Unchanged),
+        (failing(Outcome::Error, 0.31), Eject),
+        (AttemptFailureInput { consecutive_failures: 1, ..ended(Outcome::Error) }, Eject),
+        (failing(Outcome::Reset, 0.5), Unchanged),
+        (failing(Outcome::Reset, 0.51), Eject),
+        (silent(Outcome::ConnectFailed, 400.0), Unchanged),
+        (silent(Outcome::ConnectFailed, 401.0), Eject),
+        (AttemptFailureInput { took_ms: 1.0, ..silent(Outcome::ConnectFailed, 99.0) }, Unchanged),
+        (silent(Outcome::Cancelled, 400.0), Unchanged),
+        (silent(Outcome::Cancelled, 401.0), Eject),
+        (AttemptFailureInput { took_ms: 300.0, ..silent(Outcome::Cancelled, 401.0) }, Unchanged),
+    ];
+    for (input, expected) in rows {
+        assert_eq!(verdict_in_broadcast_mode(&input), expected, "broadcast mode: {input:?}");
+        assert_eq!(verdict_in_large_fleet(&input), expected, "large fleet: {input:?}");
+    }
+}
+
+#[test]
+fn overload_and_time_outs_are_judged_by_the_mode() {
+    let overloaded = ended(Outcome::Overloaded);
+    assert_eq!(verdict_in_broadcast_mode(&overloaded), HealthVerdict::Pause { duration_ms: 100.0 });
+    assert_eq!(verdict_in_large_fleet(&overloaded), HealthVerdict::Unchanged);
+    let silent = AttemptFailureInput { since_response_ms: 401.0, ..ended(Outcome::TimedOut) };
+    assert_eq!(verdict_in_broadcast_mode(&silent), HealthVerdict::Eject);
+    assert_eq!(verdict_in_large_fleet(&silent), HealthVerdict::Eject);
+    // Attempts at all endpoints are old: 300 ms are usual, and 400 ms not long.
+    let all_slow = AttemptFailureInput { typical_age_ms: 200.0, ..silent };
+    assert_eq!(verdict_in_broadcast_mode(&all_slow), HealthVerdict::Unchanged);
+    assert_eq!(verdict_in_large_fleet(&all_slow), HealthVerdict::Eject);
+    let responding = ended(Outcome::TimedOut);
+    assert_eq!(verdict_in_broadcast_mode(&responding), HealthVerdict::Unchanged);
+    assert_eq!(verdict_in_large_fleet(&responding), HealthVerdict::Unchanged);
+}
--- /dev/null
+++ b/crates/admission/src/tests/endpoint_rules/response_time_rules.rs
@@ -0,0 +1,97 @@
+//! Response times: what an attempt's end teaches, which endpoints are slow, and what the fleet is notified of.
+use super::is_close;
+use crate::event::Outcome;
+use crate::id::{ClassIndex, PlanIndex};
+use crate::messages::observation_code::{ObservationKind, ResponseTimeCode};
+use crate::policy::observation::observation_of_attempt;
+use crate::policy::response_time::{
+    class_sample_in_large_fleet, kind_deviation, kind_sample, samples_in_broadcast_mode, OwnAttemptInput,
+    OwnAttemptSamples, ResponseTimeSample,
+};
+use crate::state::RelativeResponseTime;
+
+/// An attempt of 300 ms at a warm endpoint; 100 ms are usual, and the objective is 200 ms.
+fn ended(outcome: Outcome) -> OwnAttemptInput {
+    OwnAttemptInput {
+        outcome,
+        took_ms: 300.0,
+        class_response_ms: 100.0,
+        latency_objective_ms: 200.0,
+        has_warmed_up: true,
+    }
+}
+
+#[test]
+fn in_broadcast_mode_all_is_learned_from_own_attempts() {
+    use ResponseTimeSample::{AtLeast, Measured};
+    let nothing = OwnAttemptSamples::default();
+    let responded = OwnAttemptSamples {
+        relative: Some(Measured(3.0)),
+        class_response_ms: Some(300.0),
+        objective_fraction: Some(Measured(1.5)),
+    };
+    let warming = OwnAttemptInput { has_warmed_up: false, ..ended(Outcome::Ok) };
+    let whole_objective = OwnAttemptSamples { objective_fraction: Some(Measured(1.0)), ..nothing };
+    let timed_out = OwnAttemptSamples {
+        relative: Some(AtLeast(3.0)),
+        class_response_ms: None,
+        objective_fraction: Some(AtLeast(1.0)),
+    };
+    let rows = [
+        (ended(Outcome::Ok), responded),
+        (warming, OwnAttemptSamples { relative: Some(Measured(3.0)), ..nothing }),
+        (ended(Outcome::Overloaded), whole_objective),
+        (ended(Outcome::TimedOut), timed_out),
+        (ended(Outcome::Error), nothing),
+        (ended(Outcome::Reset), nothing),
+        (ended(Outcome::Cancelled), nothing),
+    ];
+    for (input, expected) in rows {
+        assert_eq!(samples_in_broadcast_mode(&input), expected, "{input:?}");
+    }
+}
+
+#[test]
+fn in_a_large_fleet_the_mean_of_a_class_is_learned_from_responses_of_warm_endpoints() {
+    assert_eq!(class_sample_in_large_fleet(&ended(Outcome::Ok)), Some(250.0), "2.5 means at most");
+    let quick = OwnAttemptInput { took_ms: 80.0, ..ended(Outcome::Ok) };
+    assert_eq!(class_sample_in_large_fleet(&quick), Some(80.0));
+    let warming = OwnAttemptInput { has_warmed_up: false, ..quick };
+    assert_eq!(class_sample_in_large_fleet(&warming), None);
+    assert_eq!(class_sample_in_large_fleet(&ended(Outcome::TimedOut)), None);
+}
+
+#[test]
+fn an_endpoint_is_slow_against_its_machine_kind() {
+    // A gain of 1 takes the sample as it is.
+    let mut response_time = RelativeResponseTime::new(0.0, 4000.0);
+    response_time.record_observed(0.0, 3.2, 1.0, 1.0);
+    for (learned, baseline, excess) in [(1.0, 1.0, 2.0), (0.5, 0.5, 4.0), (4.0, 4.0, 1.0), (0.0, 0.1, 20.0)] {
+        let deviation = kind_deviation(learned, &response_time, 0.0);
+        assert!(
+            is_close(deviation.baseline, baseline) && is_close(deviation.excess, excess),
+            "{deviation:?}"
+        );
+    }
+    assert!(is_close(kind_sample(3.9), 3.9) && is_close(kind_sample(9.0), 4.0));
+}
+
+#[test]
+fn the_fleet_is_notified_of_responses_rejections_and_failures() {
+    let (class, plan) = (ClassIndex(1), PlanIndex(2));
+    let response_time = ResponseTimeCode::from_objective_fraction(0.5);
+    let failed = Some(ObservationKind::Failed { class });
+    let rows = [
+        (Outcome::Ok, Some(ObservationKind::Responded { class, response_time })),
+        (Outcome::Overloaded, Some(ObservationKind::Rejected { plan })),
+        (Outcome::Error, failed),
+        (Outcome::Reset, failed),
+        (Outcome::ConnectFailed, failed),
+        (Outcome::TimedOut, failed),
+        (Outcome::Cancelled, None),
+        (Outcome::TooLate, None),
+    ];
+    for (outcome, expected) in rows {
+        assert_eq!(observation_of_attempt(outcome, class, plan, 0.5), expected, "{outcome:?}");
+    }
+}
