--- a/crates/admission/src/policy/endpoint_selection.rs
+++ b/crates/admission/src/policy/endpoint_selection.rs
@@ -2,8 +2,8 @@
 use crate::gateway::Gateway;
 use crate::id::{EndpointId, RequestId};
 use crate::mechanism::weighted_choice::{inverse_cost_weights, weighted_choice};
-use crate::policy::outlier_detection::MIN_HEALTHY_FRACTION;
-use crate::policy::slow_start::{WARM_UP_BUDGET_FRACTION, WARM_UP_WEIGHT};
+use crate::policy::outlier::is_correlated_failure;
+use crate::policy::slow_start::{WarmUpAdmission, WARM_UP_BUDGET_FRACTION, WARM_UP_WEIGHT};
 use crate::settings::Idempotency;
 use crate::state::{ActiveRequest, Candidate, Endpoint, ZoneCapacity};
 
@@ -47,7 +47,7 @@
         let mut cost = (endpoint.in_flight().len() as f64 + 1.0) / self.warm_fraction(endpoint);
         cost *= if active.was_sent_to(endpoint.id()) { REPEAT_COST } else { 1.0 };
         cost *= if endpoint.zone() == self.settings.zone { 1.0 } else { REMOTE_ZONE_COST };
-        cost *= endpoint.response_time.own(endpoint.health.unanswered_ms(now_ms));
+        cost *= endpoint.response_time.own(endpoint.health.since_response_ms(now_ms));
         if let Some(budget) = self.warm_up_budget(endpoint) {
             if endpoint.warm_up_tokens.available(now_ms, budget) < 1.0 {
                 return None;
@@ -107,13 +107,15 @@
     ) -> Option<EndpointId> {
         let local_fraction = self.local_fraction(&candidates);
         let warming_up = |c: &Candidate<'_>| self.is_warming_up(c.endpoint);
-        match self.warm_up_odds(active.request.id, active.attempt_count()) {
-            Some(odds) => candidates.iter_mut().filter(|c| warming_up(c)).for_each(|c| c.cost /= odds),
-            None => candidates.retain(|c| !warming_up(c)),
+        match self.warm_up_admission(active.request.id, active.attempt_count()) {
+            WarmUpAdmission::Admitted { weight_factor } => {
+                candidates.iter_mut().filter(|c| warming_up(c)).for_each(|c| c.cost /= weight_factor)
+            }
+            WarmUpAdmission::WarmOnly => candidates.retain(|c| !warming_up(c)),
         }
         // Where most look like outliers the cause is not theirs, and none is left out.
-        let healthy = candidates.iter().filter(|c| !c.is_outlier).count() as f64;
-        let is_shared_cause = healthy < MIN_HEALTHY_FRACTION * candidates.len() as f64;
+        let healthy = candidates.iter().filter(|c| !c.is_outlier).count();
+        let is_shared_cause = is_correlated_failure(healthy, candidates.len());
         if !self.outliers.is_correlated_failure() && !is_shared_cause {
             candidates.retain(|c| !c.is_outlier);
         }
@@ -122,6 +124,13 @@
         weighted_choice(draw, &weights).map(|index| candidates[index].endpoint.id())
     }
 
+    /// Mean of own attempts in flight at a warm endpoint. Large fleets draw by weights that fall with
+    /// attempts in flight: endpoints that are warming up, with none, would draw most of the work.
+    fn mean_warm_in_flight(&self) -> f64 {
+        let counts: Vec<usize> = self.warm_endpoints().map(|e| e.in_flight().len()).collect();
+        counts.iter().sum::<usize>() as f64 / counts.len().max(1) as f64
+    }
+
     /// Part of the attempts that stay in the local zone: by what its candidates can take beside those of the
     /// mean zone, so that none of them gets more than a candidate of a remote zone.
     fn local_fraction(&self, candidates: &[Candidate<'_>]) -> f64 {
--- a/crates/admission/src/startup.rs
+++ b/crates/admission/src/startup.rs
@@ -3,10 +3,8 @@
 use crate::mechanism::splitmix64::{mix, SplitMix64};
 use crate::policy::band::dispatch_credit::INITIAL_DISPATCH_CREDIT;
 use crate::policy::coordination_choice::{choose_coordination_mode, CoordinationMode, CoordinationModeInput};
-use crate::policy::outlier_detection::{
-    INITIAL_OBJECTIVE_FRACTION, LATENCY_GAINS, RESPONSE_TIME_HALF_LIFE_MS,
-};
 use crate::policy::peer_messages::quota_message_budget::INITIAL_QUOTA_MESSAGES;
+use crate::policy::response_time::{INITIAL_OBJECTIVE_FRACTION, LATENCY_GAINS, RESPONSE_TIME_HALF_LIFE_MS};
 use crate::policy::retry::INITIAL_RETRY_TOKENS;
 use crate::policy::slow_start::SEND_RATE_SPAN_S;
 use crate::settings::{Settings, SettingsError};
