--- a/crates/admission/src/settings.rs
+++ b/crates/admission/src/settings.rs
@@ -49,8 +49,6 @@
     pub deadline_ms: f64,
     /// Value of a request against that of other classes.
     pub priority_weight: f64,
-    /// Part of its value that a response after the latency objective still has.
-    pub late_value_fraction: f64,
     /// What a further attempt may do.
     pub idempotency: Idempotency,
 }
@@ -74,8 +72,6 @@
     pub ceiling_rate_per_second: f64,
     /// Units that the ceiling's bucket holds at most.
     pub ceiling_burst_units: f64,
-    /// Units by which the ceiling's bucket may go below empty.
-    pub ceiling_slack_units: f64,
 }
 
 impl PlanSettings {
@@ -102,8 +98,7 @@
         require(
             "ceiling_rate_per_second",
             is_amount(self.ceiling_rate_per_second) && is_amount(self.ceiling_burst_units),
-        )?;
-        require("ceiling_slack_units", is_amount(self.ceiling_slack_units))
+        )
     }
 }
 
@@ -138,8 +133,6 @@
     pub max_retry_after_ms: f64,
     /// Most units that one request counts.
     pub max_units: f64,
-    /// Sends to an endpoint must stop this long after it is reported as draining or gone, in milliseconds.
-    pub drain_grace_ms: f64,
     /// Part of its capacity that an endpoint has at its start, at least; 0 to 1.
     pub cold_start_fraction: f64,
     /// An endpoint is warm this long after its start at the latest, in milliseconds.
@@ -202,8 +195,7 @@
         require("tick_ms", is_amount(self.tick_ms))?;
         require("peer_messages_per_second", is_amount(self.peer_messages_per_second))?;
         require("max_retry_after_ms", is_amount(self.max_retry_after_ms))?;
-        require("max_units", is_amount(self.max_units))?;
-        require("drain_grace_ms", is_amount(self.drain_grace_ms))
+        require("max_units", is_amount(self.max_units))
     }
 
     /// Checks what concerns warming endpoints.
@@ -223,7 +215,7 @@
             is_amount(self.latency_objective_ms) && self.latency_objective_ms > 0.0,
         )?;
         require("deadline_ms", is_amount(self.deadline_ms) && self.deadline_ms > 0.0)?;
-        require("worth", is_amount(self.priority_weight) && is_amount(self.late_value_fraction))?;
+        require("worth", is_amount(self.priority_weight))?;
         match self.idempotency {
             Idempotency::IdempotencyKey { window_ms, .. } => require("window_ms", is_amount(window_ms)),
             Idempotency::Idempotent | Idempotency::NonIdempotent => Ok(()),
--- a/crates/gateway/src/shutdown/tests.rs
+++ b/crates/gateway/src/shutdown/tests.rs
@@ -9,7 +9,6 @@
             latency_objective_ms: 100.0,
             deadline_ms: *deadline_ms,
             priority_weight: 1.0,
-            late_value_fraction: 0.0,
             idempotency: Idempotency::NonIdempotent,
         };
         let settings = Settings { classes: deadlines.iter().map(class).collect(), ..Settings::default() };
--- a/crates/settings/src/document.rs
+++ b/crates/settings/src/document.rs
@@ -42,8 +42,6 @@
     pub(crate) latency_objective_ms: f64,
     #[serde(rename = "worth")]
     pub(crate) priority_weight: f64,
-    #[serde(rename = "lateShare")]
-    pub(crate) late_value_fraction: f64,
     #[serde(rename = "repeat")]
     pub(crate) idempotency: String,
     /// Required for `by_key` classes, ignored for the others; so is `windowMs`.
@@ -73,8 +71,6 @@
     pub(crate) ceiling_rate_per_second: f64,
     #[serde(rename = "capDepth")]
     pub(crate) ceiling_burst_units: f64,
-    #[serde(rename = "hardSlack")]
-    pub(crate) ceiling_slack_units: f64,
 }
 
 /// `ceilings`: what the site permits.
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -7,6 +7,12 @@
 /// The message is the line that an operator sees. It names the key and, where it is a class's, the class.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsDocumentError {
+    /// A figure that real sockets need is below 0.
+    #[error("{key} in the settings is negative")]
+    NegativeFigure {
+        /// The key as written in the document.
+        key: &'static str,
+    },
     /// A figure that real sockets need is absent, zero, negative or not finite.
     #[error("{key} in the settings is not a positive number")]
     InvalidFigure {
--- a/crates/settings/src/socket_settings.rs
+++ b/crates/settings/src/socket_settings.rs
@@ -46,7 +46,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if a figure is absent or not positive, or the discovery mode is unknown.
+    /// Fails if a figure is absent or out of range, or the discovery mode is unknown.
     pub fn socket_settings(&self) -> Result<SocketSettings, SettingsDocumentError> {
         let limits = &self.site_limits;
         Ok(SocketSettings {
@@ -55,7 +55,7 @@
             retry_after_enabled: limits.retry_after_enabled,
             discovery_mode: DiscoveryMode::parse(self.discovery.as_deref())?,
             counter_timeout_ms: self.counter_timeout_ms()?,
-            drain_grace_ms: self.endpoint_rules.drain_grace_ms,
+            drain_grace_ms: not_negative("stopSendingWithinMs", self.endpoint_rules.drain_grace_ms)?,
         })
     }
 
@@ -68,6 +68,14 @@
     }
 }
 
+fn not_negative(key: &'static str, figure: f64) -> Result<f64, SettingsDocumentError> {
+    if figure >= 0.0 {
+        Ok(figure)
+    } else {
+        Err(SettingsDocumentError::NegativeFigure { key })
+    }
+}
+
 fn positive(key: &'static str, value: Option<f64>) -> Result<f64, SettingsDocumentError> {
     value
         .filter(|figure| figure.is_finite() && *figure > 0.0)
--- a/crates/settings/src/translate.rs
+++ b/crates/settings/src/translate.rs
@@ -52,7 +52,6 @@
             peer_messages_per_second: self.service_family.peer_messages_per_second,
             max_retry_after_ms: self.site_limits.max_retry_after_ms,
             max_units: self.service_family.max_units,
-            drain_grace_ms: self.endpoint_rules.drain_grace_ms,
             cold_start_fraction: self.endpoint_rules.cold_start_fraction,
             warm_up_ms: self.endpoint_rules.warm_up_ms,
             overload_multiple: self.endpoint_rules.overload_multiple,
@@ -68,7 +67,6 @@
             latency_objective_ms: self.latency_objective_ms,
             deadline_ms: self.deadline_ms,
             priority_weight: self.priority_weight,
-            late_value_fraction: self.late_value_fraction,
             idempotency: self.idempotency()?,
         })
     }
@@ -114,7 +112,6 @@
             over_quota_cost: self.over_quota_cost,
             ceiling_rate_per_second: self.ceiling_rate_per_second,
             ceiling_burst_units: self.ceiling_burst_units,
-            ceiling_slack_units: self.ceiling_slack_units,
         }
     }
 }
