--- a/crates/admission/src/lifecycle/band_control.rs
+++ b/crates/admission/src/lifecycle/band_control.rs
@@ -1,5 +1,5 @@
-//! How the in-flight band follows the stock: its position for a request, saturation, the watermark's steps, and the
-//! refill of dispatch credit.
+//! How the in-flight band follows the stock: its position for a request, saturation, the watermark's steps,
+//! and the refill of dispatch credit.
 use crate::gateway::Gateway;
 use crate::id::RequestId;
 use crate::policy::band::band_bounds::{is_saturated_in_broadcast_mode, position_in_broadcast_mode};
@@ -25,8 +25,8 @@
         }
     }
 
-    /// The endpoints that the band counts, and this gateway's attempts in flight at them. While most endpoints
-    /// seem to have failed, all count.
+    /// The endpoints that the band counts, and this gateway's attempts in flight at them. While most
+    /// endpoints seem to have failed, all count.
     pub(crate) fn band_load(&self) -> BandLoad {
         let mode = self.coordination.fleet_mode();
         let is_correlated_failure = self.outliers.is_correlated_failure();
--- a/crates/admission/src/lifecycle/queue_dispatch.rs
+++ b/crates/admission/src/lifecycle/queue_dispatch.rs
@@ -1,4 +1,4 @@
-//! How queued requests leave: in the order of the queue, as far as quota and band permit.
+//! How queued requests are dispatched: in the order of the queue, as far as quota and band permit.
 use crate::action::Action;
 use crate::gateway::Gateway;
 use crate::id::RequestId;
@@ -6,13 +6,12 @@
 use crate::policy::peer_messages::message_capacity::PEER_TIMEOUT_MS;
 use crate::policy::queue::customer_limits::{check_customer_limits, LimitDecision, LimitInput, SlotUse};
 use crate::policy::queue::dispatch_order::{
-    first_to_leave, judge_head_in_broadcast_mode, judge_head_in_large_fleet, may_send_over_quota,
-    HeadDecision,
+    earlier_head, judge_head_in_broadcast_mode, judge_head_in_large_fleet, may_send_over_quota, HeadDecision,
 };
 use crate::state::{ActiveRequest, Customer, FleetMode, QuotaDecision};
 
 impl Gateway {
-    /// Sends queued requests for as long as one may leave and an endpoint is found for it.
+    /// Sends queued requests for as long as one is permitted and an endpoint is found for it.
     pub(crate) fn dispatch(&mut self, actions: &mut Vec<Action>) {
         self.band.unblock();
         while let Some(head) = self.next_to_dispatch(actions) {
@@ -25,20 +24,20 @@
         }
     }
 
-    /// The queued request to send next. Heads over their quota leave the queue on the way.
+    /// The queued request to send next. Heads over their quota are removed on the way.
     pub(crate) fn next_to_dispatch(&mut self, actions: &mut Vec<Action>) -> Option<FlowHead> {
         let mode = self.coordination.fleet_mode();
         let mut next: Option<FlowHead> = None;
         for head in self.queue.heads() {
             match self.judge_head(head.id, mode) {
-                HeadDecision::Eligible => next = Some(first_to_leave(next, head)),
+                HeadDecision::Eligible => next = Some(earlier_head(next, head)),
                 HeadDecision::BlockedByBand => self.band.block(),
                 HeadDecision::OverQuota => self.dispatch_over_quota(head, actions),
                 HeadDecision::AwaitsQuota => {}
             }
         }
         // Heads over their quota that were sent on the way have used up some of the band.
-        if !self.band_position(next?.id).under_lower {
+        if !self.band_position(next?.id).permits_queued_request() {
             self.band.block();
             return None;
         }
@@ -50,7 +49,7 @@
         let quota = self.quota_decision(id);
         match mode {
             FleetMode::Broadcast => judge_head_in_broadcast_mode(quota),
-            FleetMode::LargeFleet => judge_head_in_large_fleet(quota, || self.band_position(id).under_lower),
+            FleetMode::LargeFleet => judge_head_in_large_fleet(quota, || self.band_position(id)),
         }
     }
 
@@ -67,11 +66,11 @@
     /// Whether a request over its quota is sent all the same.
     pub(crate) fn may_send_over_quota(&self, id: RequestId) -> bool {
         let Some(active) = self.requests.get(id) else { return false };
-        may_send_over_quota(active.quota().may_exceed_quota(), || self.band_position(id).under_lower)
+        may_send_over_quota(active.quota().may_exceed_quota(), || self.band_position(id))
     }
 
-    /// Whether quota, open limit and ceiling permit a request to be sent now. Peers are sent a request for units
-    /// of the ceiling where these are short.
+    /// Whether quota, open limit and ceiling permit a request to be sent now. Peers are sent a request for
+    /// units of the ceiling where these are short.
     pub(crate) fn quota_decision(&mut self, id: RequestId) -> QuotaDecision {
         let Some(active) = self.requests.get(id) else { return QuotaDecision::OverQuota };
         if let Some(decision) = active.quota().decision() {
@@ -87,8 +86,8 @@
         limits.quota_decision()
     }
 
-    /// What the customer's limits permit, by the records of this gateway as of the customer's last refill; `None`
-    /// where there is no such request or customer.
+    /// What the customer's limits permit, by the records of this gateway as of the customer's last refill;
+    /// `None` where there is no such request or customer.
     pub(crate) fn customer_limits(&self, id: RequestId) -> Option<LimitDecision> {
         let active = self.requests.get(id)?;
         let customer = self.customers.get(active.tag)?;
--- a/crates/admission/src/lifecycle/request_admission.rs
+++ b/crates/admission/src/lifecycle/request_admission.rs
@@ -89,7 +89,8 @@
         flow_weight(plan, self.latency.mean_response_ms())
     }
 
-    /// Checks a new request against its customer's token bucket here, and records the result with the request.
+    /// Checks a new request against its customer's token bucket here, and records the result with the
+    /// request.
     fn check_own_bucket(&mut self, id: RequestId) -> Option<OwnBucketCheck> {
         let active = self.requests.get(id)?;
         let (tag, plan_index, units) = (active.tag, active.request.plan, active.request.units);
--- a/crates/admission/src/lifecycle/request_deadlines.rs
+++ b/crates/admission/src/lifecycle/request_deadlines.rs
@@ -43,7 +43,8 @@
         }
     }
 
-    /// How long the client of a new request has waited already; its time budget goes into the vote of its class.
+    /// How long the client of a new request has waited already; its time budget goes into the vote of its
+    /// class.
     pub(crate) fn already_waited_ms(&mut self, class: ClassIndex, time_left_ms: f64) -> f64 {
         let votes = self.latency.record_time_budget(class, time_left_ms, TIME_BUDGET_VOTE);
         let settings = self.settings.class(class);
--- a/crates/admission/src/lifecycle/requests.rs
+++ b/crates/admission/src/lifecycle/requests.rs
@@ -94,8 +94,8 @@
         }
     }
 
-    /// Sends a quota's owner the end of a request that it was sent a quota request for, with the units to take
-    /// beyond those granted; below 0 they go back.
+    /// Sends a quota's owner the end of a request that it was sent a quota request for, with the units to
+    /// take beyond those granted; below 0 they go back.
     fn send_release(
         &mut self,
         owner: GatewayIndex,
--- a/crates/admission/src/mechanism/virtual_finish_queue.rs
+++ b/crates/admission/src/mechanism/virtual_finish_queue.rs
@@ -1,8 +1,8 @@
 //! A weighted fair queue: one flow per customer, ordered by virtual finish time.
 //!
 //! Each queued request gets a virtual finish time: its size over its flow's weight, after the later of the
-//! flow's last finish and the queue's virtual time. The caller looks at the heads of all flows and releases
-//! one of them, which moves the virtual time to that request's finish.
+//! flow's last finish and the queue's virtual time. The caller selects one of the heads of all flows and
+//! releases it, which moves the virtual time to that request's finish.
 use crate::id::{CustomerTag, RequestId};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -31,12 +31,12 @@
     pub(crate) tag: CustomerTag,
     /// The request.
     pub(crate) id: RequestId,
-    /// Its virtual finish time: the smallest leaves first.
+    /// Its virtual finish time: the smallest is released first.
     pub(crate) virtual_finish: f64,
 }
 
 impl FlowHead {
-    /// Whether it leaves before another head.
+    /// Whether it is released before another head.
     pub(crate) fn precedes(&self, other: &FlowHead) -> bool {
         self.virtual_finish < other.virtual_finish
     }
@@ -61,8 +61,8 @@
         self.flows.get(&tag).map_or(0.0, |flow| flow.size)
     }
 
-    /// Adds a request to the end of its customer's flow. `weight` is the flow's part of the service: twice
-    /// the weight, twice the size released in the same virtual time.
+    /// Adds a request to the end of its customer's flow. With twice the `weight`, a
+    /// flow releases twice the size in the same virtual time.
     pub(crate) fn enqueue(&mut self, tag: CustomerTag, id: RequestId, size: f64, weight: f64) {
         let flow = self.flows.entry(tag).or_default();
         let virtual_finish = self.virtual_time.max(flow.last_finish) + size / weight;
@@ -81,7 +81,7 @@
         self.flows.iter().filter_map(head).collect()
     }
 
-    /// Takes a request out, wherever it stands in its flow. A flow without requests is forgotten, and its
+    /// Removes a request, wherever it stands in its flow. A flow without requests is forgotten, and its
     /// last finish with it.
     pub(crate) fn remove(&mut self, tag: CustomerTag, id: RequestId) {
         let Some(flow) = self.flows.get_mut(&tag) else { return };
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Takes out a head that is to be sent and moves the virtual time to its finish.
+    /// Removes a head that is to be sent, and moves the virtual time to its finish.
     pub(crate) fn release(&mut self, head: FlowHead) {
         self.virtual_time = head.virtual_finish;
         self.remove(head.tag, head.id);
--- a/crates/admission/src/policy/admission/elapsed_wait.rs
+++ b/crates/admission/src/policy/admission/elapsed_wait.rs
@@ -1,8 +1,8 @@
 //! How long a request's client has waited already, in attempts that this gateway does not know of.
 //!
-//! A request carries the time that its client still waits, but not when the client began to. First attempts of a
-//! class all carry the same time budget, so the commonest budget of a class, found by vote, is that of a first
-//! attempt. One with less left is a client's retry, and the difference was spent before.
+//! A request carries the time that its client still waits, but not when the client began to. First attempts
+//! of a class all carry the same time budget, so the commonest budget of a class, found by vote, is that of
+//! a first attempt. One with less left is a client's retry, and the difference was spent before.
 use crate::mechanism::common_value::VoteLimits;
 
 /// How the vote on the commonest time budget of a class is counted.
@@ -24,8 +24,8 @@
     pub(crate) deadline_ms: f64,
 }
 
-/// How long a request's client has waited already, in ms. A time budget below the latency objective is that of
-/// an impatient client and shows no earlier attempt.
+/// How long a request's client has waited already, in ms. A time budget below the latency objective is that
+/// of an impatient client and shows no earlier attempt.
 pub(crate) fn already_waited_ms(input: &TimeBudgetInput) -> f64 {
     let Some(votes) = input.votes_for_another_budget else { return 0.0 };
     if votes < MIN_TIME_BUDGET_VOTES || input.time_left_ms <= input.latency_objective_ms {
--- a/crates/admission/src/policy/admission/new_request.rs
+++ b/crates/admission/src/policy/admission/new_request.rs
@@ -1,8 +1,8 @@
 //! Whether a new request is sent at once, queued or rejected.
 //!
-//! Both modes reject a request that comes too late. In broadcast mode a gateway knows the customer's quota and the
-//! stock itself, so that a request may be sent at once. In a large fleet both are requested from others, so that
-//! every request in time is queued first.
+//! Both modes reject a request that comes too late. In broadcast mode a gateway knows the customer's quota
+//! and the stock itself, so that a request may be sent at once. In a large fleet both are requested from
+//! others, so that every request in time is queued first.
 use crate::policy::admission::deadline::RequestTimes;
 use crate::policy::admission::retry_after::retry_after_overload;
 use crate::policy::queue::customer_limits::LimitDecision;
@@ -48,20 +48,20 @@
     pub(crate) max_retry_after_ms: f64,
 }
 
-/// The rejection of a request that can no longer be answered in time; `None` for one that can. In broadcast mode it
-/// comes first, because finding the band's position takes a look at all endpoints.
+/// The rejection of a request that can no longer be answered in time; `None` for one that can. In broadcast
+/// mode it comes first, because finding the band's position takes a look at all endpoints.
 pub(crate) fn reject_if_too_late(times: &RequestTimes, max_retry_after_ms: f64) -> Option<Admission> {
     let rejection = Admission::Reject { retry_after_ms: retry_after_overload(max_retry_after_ms) };
     times.is_too_late().then_some(rejection)
 }
 
-/// Admits a request in broadcast mode. Within its quota it may be sent up to the band's upper bound; beyond its
-/// quota, where the plan pays for that, only up to the lower bound, which queued requests also keep to.
+/// Admits a request in broadcast mode. Within its quota it may be sent up to the band's upper bound; beyond
+/// its quota, where the plan pays for that, only up to the lower bound, which queued requests also keep to.
 pub(crate) fn admit_in_broadcast_mode(input: &AdmissionInput) -> Admission {
     let may_send = if input.quota.is_met {
-        input.band.under_upper && input.limits == LimitDecision::Admit
+        input.band.permits_new_request() && input.limits == LimitDecision::Admit
     } else {
-        input.band.under_lower && input.quota.may_exceed
+        input.band.permits_queued_request() && input.quota.may_exceed
     };
     if may_send && !input.queue_is_blocked {
         Admission::Send
@@ -82,7 +82,7 @@
 /// Whether peers are sent a request for units of the customer's ceiling: where only the lack of these keeps
 /// a new request from being sent.
 pub(crate) fn lacks_ceiling_units_only(input: &AdmissionInput) -> bool {
-    input.quota.is_met && input.band.under_upper && input.limits == LimitDecision::WaitForCeiling
+    input.quota.is_met && input.band.permits_new_request() && input.limits == LimitDecision::WaitForCeiling
 }
 
 /// Admits a request in a large fleet: it is queued until its quota is known, unless it comes too late or the
--- a/crates/admission/src/policy/admission/retry_after.rs
+++ b/crates/admission/src/policy/admission/retry_after.rs
@@ -1,7 +1,7 @@
 //! Which Retry-After a rejected request carries.
 
-/// Retry-After of a request that found no capacity in time, in ms: the longest that clients honour. A sooner retry
-/// would most likely be too late as well, and each costs work. `None` where clients honour none.
+/// Retry-After of a request that found no capacity in time, in ms: the longest that clients honour. A sooner
+/// retry would most likely be too late as well, and each costs work. `None` where clients honour none.
 pub(crate) fn retry_after_overload(max_retry_after_ms: f64) -> Option<f64> {
     Some(max_retry_after_ms).filter(|ms| *ms > 0.0)
 }
--- a/crates/admission/src/policy/band/counted_endpoints.rs
+++ b/crates/admission/src/policy/band/counted_endpoints.rs
@@ -1,8 +1,8 @@
 //! Which endpoints' work the band counts.
 //!
-//! Attempts at an endpoint that has failed never end, or end late. If the band counted them, the stock would stay
-//! high and requests would wait although the other endpoints have capacity. A short silence is no proof: if its work
-//! were left out at once, a slow endpoint would be sent ever more.
+//! Attempts at an endpoint that has failed never end, or end late. If the band counted them, the stock would
+//! stay high and requests would wait although the other endpoints have capacity. A short silence is no
+//! proof: if its work were left out at once, a slow endpoint would be sent ever more.
 
 /// Stall ratio from which an endpoint's work is taken for lost.
 const LOST_STALL_RATIO: f64 = 2.0;
@@ -27,8 +27,8 @@
 }
 
 impl EndpointCondition {
-    /// Whether its work counts as lost by what both modes know. An ejection without failures is a pause after an
-    /// overload response: the endpoint still works on what it has.
+    /// Whether its work counts as lost by what both modes know. An ejection without failures is a pause
+    /// after an overload response: the endpoint still works on what it has.
     fn is_lost(&self) -> bool {
         let is_backing_off = self.consecutive_failures > 0 && self.is_ejected;
         self.is_gone || is_backing_off || self.is_any_class_ejected || self.stall_ratio > LOST_STALL_RATIO
@@ -40,9 +40,9 @@
     !condition.is_lost()
 }
 
-/// Whether the band counts an endpoint's work, in a large fleet: not that of one from which the fleet receives no
-/// responses, nor that of one that is far slower than others of its kind. `slowness` is its relative response time
-/// over that from which an endpoint of its kind is clearly slow.
+/// Whether the band counts an endpoint's work, in a large fleet: not that of one from which the fleet
+/// receives no responses, nor that of one that is far slower than others of its kind. `slowness` is its
+/// relative response time over that from which an endpoint of its kind is clearly slow.
 pub(crate) fn is_counted_in_large_fleet(
     condition: &EndpointCondition,
     is_unresponsive: bool,
--- a/crates/admission/src/policy/band/dispatch_credit.rs
+++ b/crates/admission/src/policy/band/dispatch_credit.rs
@@ -2,9 +2,9 @@
 use crate::policy::band::band_bounds::SATURATED_FILL;
 use crate::state::BandPosition;
 
-/// Fraction of the band's middle below which gateways of a large fleet send without credit. Above it each sends at
-/// its even quota of the rate that keeps the band filled. The stock that gossip brings is old: if it alone
-/// stopped and started all gateways at once, the stock would swing.
+/// Fraction of the band's middle below which gateways of a large fleet send without credit. Above it each
+/// sends at its even quota of the rate that keeps the band filled. The stock that gossip brings is old: if
+/// it alone stopped and started all gateways at once, the stock would swing.
 const UNGATED_FILL: f64 = 0.6;
 
 /// Highest refill rate of dispatch credit, as a multiple of the even quota: that of an empty band.
@@ -16,8 +16,8 @@
 /// Dispatch credit at the start, in requests: the first one need not wait for a refill.
 pub(crate) const INITIAL_DISPATCH_CREDIT: f64 = 1.0;
 
-/// Least limit of the dispatch credit that is saved up, in requests: else a gateway with an even quota below one
-/// request could never send.
+/// Least limit of the dispatch credit that is saved up, in requests: else a gateway with an even quota below
+/// one request could never send.
 const MIN_CREDIT_LIMIT: f64 = 1.0;
 
 /// Credit that one request needs where its class has the lowest priority weight.
@@ -80,19 +80,23 @@
     }
 }
 
-/// The position of a request in a large fleet, by the dispatch credit that there is and that it requires. There is
-/// one bound only: a request of enough credit, or any while the band is ungated, is under both.
+/// The position of a request in a large fleet, by the dispatch credit that there is and that it requires.
+/// There is one bound only: a request of enough credit, or any while the band is ungated, is under both.
 pub(crate) fn position_in_large_fleet(
     band: &LargeFleetBand,
     dispatch_credit: f64,
     credit_required: f64,
 ) -> BandPosition {
-    let may_send = dispatch_credit >= credit_required || band.is_ungated();
-    BandPosition { under_lower: may_send, under_upper: may_send }
+    if dispatch_credit >= credit_required || band.is_ungated() {
+        BandPosition::UnderLower
+    } else {
+        BandPosition::NotUnderUpper
+    }
 }
 
-/// Dispatch credit that a request requires. The class of the lowest priority weight needs a full credit; one of a
-/// higher weight may overdraw, so that requests of low weight are the first to wait while credit is short.
+/// Dispatch credit that a request requires. The class of the lowest priority weight needs a full credit; one
+/// of a higher weight may overdraw, so that requests of low weight are the first to wait while credit is
+/// short.
 pub(crate) fn credit_required(priority_weight: f64, lowest_priority_weight: f64) -> f64 {
     let relative = lowest_priority_weight / priority_weight.max(MIN_WEIGHT_DIVISOR);
     FULL_CREDIT - CREDIT_OVERDRAFT * (1.0 - relative).max(0.0)
@@ -107,8 +111,8 @@
     pub(crate) limit: f64,
 }
 
-/// The dispatch credit of some seconds: the gateway's even quota of the band per mean response time, more while the
-/// stock is low and less while it is high.
+/// The dispatch credit of some seconds: the gateway's even quota of the band per mean response time, more
+/// while the stock is low and less while it is high.
 pub(crate) fn credit_refill(band: &LargeFleetBand, mean_response_ms: f64, seconds: f64) -> CreditRefill {
     let mean_response_s = mean_response_ms / 1000.0;
     let even_quota = band.even_quota();
--- a/crates/admission/src/policy/band/watermark.rs
+++ b/crates/admission/src/policy/band/watermark.rs
@@ -12,7 +12,8 @@
 /// Highest watermark, in attempts in flight per ready endpoint.
 pub(crate) const MAX_WATERMARK: f64 = 64.0;
 
-/// Time between two steps of the watermark, in latency objectives: responses must show the last step's effect.
+/// Time between two steps of the watermark, in latency objectives: responses must show the last step's
+/// effect.
 const WATERMARK_STEP_OBJECTIVES: f64 = 0.12;
 
 /// Response time below which the watermark may rise, as a fraction of the latency objective.
@@ -27,16 +28,16 @@
 /// Factor by which the watermark falls in a step.
 const WATERMARK_FALL: f64 = 0.93;
 
-/// Weight of the age of attempts in flight against the response time, in broadcast mode. The age shows a fault
-/// before responses do.
+/// Weight of the age of attempts in flight against the response time, in broadcast mode. The age shows a
+/// fault before responses do.
 const AGE_WEIGHT: f64 = 1.5;
 
-/// The same in a large fleet. The age is the stock over the response rate there, which stalled attempts raise, so
-/// it counts less.
+/// The same in a large fleet. The age is the stock over the response rate there, which stalled attempts
+/// raise, so it counts less.
 const LARGE_FLEET_AGE_WEIGHT: f64 = 0.9;
 
-/// Factor on the prompt and the sluggish fraction in a large fleet: endpoints are drawn at random there, so that
-/// response times spread more at the same load.
+/// Factor on the prompt and the sluggish fraction in a large fleet: endpoints are drawn at random there, so
+/// that response times spread more at the same load.
 const LARGE_FLEET_LATENCY_EASE: f64 = 1.5;
 
 /// The watermark that the band starts with and never falls below, in broadcast mode.
--- a/crates/admission/src/policy/queue/customer_limits.rs
+++ b/crates/admission/src/policy/queue/customer_limits.rs
@@ -2,8 +2,8 @@
 use crate::settings::PlanSettings;
 use crate::state::QuotaDecision;
 
-/// Where gateways outnumber a customer's slots, `SLOT_HOLDERS` gateways may use one for each `SLOTS_HELD` slots.
-/// More gateways than slots may, because few of them are busy for the customer at once.
+/// Where gateways outnumber a customer's slots, `SLOT_HOLDERS` gateways may use one for each `SLOTS_HELD`
+/// slots. More gateways than slots may, because few of them are busy for the customer at once.
 const SLOT_HOLDERS: u32 = 4;
 
 /// Slots that `SLOT_HOLDERS` gateways may use.
--- a/crates/admission/src/policy/queue/dispatch_order.rs
+++ b/crates/admission/src/policy/queue/dispatch_order.rs
@@ -1,20 +1,20 @@
-//! Which queued request leaves next.
+//! Which queued request is dispatched next.
 //!
-//! Only the head of each customer's flow may leave, so that requests of a customer keep their order. Of the heads
-//! that quota and band permit, the one with the smallest virtual finish leaves.
+//! Only the head of each customer's flow is considered, so that requests of a customer stay in order. Of the
+//! heads that quota and band permit, the one with the smallest virtual finish is dispatched.
 use crate::mechanism::virtual_finish_queue::FlowHead;
-use crate::state::QuotaDecision;
+use crate::state::{BandPosition, QuotaDecision};
 
 /// What becomes of the head of a flow in a round of dispatch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum HeadDecision {
-    /// It may be the next to leave.
+    /// It may be dispatched next.
     Eligible,
     /// Its customer's quota does not permit it yet.
     AwaitsQuota,
     /// Its quota permits it, but dispatch credit for its class is short.
     BlockedByBand,
-    /// It is over its quota: it leaves the queue, sent beyond the quota or rejected.
+    /// It is over its quota: it is removed from the queue, and sent beyond the quota or rejected.
     OverQuota,
 }
 
@@ -28,31 +28,35 @@
     }
 }
 
-/// Judges a head in a large fleet. The credit required depends on the class there: another head may pass where
-/// this one can't. `has_dispatch_credit` is called only for a head that its quota permits.
+/// Judges a head in a large fleet. The credit required depends on the class there: another head may pass
+/// where this one can't. `band_position` is called only for a head that its quota permits.
 pub(crate) fn judge_head_in_large_fleet(
     quota: QuotaDecision,
-    has_dispatch_credit: impl FnOnce() -> bool,
+    band_position: impl FnOnce() -> BandPosition,
 ) -> HeadDecision {
     match quota {
-        QuotaDecision::Admit if has_dispatch_credit() => HeadDecision::Eligible,
+        QuotaDecision::Admit if band_position().permits_queued_request() => HeadDecision::Eligible,
         QuotaDecision::Admit => HeadDecision::BlockedByBand,
         QuotaDecision::Wait => HeadDecision::AwaitsQuota,
         QuotaDecision::OverQuota => HeadDecision::OverQuota,
     }
 }
 
-/// Which of two eligible heads leaves first: the one with the smaller virtual finish, and of two alike the one
-/// seen first.
-pub(crate) fn first_to_leave(seen: Option<FlowHead>, head: FlowHead) -> FlowHead {
+/// Which of two eligible heads is dispatched first: the one with the smaller virtual finish, and of two
+/// alike the one seen first.
+pub(crate) fn earlier_head(seen: Option<FlowHead>, head: FlowHead) -> FlowHead {
     match seen {
         Some(seen) if !head.precedes(&seen) => seen,
         _ => head,
     }
 }
 
-/// Whether a head over its quota is sent beyond it: where its plan pays for that, within the ceiling, and the
-/// stock is under the band's lower bound. `is_under_lower` is called only for a head that may exceed its quota.
-pub(crate) fn may_send_over_quota(may_exceed_quota: bool, is_under_lower: impl FnOnce() -> bool) -> bool {
-    may_exceed_quota && is_under_lower()
+/// Whether a head over its quota is sent beyond it: where its plan pays for that, within the ceiling, and
+/// the stock is under the band's lower bound. `band_position` is called only for a head that may exceed its
+/// quota.
+pub(crate) fn may_send_over_quota(
+    may_exceed_quota: bool,
+    band_position: impl FnOnce() -> BandPosition,
+) -> bool {
+    may_exceed_quota && band_position().permits_queued_request()
 }
--- a/crates/admission/src/policy/queue/flow_weight.rs
+++ b/crates/admission/src/policy/queue/flow_weight.rs
@@ -15,14 +15,14 @@
     units_per_second * plan.plan_weight.max(MIN_WEIGHT)
 }
 
-/// Size of a request in the queue of a gateway in broadcast mode: its units, since the queue also says how many
-/// units of a quota are reserved.
+/// Size of a request in the queue of a gateway in broadcast mode: its units, since the queue also says how
+/// many units of a quota are reserved.
 pub(crate) fn queue_size_in_broadcast_mode(units: f64) -> f64 {
     units
 }
 
 /// Size of a request in the queue of a gateway of a large fleet: the more its class is worth, the less it
-/// counts, and the sooner it leaves.
+/// counts, and the sooner it is dispatched.
 pub(crate) fn queue_size_in_large_fleet(units: f64, priority_weight: f64) -> f64 {
     units / priority_weight.max(MIN_WEIGHT)
 }
--- a/crates/admission/src/policy/request_end/quota_settlement.rs
+++ b/crates/admission/src/policy/request_end/quota_settlement.rs
@@ -32,8 +32,8 @@
     Withdraw { owner: GatewayIndex, number: QuotaRequestNumber, additional_units: f64 },
 }
 
-/// What is sent about a request that has ended. A release costs a message, so a request that was sent is released
-/// only where it occupied a slot, or where its true units differ and the quota is not ample.
+/// What is sent about a request that has ended. A release costs a message, so a request that was sent is
+/// released only where it occupied a slot, or where its true units differ and the quota is not ample.
 pub(crate) fn settlement_at_end(ended: &EndedRequest) -> QuotaSettlement {
     let unused_units = -ended.units;
     match ended.quota {
--- a/crates/admission/src/policy/upkeep.rs
+++ b/crates/admission/src/policy/upkeep.rs
@@ -1,10 +1,11 @@
 //! How often a gateway does its periodic work.
 
-/// Time between two rounds of upkeep, in ms: short beside any latency objective, so that nothing is noticed late.
+/// Time between two rounds of upkeep, in ms: short beside any latency objective, so that nothing is noticed
+/// late.
 pub(crate) const UPKEEP_MS: f64 = 20.0;
 
-/// Time between two reviews of all endpoints in a large fleet, and between two rounds of upkeep there while the
-/// gateway has no request, in ms. With many gateways and endpoints each review costs more.
+/// Time between two reviews of all endpoints in a large fleet, and between two rounds of upkeep there while
+/// the gateway has no request, in ms. With many gateways and endpoints each review costs more.
 const LARGE_FLEET_REVIEW_MS: f64 = 100.0;
 
 /// Time between two evictions of idle customers, in ms.
--- a/crates/admission/src/state/event_clock.rs
+++ b/crates/admission/src/state/event_clock.rs
@@ -3,8 +3,11 @@
 /// The time of the event being handled, and when the next round of upkeep is due.
 #[derive(Debug, Default)]
 pub(crate) struct EventClock {
+    /// The time of the event being handled, in milliseconds.
     now_ms: f64,
+    /// When the gateway started, in milliseconds.
     started_ms: f64,
+    /// When the next round of upkeep is due, in milliseconds.
     next_tick_ms: f64,
     /// The first round of upkeep has been scheduled.
     ticking: bool,
@@ -16,12 +19,12 @@
         EventClock { now_ms, started_ms: now_ms, ..EventClock::default() }
     }
 
-    /// The time of the event being handled.
+    /// The time of the event being handled, in milliseconds.
     pub(crate) fn now_ms(&self) -> f64 {
         self.now_ms
     }
 
-    /// Time since the gateway's start.
+    /// Time since the gateway's start, in milliseconds.
     pub(crate) fn since_start_ms(&self) -> f64 {
         self.now_ms - self.started_ms
     }
@@ -36,18 +39,18 @@
         !std::mem::replace(&mut self.ticking, true)
     }
 
-    /// Sets the next round of upkeep to come after this time, and returns when that is.
+    /// Schedules the next round of upkeep `after_ms` from now, and returns its time in milliseconds.
     pub(crate) fn schedule_tick(&mut self, after_ms: f64) -> f64 {
         self.next_tick_ms = self.now_ms + after_ms;
         self.next_tick_ms
     }
 
-    /// When the next round of upkeep is scheduled.
+    /// The time for which the next round of upkeep is scheduled, in milliseconds.
     pub(crate) fn next_tick_ms(&self) -> f64 {
         self.next_tick_ms
     }
 
-    /// Whether the next round of upkeep comes later than after this time.
+    /// Whether the next round of upkeep is scheduled for later than `after_ms` from now.
     pub(crate) fn next_tick_is_beyond(&self, after_ms: f64) -> bool {
         self.next_tick_ms > self.now_ms + after_ms
     }
--- a/crates/admission/src/state/fleet/band_state.rs
+++ b/crates/admission/src/state/fleet/band_state.rs
@@ -1,4 +1,4 @@
-//! The in-flight band's state: watermark, dispatch credit, and whether requests are held back.
+//! The in-flight band's state: watermark, dispatch credit, and whether queued requests wait for it.
 use crate::state::{BroadcastPeer, Endpoint};
 
 /// The in-flight band of one gateway.
@@ -6,26 +6,27 @@
 pub(crate) struct InFlightBand {
     /// Attempts in flight per ready endpoint at the band's middle.
     watermark: f64,
-    /// Queued requests could be sent but for the band or a lack of endpoints.
+    /// Queued requests wait only for the band or for an endpoint.
     blocked: bool,
-    /// The band has held requests back since the last step of the watermark.
+    /// Queued requests have waited for the band since the last step of the watermark.
     blocked_since_step: bool,
-    /// The endpoints have much of what the band lets them have.
+    /// The endpoints are saturated: the stock is a large fraction of the band.
     saturated: bool,
-    /// When the watermark last took a step.
+    /// When the watermark last took a step, in milliseconds.
     stepped_ms: f64,
-    /// Ready endpoints as the band counts them, when last measured; warming ones count in part.
+    /// Ready endpoints as the band counted them at the last review; one that is warming up counts as a
+    /// fraction.
     ready_capacity: f64,
-    /// Requests that this gateway may send by its part of the band; below 0 it is overdrawn.
+    /// Requests that this gateway may send by its even quota of the band; below 0 it is overdrawn.
     dispatch_credit: f64,
-    /// When the dispatch credit was last refilled.
+    /// When the dispatch credit was last refilled, in milliseconds.
     refilled_ms: f64,
 }
 
 /// The load of the endpoints that the band counts.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct BandLoad {
-    /// Ready endpoints; warming ones count in part.
+    /// Ready endpoints; one that is warming up counts as a fraction.
     pub(crate) ready_capacity: f64,
     /// This gateway's attempts in flight at them.
     pub(crate) in_flight: u32,
@@ -35,7 +36,7 @@
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Band {
     /// This gateway's attempts in flight.
-    pub(crate) own: f64,
+    pub(crate) own_in_flight: f64,
     /// The stock: attempts in flight of all gateways.
     pub(crate) stock: f64,
     /// The stock that the band is centred on.
@@ -46,21 +47,35 @@
 
 /// Where the stock lies against the band's bounds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct BandPosition {
-    /// Under the lower bound: queued requests may be sent.
-    pub(crate) under_lower: bool,
-    /// Under the upper bound: a new request may be sent without queueing.
-    pub(crate) under_upper: bool,
+pub(crate) enum BandPosition {
+    /// Under the lower bound: queued and new requests may be sent.
+    UnderLower,
+    /// Between the bounds: a new request may be sent, queued ones wait.
+    BetweenBounds,
+    /// Not under the upper bound: none may be sent.
+    NotUnderUpper,
+}
+
+impl BandPosition {
+    /// Whether a queued request may be sent.
+    pub(crate) fn permits_queued_request(self) -> bool {
+        self == BandPosition::UnderLower
+    }
+
+    /// Whether a new request within its quota may be sent without being queued.
+    pub(crate) fn permits_new_request(self) -> bool {
+        self != BandPosition::NotUnderUpper
+    }
 }
 
 impl BandLoad {
-    /// The load of these endpoints, each given with the part of a ready endpoint that it counts as.
+    /// The load of these endpoints, each given with the fraction of a warm endpoint that it counts as.
     pub(crate) fn sum<'a>(endpoints: impl Iterator<Item = (&'a Endpoint, f64)>) -> Self {
         let mut load = BandLoad { ready_capacity: 0.0, in_flight: 0 };
-        for (endpoint, part) in endpoints {
+        for (endpoint, fraction) in endpoints {
             load.in_flight += endpoint.in_flight().len() as u32;
             if endpoint.is_ready() {
-                load.ready_capacity += part;
+                load.ready_capacity += fraction;
             }
         }
         load
@@ -82,7 +97,7 @@
             gateways += 1.0;
         }
         Band {
-            own: f64::from(load.in_flight),
+            own_in_flight: f64::from(load.in_flight),
             stock: f64::from(load.in_flight + peer_stock),
             middle: watermarks / gateways * load.ready_capacity,
             gateways,
@@ -91,7 +106,7 @@
 }
 
 impl InFlightBand {
-    /// A band with this watermark and dispatch credit that holds nothing back.
+    /// A band with this watermark and dispatch credit that no request waits for.
     pub(crate) fn new(watermark: f64, dispatch_credit: f64) -> Self {
         InFlightBand { watermark, dispatch_credit, ..InFlightBand::default() }
     }
@@ -106,17 +121,17 @@
         self.watermark += weight * (reported - self.watermark);
     }
 
-    /// Multiplies the watermark, within the given bounds.
+    /// Multiplies the watermark, within `floor` and `limit`.
     pub(crate) fn scale_watermark(&mut self, factor: f64, floor: f64, limit: f64) {
         self.watermark = (self.watermark * factor).max(floor).min(limit);
     }
 
-    /// Time since the watermark's last step.
+    /// Time since the watermark's last step, in milliseconds.
     pub(crate) fn since_step_ms(&self, now_ms: f64) -> f64 {
         now_ms - self.stepped_ms
     }
 
-    /// Begins a step of the watermark and says whether requests were held back since the last one.
+    /// Begins a step of the watermark. `true` where queued requests waited for the band since the last one.
     pub(crate) fn begin_step(&mut self, now_ms: f64) -> bool {
         let was_blocked = self.blocked || self.blocked_since_step;
         self.blocked_since_step = false;
@@ -129,33 +144,33 @@
         self.blocked
     }
 
-    /// A round of dispatch begins, with nothing known to be held back.
+    /// Begins a round of dispatch: no request is known to wait.
     pub(crate) fn unblock(&mut self) {
         self.blocked = false;
     }
 
-    /// The band holds a request back.
+    /// Records that a queued request waits for the band.
     pub(crate) fn block(&mut self) {
         self.blocked = true;
         self.blocked_since_step = true;
     }
 
-    /// A request waits for an endpoint, which a higher watermark would not help.
+    /// Records that a queued request waits for an endpoint, which a higher watermark would not help.
     pub(crate) fn block_for_endpoint(&mut self) {
         self.blocked = true;
     }
 
-    /// Whether the endpoints have much of what the band lets them have.
+    /// Whether the endpoints are saturated.
     pub(crate) fn is_saturated(&self) -> bool {
         self.saturated
     }
 
-    /// Records whether the endpoints have much of what the band lets them have.
+    /// Records whether the endpoints are saturated.
     pub(crate) fn set_saturated(&mut self, saturated: bool) {
         self.saturated = saturated;
     }
 
-    /// Ready endpoints as the band counts them, when last measured.
+    /// Ready endpoints as the band counted them at the last review.
     pub(crate) fn ready_capacity(&self) -> f64 {
         self.ready_capacity
     }
@@ -165,12 +180,12 @@
         self.ready_capacity = ready_capacity;
     }
 
-    /// Requests that this gateway may send by its part of the band.
+    /// Requests that this gateway may send by its even quota of the band.
     pub(crate) fn dispatch_credit(&self) -> f64 {
         self.dispatch_credit
     }
 
-    /// Takes the credit of one request, down to `max_overdraft` below 0.
+    /// Spends the credit of one request, down to `max_overdraft` below 0.
     pub(crate) fn spend_dispatch_credit(&mut self, max_overdraft: f64) {
         self.dispatch_credit = (self.dispatch_credit - 1.0).max(-max_overdraft);
     }
@@ -180,7 +195,7 @@
         self.dispatch_credit = (self.dispatch_credit + amount).min(limit);
     }
 
-    /// Seconds since the last refill, which is now.
+    /// Begins a refill, and returns the seconds since the last one.
     pub(crate) fn begin_refill(&mut self, now_ms: f64) -> f64 {
         let seconds = (now_ms - self.refilled_ms).max(0.0) / 1000.0;
         self.refilled_ms = now_ms;
--- a/crates/admission/src/state/request/active_request.rs
+++ b/crates/admission/src/state/request/active_request.rs
@@ -1,37 +1,39 @@
-//! Requests in work.
+//! Active requests: received, and not yet answered with all attempts ended.
 use crate::event::{Outcome, Request};
 use crate::id::{CustomerTag, EndpointId, RequestId};
 use crate::state::{Attempt, AttemptRef, Endpoint, PendingAttempt, QuotaState};
 use std::collections::BTreeMap;
 
-/// A request taken in, until it is answered and all its attempts have ended.
+/// A request from its receipt until it has its final response and all its attempts have ended.
 #[derive(Debug)]
 pub(crate) struct ActiveRequest {
-    /// As it came in.
+    /// As it was received.
     pub(crate) request: Request,
     /// Its customer's tag, which names the customer's records.
     pub(crate) tag: CustomerTag,
     /// When its latency objective is reached, in milliseconds.
     pub(crate) objective_at_ms: f64,
-    /// When its client gives up, in milliseconds.
+    /// When its client stops waiting, in milliseconds.
     pub(crate) deadline_ms: f64,
     /// Its attempts, in the order in which they were sent.
     attempts: Vec<Attempt>,
-    /// It has its final answer, or its client has gone.
+    /// It has its final response, or its client has gone.
     closed: bool,
     /// Where it stands with the quota.
     quota: QuotaState,
-    /// Units by which the true figure passed the estimate, where the quota is not held here.
+    /// Units by which the true figure passed the estimate, where another gateway or the counter counts the
+    /// quota.
     settled_units: f64,
 }
 
 impl ActiveRequest {
-    /// Whether the request still waits for the counter: its client may have gone, or its time may be over.
+    /// Whether the request still awaits a response of the quota counter. It does not once its client has
+    /// gone or its time is over.
     pub(crate) fn awaits_counter(&self) -> bool {
         !self.closed && self.quota == QuotaState::AwaitingCounter
     }
 
-    /// A request just taken in.
+    /// A request received now, whose latency objective is reached after `objective_ms`.
     pub(crate) fn new(request: Request, tag: CustomerTag, now_ms: f64, objective_ms: f64) -> Self {
         ActiveRequest {
             tag,
@@ -55,12 +57,13 @@
         self.quota = quota;
     }
 
-    /// Adds the units by which an ended attempt passed the estimate, for whoever holds the quota.
+    /// Adds the units by which an ended attempt passed the estimate, for whoever counts the quota.
     pub(crate) fn settle(&mut self, excess_units: f64) {
         self.settled_units += excess_units;
     }
 
-    /// Units by which its attempts passed the estimate, where the quota is not held here.
+    /// Units by which its attempts passed the estimate, where another gateway or the counter counts the
+    /// quota.
     pub(crate) fn settled_units(&self) -> f64 {
         self.settled_units
     }
@@ -70,7 +73,7 @@
         self.attempts.len()
     }
 
-    /// Whether it is still to be answered and has had fewer attempts than it may have at most.
+    /// Whether it lacks a final response and has had fewer attempts than `max_attempts`.
     pub(crate) fn may_attempt_again(&self, max_attempts: u32) -> bool {
         !self.closed && self.attempts.len() < max_attempts as usize
     }
@@ -80,7 +83,7 @@
         self.attempts.is_empty()
     }
 
-    /// Enters an attempt that is sent to an endpoint now, and names it.
+    /// Records an attempt that is sent to an endpoint now, and returns its reference.
     pub(crate) fn start_attempt(&mut self, endpoint: &Endpoint, now_ms: f64) -> AttemptRef {
         let attempt = self.attempts.len() as u32;
         self.attempts.push(Attempt::new(endpoint, now_ms));
@@ -115,12 +118,12 @@
         true
     }
 
-    /// Whether it has its final answer, or its client has gone.
+    /// Whether it has its final response, or its client has gone.
     pub(crate) fn is_closed(&self) -> bool {
         self.closed
     }
 
-    /// Marks it as closed. `false` where it was so before.
+    /// Marks it as closed. `false` where it was closed before.
     pub(crate) fn close(&mut self) -> bool {
         !std::mem::replace(&mut self.closed, true)
     }
@@ -131,19 +134,19 @@
     }
 }
 
-/// Requests taken in that are not answered yet or have attempts in flight.
+/// The active requests, by id.
 #[derive(Debug, Default)]
 pub(crate) struct RequestTable {
     by_id: BTreeMap<RequestId, ActiveRequest>,
 }
 
 impl RequestTable {
-    /// Whether there is no request.
+    /// Whether there is no active request.
     pub(crate) fn is_empty(&self) -> bool {
         self.by_id.is_empty()
     }
 
-    /// Whether there is a request of this id.
+    /// Whether a request of this id is active.
     pub(crate) fn contains(&self, id: RequestId) -> bool {
         self.by_id.contains_key(&id)
     }
@@ -158,12 +161,12 @@
         self.by_id.get_mut(&id)
     }
 
-    /// Enters a request.
+    /// Inserts a request.
     pub(crate) fn insert(&mut self, active: ActiveRequest) {
         self.by_id.insert(active.request.id, active);
     }
 
-    /// Takes a request out.
+    /// Removes a request and returns it.
     pub(crate) fn remove(&mut self, id: RequestId) -> Option<ActiveRequest> {
         self.by_id.remove(&id)
     }
--- a/crates/admission/src/tests/load_rules/band_position_rules.rs
+++ b/crates/admission/src/tests/load_rules/band_position_rules.rs
@@ -3,11 +3,11 @@
 use crate::policy::band::dispatch_credit::{
     credit_refill, credit_required, position_in_large_fleet, CreditRefill, LargeFleetBand,
 };
-use crate::state::Band;
+use crate::state::{Band, BandPosition};
 
 /// Two gateways, and a band from 90 to 110 around 100 attempts: 45 at its lower bound for each gateway.
-fn reported_band(own: f64, stock: f64) -> Band {
-    Band { own, stock, middle: 100.0, gateways: 2.0 }
+fn reported_band(own_in_flight: f64, stock: f64) -> Band {
+    Band { own_in_flight, stock, middle: 100.0, gateways: 2.0 }
 }
 
 /// 10 gateways and 25 endpoints at a watermark of 4: a middle of 100 attempts, 10 for each gateway.
@@ -18,16 +18,16 @@
 #[test]
 fn broadcast_mode_compares_the_stock_with_both_bounds_above_the_even_quota() {
     let cases = [
-        (60.0, 89.0, (true, true)),
-        (60.0, 91.0, (false, true)),
-        (60.0, 109.0, (false, true)),
-        (60.0, 111.0, (false, false)),
-        (44.0, 500.0, (true, true)),
-        (45.0, 500.0, (false, false)),
+        (60.0, 89.0, BandPosition::UnderLower),
+        (60.0, 91.0, BandPosition::BetweenBounds),
+        (60.0, 109.0, BandPosition::BetweenBounds),
+        (60.0, 111.0, BandPosition::NotUnderUpper),
+        (44.0, 500.0, BandPosition::UnderLower),
+        (45.0, 500.0, BandPosition::NotUnderUpper),
     ];
-    for (own, stock, expected) in cases {
-        let position = position_in_broadcast_mode(&reported_band(own, stock));
-        assert_eq!((position.under_lower, position.under_upper), expected, "{own} of {stock} in flight");
+    for (own_in_flight, stock, expected) in cases {
+        let position = position_in_broadcast_mode(&reported_band(own_in_flight, stock));
+        assert_eq!(position, expected, "{own_in_flight} of {stock}");
     }
 }
 
@@ -41,10 +41,14 @@
 
 #[test]
 fn large_fleet_requires_credit_from_six_tenths_of_the_middle_on() {
-    let cases = [(59.0, 0.0, true), (61.0, 0.9, false), (61.0, 1.0, true)];
-    for (stock, credit, may_send) in cases {
+    let cases = [
+        (59.0, 0.0, BandPosition::UnderLower),
+        (61.0, 0.9, BandPosition::NotUnderUpper),
+        (61.0, 1.0, BandPosition::UnderLower),
+    ];
+    for (stock, credit, expected) in cases {
         let position = position_in_large_fleet(&gossip_band(stock), credit, 1.0);
-        assert_eq!((position.under_lower, position.under_upper), (may_send, may_send), "{stock}, {credit}");
+        assert_eq!(position, expected, "{stock}, {credit}");
     }
     assert!(gossip_band(61.0).is_gated() && !gossip_band(59.0).is_gated());
 }
--- a/crates/admission/src/tests/load_rules/customer_limit_rules.rs
+++ b/crates/admission/src/tests/load_rules/customer_limit_rules.rs
@@ -31,14 +31,17 @@
 #[test]
 fn ceiling_is_checked_last() {
     let plan = PlanSettings { ceiling_rate_per_second: 5.0, open_limit: 1, ..plan() };
+    let without_ceiling = PlanSettings { ceiling_rate_per_second: 0.0, ..plan.clone() };
     let short = LimitInput { ceiling_tokens: 0.9, ..input(&plan) };
     assert_eq!(check_customer_limits(&short), LimitDecision::WaitForCeiling);
+    assert_eq!(check_customer_limits(&input(&plan)), LimitDecision::Admit);
+    assert_eq!(check_customer_limits(&LimitInput { plan: &without_ceiling, ..short }), LimitDecision::Admit);
     let slots = Some(SlotUse { in_flight: 1, peer_in_flight: 0, busy_peers: 0, gateways: 1, place: 0 });
     assert_eq!(check_customer_limits(&LimitInput { slots, ..short }), LimitDecision::WaitForSlot);
 }
 
-/// Limit 4 over 3 gateways: each has one slot of its own. Limit 2 over 8 gateways: the first 3 places (4 for each 3
-/// slots, rounded up) have one.
+/// Limit 4 over 3 gateways: each has one slot of its own. Limit 2 over 8 gateways: the first 3 places (4 for
+/// each 3 slots, rounded up) have one.
 #[test]
 fn open_limit_counts_unreported_attempts_beyond_the_own_slots() {
     let cases = [
--- a/crates/admission/src/tests/load_rules/deadline_rules.rs
+++ b/crates/admission/src/tests/load_rules/deadline_rules.rs
@@ -5,8 +5,8 @@
     retry_after_over_quota_in_broadcast_mode, retry_after_over_quota_in_large_fleet, retry_after_overload,
 };
 
-/// A request at time 1,000 with 500 ms until its objective and 2,000 ms until its deadline, in a class that is
-/// answered in 200 ms.
+/// A request at time 1,000 with 500 ms until its objective and 2,000 ms until its deadline, in a class that
+/// is answered in 200 ms.
 const TIMES: RequestTimes = RequestTimes {
     now_ms: 1000.0,
     objective_at_ms: 1500.0,
--- a/crates/admission/src/tests/load_rules/dispatch_order_rules.rs
+++ b/crates/admission/src/tests/load_rules/dispatch_order_rules.rs
@@ -1,35 +1,44 @@
-//! Which queued request leaves next, and how flows are weighted.
+//! Which queued request is dispatched next, and how flows are weighted.
 use super::plan;
 use crate::id::{CustomerTag, RequestId};
 use crate::mechanism::virtual_finish_queue::FlowHead;
 use crate::policy::queue::dispatch_order::{
-    first_to_leave, judge_head_in_broadcast_mode, judge_head_in_large_fleet, may_send_over_quota,
-    HeadDecision,
+    earlier_head, judge_head_in_broadcast_mode, judge_head_in_large_fleet, may_send_over_quota, HeadDecision,
 };
 use crate::policy::queue::flow_weight::{
     flow_weight, queue_size_in_broadcast_mode, queue_size_in_large_fleet,
 };
 use crate::settings::PlanSettings;
-use crate::state::QuotaDecision;
+use crate::state::{BandPosition, QuotaDecision};
 
 #[test]
 fn heads_are_judged_by_quota_and_in_a_large_fleet_by_credit() {
     let cases = [
-        (QuotaDecision::Admit, true, HeadDecision::Eligible, HeadDecision::Eligible),
-        (QuotaDecision::Admit, false, HeadDecision::Eligible, HeadDecision::BlockedByBand),
-        (QuotaDecision::Wait, false, HeadDecision::AwaitsQuota, HeadDecision::AwaitsQuota),
-        (QuotaDecision::OverQuota, false, HeadDecision::OverQuota, HeadDecision::OverQuota),
+        (QuotaDecision::Admit, BandPosition::UnderLower, HeadDecision::Eligible, HeadDecision::Eligible),
+        (
+            QuotaDecision::Admit,
+            BandPosition::NotUnderUpper,
+            HeadDecision::Eligible,
+            HeadDecision::BlockedByBand,
+        ),
+        (QuotaDecision::Wait, BandPosition::UnderLower, HeadDecision::AwaitsQuota, HeadDecision::AwaitsQuota),
+        (
+            QuotaDecision::OverQuota,
+            BandPosition::UnderLower,
+            HeadDecision::OverQuota,
+            HeadDecision::OverQuota,
+        ),
     ];
-    for (quota, has_credit, in_broadcast_mode, in_large_fleet) in cases {
+    for (quota, position, in_broadcast_mode, in_large_fleet) in cases {
         assert_eq!(judge_head_in_broadcast_mode(quota), in_broadcast_mode);
-        assert_eq!(judge_head_in_large_fleet(quota, || has_credit), in_large_fleet, "{quota:?}");
+        assert_eq!(judge_head_in_large_fleet(quota, || position), in_large_fleet, "{quota:?}");
     }
 }
 
 #[test]
-fn the_smallest_virtual_finish_leaves_and_the_first_seen_of_two_alike() {
+fn the_smallest_virtual_finish_is_first_and_of_two_alike_the_first_seen() {
     let head = |id, virtual_finish| FlowHead { tag: CustomerTag(id), id: RequestId(id), virtual_finish };
-    let next = |seen, other| first_to_leave(seen, other).id;
+    let next = |seen, other| earlier_head(seen, other).id;
     assert_eq!(next(None, head(1, 5.0)), RequestId(1));
     assert_eq!(next(Some(head(1, 5.0)), head(2, 4.0)), RequestId(2));
     assert_eq!(next(Some(head(1, 5.0)), head(2, 5.0)), RequestId(1));
@@ -37,8 +46,13 @@
 
 #[test]
 fn over_quota_requests_are_sent_only_where_the_plan_pays_and_the_stock_is_low() {
-    for (may_exceed, under_lower, sent) in [(true, true, true), (true, false, false), (false, true, false)] {
-        assert_eq!(may_send_over_quota(may_exceed, || under_lower), sent);
+    let cases = [
+        (true, BandPosition::UnderLower, true),
+        (true, BandPosition::BetweenBounds, false),
+        (false, BandPosition::UnderLower, false),
+    ];
+    for (may_exceed, position, sent) in cases {
+        assert_eq!(may_send_over_quota(may_exceed, || position), sent);
     }
 }
 
--- a/crates/admission/src/tests/load_rules/mod.rs
+++ b/crates/admission/src/tests/load_rules/mod.rs
@@ -12,7 +12,8 @@
 
 use crate::settings::PlanSettings;
 
-/// A plan of 10 units a second and bursts of 40, without open limit or ceiling, that does not pay beyond its quota.
+/// A plan of 10 units a second and bursts of 40, without open limit or ceiling, that does not pay beyond its
+/// quota.
 fn plan() -> PlanSettings {
     PlanSettings {
         rate_per_second: 10.0,
--- a/crates/admission/src/tests/load_rules/new_request_rules.rs
+++ b/crates/admission/src/tests/load_rules/new_request_rules.rs
@@ -13,14 +13,11 @@
 const ADMITTED: AdmissionInput = AdmissionInput {
     quota: OwnBucketCheck { is_met: true, may_exceed: false, retry_after_ms: Some(70.0) },
     limits: LimitDecision::Admit,
-    band: BandPosition { under_lower: true, under_upper: true },
+    band: BandPosition::UnderLower,
     queue_is_blocked: false,
     queued_requests: 3999,
 };
 
-const BETWEEN_BOUNDS: BandPosition = BandPosition { under_lower: false, under_upper: true };
-const ABOVE_BOUNDS: BandPosition = BandPosition { under_lower: false, under_upper: false };
-
 /// A request with this much time left in a class that is answered in 100 ms.
 fn times(time_left_ms: f64) -> RequestTimes {
     RequestTimes {
@@ -37,8 +34,8 @@
 fn broadcast_mode_sends_within_quota_up_to_the_upper_bound() {
     let cases = [
         (ADMITTED, Admission::Send),
-        (AdmissionInput { band: BETWEEN_BOUNDS, ..ADMITTED }, Admission::Send),
-        (AdmissionInput { band: ABOVE_BOUNDS, ..ADMITTED }, Admission::Queue),
+        (AdmissionInput { band: BandPosition::BetweenBounds, ..ADMITTED }, Admission::Send),
+        (AdmissionInput { band: BandPosition::NotUnderUpper, ..ADMITTED }, Admission::Queue),
         (AdmissionInput { limits: LimitDecision::WaitForSlot, ..ADMITTED }, Admission::Queue),
         (AdmissionInput { queue_is_blocked: true, ..ADMITTED }, Admission::Queue),
         (AdmissionInput { queue_is_blocked: true, queued_requests: 4000, ..ADMITTED }, REJECTED),
@@ -57,7 +54,7 @@
     let cases = [
         (AdmissionInput { quota: over, ..ADMITTED }, REJECTED),
         (AdmissionInput { quota: paying, limits, ..ADMITTED }, Admission::Send),
-        (AdmissionInput { quota: paying, band: BETWEEN_BOUNDS, ..ADMITTED }, REJECTED),
+        (AdmissionInput { quota: paying, band: BandPosition::BetweenBounds, ..ADMITTED }, REJECTED),
         (AdmissionInput { quota: paying, queue_is_blocked: true, ..ADMITTED }, REJECTED),
     ];
     for (input, expected) in cases {
@@ -80,7 +77,7 @@
     let cases = [
         (ADMITTED, false),
         (lacking, true),
-        (AdmissionInput { band: ABOVE_BOUNDS, ..lacking }, false),
+        (AdmissionInput { band: BandPosition::NotUnderUpper, ..lacking }, false),
         (AdmissionInput { quota: over, ..lacking }, false),
     ];
     for (input, expected) in cases {
