--- a/crates/admission/src/lifecycle/band_control.rs
+++ b/crates/admission/src/lifecycle/band_control.rs
@@ -4,7 +4,8 @@
 use crate::id::RequestId;
 use crate::policy::band::band_bounds::{is_saturated_in_broadcast_mode, position_in_broadcast_mode};
 use crate::policy::band::counted_endpoints::{
-    is_counted_in_broadcast_mode, is_counted_in_large_fleet, EndpointCondition,
+    is_counted_despite_correlated_failure, is_counted_in_broadcast_mode, is_counted_in_large_fleet,
+    EndpointCondition,
 };
 use crate::policy::band::dispatch_credit::{
     credit_refill, credit_required, position_in_large_fleet, LargeFleetBand,
@@ -25,17 +26,18 @@
         }
     }
 
-    /// The endpoints that the band counts, and this gateway's attempts in flight at them. While most
-    /// endpoints seem to have failed, all count.
+    /// The endpoints that the band counts, and this gateway's attempts in flight at them.
     pub(crate) fn band_load(&self) -> BandLoad {
         let mode = self.coordination.fleet_mode();
         let is_correlated_failure = self.outliers.is_correlated_failure();
-        let counted = |endpoint: &&Endpoint| is_correlated_failure || self.is_counted(endpoint, mode);
+        let counted = |endpoint: &&Endpoint| {
+            is_counted_despite_correlated_failure(is_correlated_failure, || self.is_counted(endpoint, mode))
+        };
         let endpoints = self.endpoints.iter().filter(counted);
         BandLoad::sum(endpoints.map(|endpoint| (endpoint, self.send_fraction(endpoint))))
     }
 
-    /// Whether the band counts an endpoint's work.
+    /// Whether the band counts an endpoint's work, by the endpoint alone.
     fn is_counted(&self, endpoint: &Endpoint, mode: FleetMode) -> bool {
         let now_ms = self.clock.now_ms();
         let condition = EndpointCondition {
--- a/crates/admission/src/lifecycle/request_deadlines.rs
+++ b/crates/admission/src/lifecycle/request_deadlines.rs
@@ -5,7 +5,7 @@
 use crate::policy::admission::deadline::{is_overdue, RequestTimes};
 use crate::policy::admission::elapsed_wait::{already_waited_ms, TimeBudgetInput, TIME_BUDGET_VOTE};
 use crate::policy::admission::retry_after::{
-    retry_after_over_quota_in_broadcast_mode, retry_after_over_quota_in_large_fleet, retry_after_overload,
+    retry_after_over_quota_in_broadcast_mode, retry_after_over_quota_in_large_fleet, retry_after_overdue,
 };
 use crate::state::{ActiveRequest, FleetMode};
 
@@ -38,7 +38,7 @@
         let overdue: Vec<RequestId> = overdue.map(|active| active.request.id).collect();
         for id in overdue {
             let is_unsent = self.requests.get(id).is_some_and(ActiveRequest::is_unsent);
-            let retry_after_ms = if is_unsent { self.overload_retry_after() } else { None };
+            let retry_after_ms = retry_after_overdue(is_unsent, self.settings.max_retry_after_ms);
             self.finish(id, retry_after_ms, actions);
         }
     }
@@ -56,11 +56,6 @@
         })
     }
 
-    /// Retry-After of a request that found no capacity in time, in ms.
-    pub(crate) fn overload_retry_after(&self) -> Option<f64> {
-        retry_after_overload(self.settings.max_retry_after_ms)
-    }
-
     /// Retry-After of a queued request that is over its quota, in ms.
     pub(crate) fn over_quota_retry_after(&self) -> Option<f64> {
         match self.coordination.fleet_mode() {
--- a/crates/admission/src/lifecycle/requests.rs
+++ b/crates/admission/src/lifecycle/requests.rs
@@ -24,7 +24,9 @@
         }
     }
 
-    /// Whether a request names a class and a plan of the settings, and is not active already.
+    /// Whether a request names a class and a plan of the settings, and is not active already. Without this
+    /// check an index beyond the settings would end the process, and a second request of the same id would
+    /// replace the record of the first, whose client would get no response.
     fn is_valid(&self, request: &Request) -> bool {
         request.class.0 < self.settings.classes.len()
             && request.plan.0 < self.settings.plans.len()
--- a/crates/admission/src/policy/admission/retry_after.rs
+++ b/crates/admission/src/policy/admission/retry_after.rs
@@ -6,6 +6,16 @@
     Some(max_retry_after_ms).filter(|ms| *ms > 0.0)
 }
 
+/// Retry-After of a request that ran out of time, in ms. One that was sent was not short of capacity: it
+/// carries none.
+pub(crate) fn retry_after_overdue(is_unsent: bool, max_retry_after_ms: f64) -> Option<f64> {
+    if is_unsent {
+        retry_after_overload(max_retry_after_ms)
+    } else {
+        None
+    }
+}
+
 /// Retry-After in broadcast mode of a queued request that turned out to be over its quota: none.
 pub(crate) fn retry_after_over_quota_in_broadcast_mode() -> Option<f64> {
     None
--- a/crates/admission/src/policy/band/counted_endpoints.rs
+++ b/crates/admission/src/policy/band/counted_endpoints.rs
@@ -35,6 +35,16 @@
     }
 }
 
+/// Whether the band counts an endpoint's work, with regard to correlated failure. While most endpoints look
+/// like outliers the cause is not theirs, so that all count: else the band would have almost no capacity and
+/// almost nothing would be sent. `is_counted` judges the endpoint alone and is called only otherwise.
+pub(crate) fn is_counted_despite_correlated_failure(
+    is_correlated_failure: bool,
+    is_counted: impl FnOnce() -> bool,
+) -> bool {
+    is_correlated_failure || is_counted()
+}
+
 /// Whether the band counts an endpoint's work, in broadcast mode.
 pub(crate) fn is_counted_in_broadcast_mode(condition: &EndpointCondition) -> bool {
     !condition.is_lost()
--- a/crates/admission/src/policy/queue/customer_limits.rs
+++ b/crates/admission/src/policy/queue/customer_limits.rs
@@ -2,12 +2,12 @@
 use crate::settings::PlanSettings;
 use crate::state::QuotaDecision;
 
-/// Where gateways outnumber a customer's slots, `SLOT_HOLDERS` gateways may use one for each `SLOTS_HELD`
-/// slots. More gateways than slots may, because few of them are busy for the customer at once.
-const SLOT_HOLDERS: u32 = 4;
+/// Gateways that may each use one of `SLOTS_PER_GROUP` slots, where gateways outnumber a customer's slots.
+/// More gateways than slots may, because few of them are busy for the customer at once.
+const GATEWAYS_PER_GROUP: u32 = 4;
 
-/// Slots that `SLOT_HOLDERS` gateways may use.
-const SLOTS_HELD: u32 = 3;
+/// Slots that `GATEWAYS_PER_GROUP` gateways may use.
+const SLOTS_PER_GROUP: u32 = 3;
 
 /// A request and the limits of its customer.
 #[derive(Debug, Clone, Copy)]
@@ -85,7 +85,7 @@
 /// Whether a customer has as many attempts in flight as its plan allows. Peers' reports come late: once this
 /// gateway uses its own quota of the slots, each busy peer may have one attempt more than it reported.
 fn open_limit_reached(limit: u32, slots: &SlotUse) -> bool {
-    let has_slot = slots.place < (SLOT_HOLDERS * limit).div_ceil(SLOTS_HELD);
+    let has_slot = slots.place < (GATEWAYS_PER_GROUP * limit).div_ceil(SLOTS_PER_GROUP);
     let own_slots = (limit / slots.gateways).max(u32::from(has_slot));
     let unreported = if slots.in_flight < own_slots { 0 } else { slots.busy_peers };
     slots.in_flight + slots.peer_in_flight + unreported >= limit
--- a/crates/admission/src/state/event_clock.rs
+++ b/crates/admission/src/state/event_clock.rs
@@ -29,7 +29,9 @@
         self.now_ms - self.started_ms
     }
 
-    /// Moves to an event's time. An event that is dated back counts as of now.
+    /// Moves to an event's time. A host's clock may be set back: an event dated before the last one counts
+    /// as of the last one's time. Else the time between would pass twice, and token buckets would refill
+    /// twice for it.
     pub(crate) fn advance(&mut self, now_ms: f64) {
         self.now_ms = self.now_ms.max(now_ms);
     }
--- a/crates/admission/src/tests/load_rules/counted_endpoint_rules.rs
+++ b/crates/admission/src/tests/load_rules/counted_endpoint_rules.rs
@@ -1,6 +1,7 @@
 //! Which endpoints' work the band counts.
 use crate::policy::band::counted_endpoints::{
-    is_counted_in_broadcast_mode, is_counted_in_large_fleet, EndpointCondition,
+    is_counted_despite_correlated_failure, is_counted_in_broadcast_mode, is_counted_in_large_fleet,
+    EndpointCondition,
 };
 
 const HEALTHY: EndpointCondition = EndpointCondition {
@@ -35,3 +36,12 @@
     assert!(!is_counted_in_large_fleet(&HEALTHY, false, 1.7));
     assert!(!is_counted_in_large_fleet(&HEALTHY, true, 1.0));
 }
+
+#[test]
+fn all_count_during_a_correlated_failure() {
+    for (is_correlated_failure, counted_alone, counted) in
+        [(true, false, true), (false, false, false), (false, true, true)]
+    {
+        assert_eq!(is_counted_despite_correlated_failure(is_correlated_failure, || counted_alone), counted);
+    }
+}
--- a/crates/admission/src/tests/load_rules/deadline_rules.rs
+++ b/crates/admission/src/tests/load_rules/deadline_rules.rs
@@ -2,7 +2,8 @@
 use crate::policy::admission::deadline::{is_overdue, RequestTimes};
 use crate::policy::admission::elapsed_wait::{already_waited_ms, TimeBudgetInput};
 use crate::policy::admission::retry_after::{
-    retry_after_over_quota_in_broadcast_mode, retry_after_over_quota_in_large_fleet, retry_after_overload,
+    retry_after_over_quota_in_broadcast_mode, retry_after_over_quota_in_large_fleet, retry_after_overdue,
+    retry_after_overload,
 };
 
 /// A request at time 1,000 with 500 ms until its objective and 2,000 ms until its deadline, in a class that
@@ -69,6 +70,7 @@
 #[test]
 fn retry_after_is_the_longest_that_clients_honour() {
     assert_eq!((retry_after_overload(1000.0), retry_after_overload(0.0)), (Some(1000.0), None));
+    assert_eq!((retry_after_overdue(true, 1000.0), retry_after_overdue(false, 1000.0)), (Some(1000.0), None));
     assert_eq!(retry_after_over_quota_in_broadcast_mode(), None);
     assert_eq!(retry_after_over_quota_in_large_fleet(1000.0), Some(1000.0));
 }
