--- /dev/null
+++ b/crates/admission/src/lifecycle/endpoint_choice.rs
@@ -0,0 +1,106 @@
+//! What the rules of endpoint selection go by.
+use crate::gateway::Gateway;
+use crate::id::{EndpointId, RequestId};
+use crate::policy::selection;
+use crate::policy::selection::{
+    BroadcastConditionInput, BroadcastCostInput, CostCandidate, DrawCandidate, DrawContext,
+    LargeFleetConditionInput, LargeFleetCostInput, WarmUpAllowance,
+};
+use crate::state::{ActiveRequest, Endpoint, FleetMode};
+
+impl Gateway {
+    /// The endpoint to send an attempt to; `None` where there is none now.
+    pub(crate) fn select_endpoint(&mut self, id: RequestId) -> Option<EndpointId> {
+        match self.coordination.fleet_mode() {
+            FleetMode::Broadcast => self.select_by_cost(id),
+            FleetMode::LargeFleet => {
+                let draw = self.random.next_fraction();
+                self.select_by_draw(id, draw)
+            }
+        }
+    }
+
+    /// Broadcast mode: the endpoint of least cost.
+    fn select_by_cost(&self, id: RequestId) -> Option<EndpointId> {
+        let active = self.requests.get(id)?;
+        let candidates = self.eligible_endpoints(active).filter_map(|e| self.cost_candidate(active, e));
+        selection::least_cost(candidates, self.outliers.is_correlated_failure())
+    }
+
+    /// Large fleets: an endpoint drawn by weight.
+    fn select_by_draw(&self, id: RequestId, draw: f64) -> Option<EndpointId> {
+        let active = self.requests.get(id)?;
+        let warm_in_flight = self.warm_endpoints().map(|endpoint| endpoint.in_flight().len());
+        let mean_warm_in_flight = selection::mean_in_flight(warm_in_flight);
+        let candidates =
+            self.eligible_endpoints(active).map(|e| self.draw_candidate(active, e, mean_warm_in_flight));
+        let context = DrawContext {
+            draw,
+            local_zone: self.settings.zone,
+            warm_up: self.warm_up_admission(id, active.attempt_count()),
+            is_correlated_failure: self.outliers.is_correlated_failure(),
+        };
+        selection::weighted_draw(candidates.collect(), &context)
+    }
+
+    /// The endpoints that list and idempotency allow for an attempt; none where the list has expired.
+    fn eligible_endpoints<'a>(
+        &'a self,
+        active: &'a ActiveRequest,
+    ) -> impl Iterator<Item = &'a Endpoint> + 'a {
+        self.endpoints.sendable().filter(|endpoint| self.may_attempt(active, endpoint))
+    }
+
+    /// Broadcast mode: an endpoint with what it costs; `None` where it has no warm-up token left.
+    fn cost_candidate(&self, active: &ActiveRequest, endpoint: &Endpoint) -> Option<CostCandidate> {
+        let now_ms = self.clock.now_ms();
+        let in_flight = endpoint.in_flight().len();
+        let since_response_ms = endpoint.health.since_response_ms(now_ms);
+        let warm_up = self.warm_up_budget(endpoint).map(|budget| WarmUpAllowance {
+            available_tokens: endpoint.warm_up_tokens.available(now_ms, budget),
+            max_tokens: budget.max_tokens,
+        });
+        let cost = selection::cost_in_broadcast_mode(&BroadcastCostInput {
+            in_flight,
+            warm_fraction: self.warm_fraction(endpoint),
+            was_attempted: active.was_sent_to(endpoint.id()),
+            is_local: endpoint.zone() == self.settings.zone,
+            relative_response_time: endpoint.response_time.own(since_response_ms),
+            warm_up,
+        })?;
+        let is_unfit = selection::is_unfit_in_broadcast_mode(&BroadcastConditionInput {
+            is_outlier: self.is_outlier(endpoint),
+            consecutive_failures: endpoint.health.consecutive_failures(),
+            in_flight,
+        });
+        Some(CostCandidate { endpoint: endpoint.id(), cost, is_unfit })
+    }
+
+    /// Large fleets: an endpoint with what it costs and what speaks against it.
+    fn draw_candidate(
+        &self,
+        active: &ActiveRequest,
+        endpoint: &Endpoint,
+        mean_warm_in_flight: f64,
+    ) -> DrawCandidate {
+        let request = &active.request;
+        let now_ms = self.clock.now_ms();
+        let warm_fraction = self.warm_fraction(endpoint);
+        let condition = selection::condition_in_large_fleet(&LargeFleetConditionInput {
+            is_outlier: self.is_outlier(endpoint),
+            is_ejected_for_request: endpoint.observed.is_ejected_for(request.class, request.plan, now_ms),
+            is_unresponsive: self.is_unresponsive(endpoint),
+            missed_responses: endpoint.observed.missed_responses(),
+            idempotency: self.settings.class(request.class).idempotency,
+        });
+        let cost = selection::cost_in_large_fleet(&LargeFleetCostInput {
+            in_flight: endpoint.in_flight().len(),
+            mean_warm_in_flight,
+            warm_fraction,
+            was_attempted: active.was_sent_to(endpoint.id()),
+            kind: self.kind_deviation(endpoint),
+            is_unresponsive: condition.is_unresponsive,
+        });
+        DrawCandidate { endpoint: endpoint.id(), zone: endpoint.zone(), warm_fraction, cost, condition }
+    }
+}
--- a/crates/admission/src/lifecycle/mod.rs
+++ b/crates/admission/src/lifecycle/mod.rs
@@ -4,6 +4,7 @@
 mod attempts;
 mod band_control;
 mod customers;
+mod endpoint_choice;
 mod endpoints;
 mod outlier_checks;
 mod queue_dispatch;
--- a/crates/admission/src/state/endpoint/endpoint_table.rs
+++ b/crates/admission/src/state/endpoint/endpoint_table.rs
@@ -67,7 +67,7 @@
     }
 
     /// Whether the list is too old to send by.
-    pub(crate) fn is_list_expired(&self) -> bool {
+    fn is_list_expired(&self) -> bool {
         self.list_expired
     }
 
@@ -81,6 +81,11 @@
         self.by_id.values()
     }
 
+    /// The ready endpoints while the list has not expired.
+    pub(crate) fn sendable(&self) -> impl Iterator<Item = &Endpoint> {
+        self.ready().filter(|_| !self.is_list_expired())
+    }
+
     /// The endpoints that the list lets be sent new work.
     pub(crate) fn ready(&self) -> impl Iterator<Item = &Endpoint> {
         self.iter().filter(|endpoint| endpoint.is_ready())
--- a/crates/admission/src/state/endpoint/mod.rs
+++ b/crates/admission/src/state/endpoint/mod.rs
@@ -1,5 +1,4 @@
 //! Endpoints: what the list says of them, their health, their response times and their warm-up.
-mod candidate;
 mod endpoint_health;
 mod endpoint_record;
 mod endpoint_table;
@@ -10,7 +9,6 @@
 mod relative_response_time;
 mod warm_up_tokens;
 
-pub(crate) use candidate::{Candidate, ZoneCapacity};
 pub(crate) use endpoint_health::EndpointHealth;
 pub(crate) use endpoint_record::{Endpoint, EndpointSmoothing, InFlightAttempt};
 pub(crate) use endpoint_table::EndpointTable;
--- a/crates/admission/src/state/mod.rs
+++ b/crates/admission/src/state/mod.rs
@@ -6,9 +6,9 @@
 mod request;
 
 pub(crate) use endpoint::{
-    Candidate, EjectionScope, Endpoint, EndpointHealth, EndpointSmoothing, EndpointTable, InFlightAttempt,
-    LatencyGains, LatencyModel, ObservedHealth, OutlierDetector, RecentObservations, RelativeResponseTime,
-    SlowStart, WarmUpBudget, WarmUpTokens, ZoneCapacity,
+    EjectionScope, Endpoint, EndpointHealth, EndpointSmoothing, EndpointTable, InFlightAttempt, LatencyGains,
+    LatencyModel, ObservedHealth, OutlierDetector, RecentObservations, RelativeResponseTime, SlowStart,
+    WarmUpBudget, WarmUpTokens,
 };
 pub(crate) use event_clock::EventClock;
 pub(crate) use fleet::{
--- /dev/null
+++ b/crates/admission/src/tests/endpoint_rules/selection_rules.rs
@@ -0,0 +1,201 @@
+//! Endpoint selection: costs, conditions, the choice in broadcast mode, and the draw in a large fleet.
+use super::is_close;
+use crate::id::{EndpointId, ZoneIndex};
+use crate::policy::response_time::KindDeviation;
+use crate::policy::selection::condition::EndpointCondition;
+use crate::policy::selection::local_zone::local_fraction;
+use crate::policy::selection::{
+    condition_in_large_fleet, cost_in_broadcast_mode, cost_in_large_fleet, is_unfit_in_broadcast_mode,
+    least_cost, mean_in_flight, weighted_draw, BroadcastConditionInput, BroadcastCostInput, CostCandidate,
+    DrawCandidate, DrawContext, LargeFleetConditionInput, LargeFleetCostInput, WarmUpAllowance,
+};
+use crate::policy::slow_start::WarmUpAdmission;
+use crate::settings::{DedupGroup, Idempotency};
+
+#[test]
+fn in_broadcast_mode_load_and_response_time_make_the_cost() {
+    let plain = BroadcastCostInput {
+        in_flight: 1,
+        warm_fraction: 1.0,
+        was_attempted: false,
+        is_local: true,
+        relative_response_time: 1.0,
+        warm_up: None,
+    };
+    let warming = |available_tokens, max_tokens| BroadcastCostInput {
+        warm_fraction: 0.5,
+        warm_up: Some(WarmUpAllowance { available_tokens, max_tokens }),
+        ..plain
+    };
+    let rows = [
+        ("two attempts with the new one", plain, Some(2.0)),
+        ("attempted before", BroadcastCostInput { was_attempted: true, ..plain }, Some(8.0)),
+        ("remote zone", BroadcastCostInput { is_local: false, ..plain }, Some(2.2)),
+        ("slow", BroadcastCostInput { relative_response_time: 3.0, ..plain }, Some(6.0)),
+        ("warming up, tokens in plenty", warming(1.0, 5.0), Some(4.0)),
+        ("warming up, tokens are rare", warming(1.0, 0.5), Some(4.0 * 0.3)),
+        ("warming up, no token", warming(0.99, 5.0), None),
+    ];
+    for (name, input, expected) in rows {
+        let cost = cost_in_broadcast_mode(&input);
+        let agrees = cost.zip(expected).map_or(cost == expected, |(cost, expected)| is_close(cost, expected));
+        assert!(agrees, "{name}: {cost:?}");
+    }
+}
+
+#[test]
+fn in_a_large_fleet_load_counts_twice_and_observations_weigh() {
+    let usual = KindDeviation { baseline: 1.0, excess: 1.0 };
+    let plain = LargeFleetCostInput {
+        in_flight: 1,
+        mean_warm_in_flight: 3.0,
+        warm_fraction: 1.0,
+        was_attempted: false,
+        kind: usual,
+        is_unresponsive: false,
+    };
+    let slow = KindDeviation { baseline: 0.5, excess: 3.0 };
+    let rows = [
+        ("two attempts with the new one", plain, 4.0),
+        ("attempted before", LargeFleetCostInput { was_attempted: true, ..plain }, 16.0),
+        ("slow for its kind", LargeFleetCostInput { kind: slow, ..plain }, 4.0 * 0.5 * 9.0),
+        ("unresponsive", LargeFleetCostInput { is_unresponsive: true, ..plain }, 80.0),
+        // Counts with the mean of three in flight, at half capacity and half weight.
+        ("warming up", LargeFleetCostInput { warm_fraction: 0.5, ..plain }, 16.0 / 0.5 / 0.5),
+        ("warming up, busy", LargeFleetCostInput { warm_fraction: 0.5, in_flight: 7, ..plain }, 256.0),
+    ];
+    for (name, input, expected) in rows {
+        let cost = cost_in_large_fleet(&input);
+        assert!(is_close(cost, expected), "{name}: {cost}");
+    }
+    assert!(is_close(mean_in_flight([1, 2, 6].into_iter()), 3.0));
+    assert!(is_close(mean_in_flight([].into_iter()), 0.0));
+}
+
+#[test]
+fn after_a_failure_one_attempt_at_a_time_is_sent() {
+    let well = BroadcastConditionInput { is_outlier: false, consecutive_failures: 0, in_flight: 2 };
+    assert!(!is_unfit_in_broadcast_mode(&well));
+    assert!(is_unfit_in_broadcast_mode(&BroadcastConditionInput { is_outlier: true, ..well }));
+    let failed = BroadcastConditionInput { consecutive_failures: 1, ..well };
+    assert!(is_unfit_in_broadcast_mode(&failed));
+    assert!(!is_unfit_in_broadcast_mode(&BroadcastConditionInput { in_flight: 0, ..failed }));
+}
+
+#[test]
+fn only_idempotent_requests_go_to_an_endpoint_that_left_others_without_a_response() {
+    let well = LargeFleetConditionInput {
+        is_outlier: false,
+        is_ejected_for_request: false,
+        is_unresponsive: false,
+        missed_responses: 0,
+        idempotency: Idempotency::NonIdempotent,
+    };
+    let keyed = Idempotency::IdempotencyKey { group: DedupGroup::All, window_ms: 1000.0 };
+    let missed = LargeFleetConditionInput { missed_responses: 1, ..well };
+    // The input, and whether the endpoint is an outlier and unresponsive for the request.
+    let rows = [
+        (well, (false, false)),
+        (LargeFleetConditionInput { is_outlier: true, ..well }, (true, false)),
+        (LargeFleetConditionInput { is_ejected_for_request: true, ..well }, (true, false)),
+        (LargeFleetConditionInput { is_unresponsive: true, ..well }, (false, true)),
+        (missed, (true, true)),
+        (LargeFleetConditionInput { idempotency: keyed, ..missed }, (true, true)),
+        (LargeFleetConditionInput { idempotency: Idempotency::Idempotent, ..missed }, (false, false)),
+    ];
+    for (input, (is_outlier, is_unresponsive)) in rows {
+        let expected = EndpointCondition { is_outlier, is_unresponsive };
+        assert_eq!(condition_in_large_fleet(&input), expected, "{input:?}");
+    }
+}
+
+#[test]
+fn in_broadcast_mode_the_cheapest_fit_endpoint_is_chosen() {
+    let candidate = |id, cost, is_unfit| CostCandidate { endpoint: EndpointId(id), cost, is_unfit };
+    let list = [candidate(1, 1.0, true), candidate(2, 2.0, false), candidate(3, 2.0, false)];
+    assert_eq!(least_cost(list.into_iter(), false), Some(EndpointId(2)), "the first of equals");
+    assert_eq!(least_cost(list.into_iter(), true), Some(EndpointId(1)), "correlated failure");
+    assert_eq!(least_cost(list[..1].iter().copied(), false), None, "none is fit");
+}
+
+#[test]
+fn attempts_stay_in_the_local_zone_as_far_as_its_capacity_goes() {
+    let (local, remote) = (ZoneIndex(0), ZoneIndex(1));
+    let rows = [
+        ("even zones", vec![(local, 2.0), (remote, 1.0), (remote, 1.0)], 0.9),
+        ("a third of the mean", vec![(local, 1.0), (remote, 5.0)], 0.3),
+        ("more than the mean", vec![(local, 5.0), (remote, 1.0)], 0.9),
+        ("no capacity", vec![(local, 0.0), (remote, 1.0)], 0.05),
+        ("no candidates", vec![], 0.05),
+    ];
+    for (name, capacities, expected) in rows {
+        let fraction = local_fraction(capacities.into_iter(), local);
+        assert!(is_close(fraction, expected), "{name}: {fraction}");
+    }
+}
+
+/// A healthy warm candidate in zone 0.
+fn candidate(id: u64) -> DrawCandidate {
+    DrawCandidate {
+        endpoint: EndpointId(id),
+        zone: ZoneIndex(0),
+        warm_fraction: 1.0,
+        cost: 1.0,
+        condition: EndpointCondition { is_outlier: false, is_unresponsive: false },
+    }
+}
+
+/// A draw that none of the conditions changes.
+const CONTEXT: DrawContext = DrawContext {
+    draw: 0.0,
+    local_zone: ZoneIndex(0),
+    warm_up: WarmUpAdmission::WarmOnly,
+    is_correlated_failure: false,
+};
+
+/// The endpoint that a draw falls on.
+fn drawn(candidates: &[DrawCandidate], draw: f64, context: DrawContext) -> Option<u64> {
+    weighted_draw(candidates.to_vec(), &DrawContext { draw, ..context }).map(|endpoint| endpoint.0)
+}
+
+#[test]
+fn a_cheaper_endpoint_is_drawn_more_often() {
+    let list = [candidate(1), DrawCandidate { cost: 3.0, ..candidate(2) }];
+    assert_eq!(drawn(&list, 0.74, CONTEXT), Some(1));
+    assert_eq!(drawn(&list, 0.76, CONTEXT), Some(2));
+    let remote = DrawCandidate { zone: ZoneIndex(1), ..candidate(2) };
+    assert_eq!(drawn(&[candidate(1), remote], 0.89, CONTEXT), Some(1));
+    assert_eq!(drawn(&[candidate(1), remote], 0.91, CONTEXT), Some(2));
+    assert_eq!(drawn(&[], 0.5, CONTEXT), None);
+}
+
+#[test]
+fn a_warming_endpoint_is_drawn_only_where_the_attempt_is_admitted() {
+    let list = [DrawCandidate { warm_fraction: 0.5, cost: 4.0, ..candidate(1) }, candidate(2)];
+    assert_eq!(drawn(&list, 0.0, CONTEXT), Some(2));
+    let warm_up = WarmUpAdmission::Admitted { weight_factor: 4.0 };
+    let admitted = DrawContext { warm_up, ..CONTEXT };
+    assert_eq!(drawn(&list, 0.49, admitted), Some(1), "its weight is that of the warm one");
+    assert_eq!(drawn(&list, 0.51, admitted), Some(2));
+}
+
+#[test]
+fn outliers_are_left_out_while_a_quarter_is_healthy() {
+    let outlier = EndpointCondition { is_outlier: true, is_unresponsive: false };
+    let sick = |id| DrawCandidate { condition: outlier, ..candidate(id) };
+    let one_of_four = [sick(1), sick(2), sick(3), candidate(4)];
+    assert_eq!(drawn(&one_of_four, 0.0, CONTEXT), Some(4));
+    let one_of_five = [sick(1), sick(2), sick(3), sick(5), candidate(4)];
+    assert_eq!(drawn(&one_of_five, 0.0, CONTEXT), Some(1), "the cause is not theirs");
+    let correlated = DrawContext { is_correlated_failure: true, ..CONTEXT };
+    assert_eq!(drawn(&one_of_four, 0.0, correlated), Some(1));
+}
+
+#[test]
+fn endpoints_with_a_fault_give_their_zone_no_capacity() {
+    let unresponsive = EndpointCondition { is_outlier: false, is_unresponsive: true };
+    let local = DrawCandidate { condition: unresponsive, ..candidate(1) };
+    let list = [local, DrawCandidate { zone: ZoneIndex(1), ..candidate(2) }];
+    assert_eq!(drawn(&list, 0.04, CONTEXT), Some(1), "a twentieth stays in the zone");
+    assert_eq!(drawn(&list, 0.06, CONTEXT), Some(2));
+}
