--- a/crates/admission/src/lifecycle/attempts.rs
+++ b/crates/admission/src/lifecycle/attempts.rs
@@ -1,16 +1,17 @@
 //! How attempts are sent and what their ends bring.
 use crate::action::Action;
-use crate::event::{AttemptEnd, Outcome};
+use crate::event::AttemptEnd;
 use crate::gateway::Gateway;
 use crate::id::{EndpointId, RequestId};
-use crate::policy::attempt_timeout::attempt_timeout_ms;
 use crate::policy::band::dispatch_credit::MAX_CREDIT_OVERDRAFT;
 use crate::policy::peer_messages::report_schedule::REPORT_ROUNDS;
-use crate::policy::retry::{MAX_RETRY_TOKENS, RETRY_TOKENS_PER_REQUEST};
+use crate::policy::retry::{
+    after_attempt, attempt_timeout_ms, AfterAttempt, EndedAttempt, MAX_RETRY_TOKENS, RETRY_TOKENS_PER_REQUEST,
+};
 use crate::state::{AttemptRef, InFlightAttempt};
 
 impl Gateway {
-    /// Starts a request's next attempt, at this endpoint, and enters it in all records.
+    /// Starts a request's next attempt, at this endpoint, and adds it to all records.
     pub(crate) fn send(&mut self, id: RequestId, endpoint_id: EndpointId, actions: &mut Vec<Action>) {
         let Some(active) = self.requests.get(id) else { return };
         if self.endpoints.get(endpoint_id).is_none() {
@@ -29,7 +30,7 @@
         actions.push(Action::Send { request: id, endpoint: endpoint_id, timeout_ms });
     }
 
-    /// Enters a new attempt in the records of its request and its endpoint.
+    /// Adds a new attempt to the records of its request and its endpoint.
     fn enter_attempt(&mut self, id: RequestId, endpoint_id: EndpointId) {
         let now = self.clock.now_ms();
         let warm_up_budget = self.endpoints.get(endpoint_id).and_then(|e| self.warm_up_budget(e));
@@ -42,8 +43,8 @@
         endpoint.record_sent(InFlightAttempt { sent_ms: now, request, attempt });
     }
 
-    /// Counts a new attempt to its customer, where the quota is not held by another gateway: its slot, and
-    /// with the first attempt the request's units.
+    /// Counts a new attempt to its customer, unless another gateway owns the quota: its slot, and with the first
+    /// attempt the request's units.
     fn count_attempt(&mut self, id: RequestId) {
         let Some(active) = self.requests.get(id).filter(|a| a.quota().holds_slot_here()) else {
             return;
@@ -64,7 +65,7 @@
         }
     }
 
-    /// Takes in how an attempt ended: closes the request, tries again, or gives the final answer.
+    /// Records how an attempt ended, and closes its request, retries it, or gives it its final response.
     pub(crate) fn on_attempt_end(&mut self, end: &AttemptEnd, actions: &mut Vec<Action>) {
         let Some(active) = self.requests.get_mut(end.request) else { return };
         if !active.end_attempt(end.attempt, end.outcome) {
@@ -74,17 +75,25 @@
         self.settle_attempt(end);
         self.record_attempt_end(end, class, plan);
         let Some(active) = self.requests.get(end.request) else { return };
-        if end.closed || end.outcome == Outcome::Ok || active.is_closed() {
-            self.close(end.request, actions);
-        } else if !active.has_pending()
-            && (end.outcome == Outcome::TooLate || !self.retry(end.request, actions))
-        {
-            self.finish(end.request, None, actions);
+        let next = after_attempt(&EndedAttempt {
+            outcome: end.outcome,
+            is_closed: end.closed || active.is_closed(),
+            has_attempt_in_flight: active.has_pending(),
+        });
+        match next {
+            AfterAttempt::Close => self.close(end.request, actions),
+            AfterAttempt::AwaitOther => {}
+            AfterAttempt::Finish => self.finish(end.request, None, actions),
+            AfterAttempt::Retry => {
+                if !self.retry(end.request, actions) {
+                    self.finish(end.request, None, actions);
+                }
+            }
         }
     }
 
-    /// Settles an ended attempt with its customer: frees its slot, and takes the units by which the true
-    /// figure passed the estimate.
+    /// Settles an ended attempt with its customer: frees its slot, and consumes the units by which the true
+    /// figure exceeds the estimate.
     fn settle_attempt(&mut self, end: &AttemptEnd) {
         let Some(active) = self.requests.get_mut(end.request) else { return };
         let plan = self.settings.plan(active.request.plan);
--- a/crates/admission/src/lifecycle/endpoint_choice.rs
+++ b/crates/admission/src/lifecycle/endpoint_choice.rs
@@ -48,7 +48,8 @@
         &'a self,
         active: &'a ActiveRequest,
     ) -> impl Iterator<Item = &'a Endpoint> + 'a {
-        self.endpoints.sendable().filter(|endpoint| self.may_attempt(active, endpoint))
+        let scope = self.repeat_scope(active);
+        self.endpoints.sendable().filter(move |endpoint| scope.includes(endpoint, active.risky_attempts()))
     }
 
     /// Broadcast mode: an endpoint with what it costs; `None` where it has no warm-up token left.
--- a/crates/admission/src/lifecycle/mod.rs
+++ b/crates/admission/src/lifecycle/mod.rs
@@ -12,5 +12,6 @@
 mod request_deadlines;
 mod requests;
 mod response_times;
+mod retries;
 mod upkeep_schedule;
 mod warm_up;
--- /dev/null
+++ b/crates/admission/src/lifecycle/retries.rs
@@ -0,0 +1,122 @@
+//! What the rules of retries go by, and how retries and rescues are carried out.
+use crate::action::Action;
+use crate::gateway::Gateway;
+use crate::id::{ClassIndex, RequestId};
+use crate::policy::retry;
+use crate::policy::retry::{
+    PendingAttemptInput, RepeatInput, RepeatScope, Rescue, RescueInput, RetryDecision, RetryInput,
+};
+use crate::state::{ActiveRequest, AttemptRef, EjectionScope, FleetMode, PendingAttempt};
+
+impl Gateway {
+    /// The endpoints at which a request may have another attempt, by what its class and earlier attempts allow.
+    pub(crate) fn repeat_scope(&self, active: &ActiveRequest) -> RepeatScope {
+        let now_ms = self.clock.now_ms();
+        retry::repeat_scope(&RepeatInput {
+            since_first_risky_ms: active.risky_attempts().next().map(|first| now_ms - first.sent_ms),
+            has_attempt_in_flight: active.has_pending(),
+            hedging_allowed: self.settings.hedging_allowed,
+            idempotency: self.settings.class(active.request.class).idempotency,
+            tick_ms: self.settings.tick_ms,
+        })
+    }
+
+    /// Sends another attempt of a request where one is allowed and an endpoint is found for it.
+    pub(crate) fn retry(&mut self, id: RequestId, actions: &mut Vec<Action>) -> bool {
+        let Some(active) = self.requests.get(id) else { return false };
+        let decision = retry::decide_retry(&RetryInput {
+            is_closed: active.is_closed(),
+            attempts: active.attempt_count(),
+            max_attempts: self.settings.max_attempts,
+            cannot_meet_deadline: self.cannot_meet_deadline(active),
+            may_have_run: active.may_have_run(),
+            retry_tokens: self.retries.tokens(),
+        });
+        let RetryDecision::Retry { cost_tokens } = decision else { return false };
+        let Some(endpoint) = self.select_endpoint(id) else { return false };
+        self.retries.spend(cost_tokens);
+        self.send(id, endpoint, actions);
+        true
+    }
+
+    /// Hedges or cancels stalled attempts. In a correlated failure there is no better endpoint to send them to.
+    pub(crate) fn rescue_stalled(&mut self, actions: &mut Vec<Action>) {
+        if self.outliers.is_correlated_failure() {
+            return;
+        }
+        let stalled = match self.coordination.fleet_mode() {
+            FleetMode::Broadcast => self.attempts_at_outliers(),
+            FleetMode::LargeFleet => {
+                let stalled = self.stalled_attempts();
+                self.report_long_attempts();
+                stalled
+            }
+        };
+        for attempt in stalled {
+            self.rescue(attempt, actions);
+        }
+    }
+
+    /// Does what the rule says about a stalled attempt.
+    fn rescue(&mut self, stalled: AttemptRef, actions: &mut Vec<Action>) {
+        let AttemptRef { request, attempt } = stalled;
+        let Some(active) = self.requests.get(request) else { return };
+        let rescue = retry::rescue(&RescueInput {
+            is_closed: active.is_closed(),
+            attempts: active.attempt_count(),
+            max_attempts: self.settings.max_attempts,
+            in_flight: active.pending_attempts().count(),
+            idempotency: self.settings.class(active.request.class).idempotency,
+            hedging_allowed: self.settings.hedging_allowed,
+            cancel_allowed: self.settings.cancel_allowed,
+            retry_tokens: self.retries.tokens(),
+        });
+        match rescue {
+            Rescue::Hedge => {
+                self.retry(request, actions);
+            }
+            Rescue::Cancel => actions.push(Action::Cancel { request, attempt }),
+            Rescue::Leave => {}
+        }
+    }
+
+    /// Broadcast mode: own attempts at outliers. There each endpoint gets enough attempts to be judged by them.
+    fn attempts_at_outliers(&self) -> Vec<AttemptRef> {
+        let outliers = self.endpoints.iter().filter(|endpoint| self.is_outlier(endpoint));
+        let in_flight = outliers.flat_map(|endpoint| endpoint.in_flight());
+        in_flight.map(|a| AttemptRef { request: a.request, attempt: a.attempt }).collect()
+    }
+
+    /// Large fleets: own attempts that are stalled.
+    fn stalled_attempts(&self) -> Vec<AttemptRef> {
+        let pending = self.requests.pending_attempts();
+        pending.filter(|attempt| self.is_stalled(attempt)).map(|attempt| attempt.reference).collect()
+    }
+
+    /// Large fleets: whether an attempt is stalled; one at an endpoint no longer known is not.
+    fn is_stalled(&self, pending: &PendingAttempt) -> bool {
+        let Some(endpoint) = self.endpoints.get(pending.endpoint) else { return false };
+        let now_ms = self.clock.now_ms();
+        let class_scope = EjectionScope::Class(pending.class);
+        retry::is_stalled(&PendingAttemptInput {
+            age_ms: now_ms - pending.sent_ms,
+            long_response_ms: self.long_response_ms(pending.class),
+            is_class_ejected: endpoint.observed.is_ejected(class_scope, now_ms),
+            is_outlier: self.is_outlier(endpoint),
+            is_unresponsive: self.is_unresponsive(endpoint),
+        })
+    }
+
+    /// Whether an attempt has begun to take long since the last round of upkeep.
+    pub(crate) fn turned_long(&self, pending: &PendingAttempt) -> bool {
+        let age_ms = self.clock.now_ms() - pending.sent_ms;
+        self.endpoints.get(pending.endpoint).is_some()
+            && retry::has_turned_long(age_ms, self.long_response_ms(pending.class))
+    }
+
+    /// The time after which an attempt of a class takes long.
+    fn long_response_ms(&self, class: ClassIndex) -> f64 {
+        let latency_objective_ms = self.settings.class(class).latency_objective_ms;
+        retry::long_response_ms(self.latency.response_ms(class), latency_objective_ms)
+    }
+}
--- a/crates/admission/src/policy/mod.rs
+++ b/crates/admission/src/policy/mod.rs
@@ -4,7 +4,6 @@
 //! `coordination` gather the inputs, call the rule and apply its result.
 pub(crate) mod admission;
 pub(crate) mod ample_quota;
-pub(crate) mod attempt_timeout;
 pub(crate) mod band;
 pub(crate) mod coordination_choice;
 pub(crate) mod customer_retention;
--- a/crates/admission/src/policy/quota_owner/owner_verdict.rs
+++ b/crates/admission/src/policy/quota_owner/owner_verdict.rs
@@ -1,7 +1,7 @@
 //! What the owner of a customer's quota decides on a quota request.
 use crate::messages::quota_message::QuotaVerdict;
 use crate::policy::ample_quota::is_ample;
-use crate::policy::attempt_timeout::ATTEMPT_TIMEOUT_OBJECTIVES;
+use crate::policy::retry::ATTEMPT_TIMEOUT_OBJECTIVES;
 use crate::settings::PlanSettings;
 
 /// Requests that may wait at the owner for each slot of the plan.
--- /dev/null
+++ b/crates/admission/src/policy/retry/stalled_attempt.rs
@@ -0,0 +1,46 @@
+//! Large fleets: which attempts take long, and which are stalled. A gateway there sends an endpoint too little to
+//! see a stall of the endpoint, and goes by the age of single attempts.
+use crate::policy::upkeep::UPKEEP_MS;
+
+/// Mean response times after which an attempt takes long.
+const LONG_RESPONSE_TIMES: f64 = 2.5;
+
+/// Least time after which an attempt takes long, in latency objectives.
+const LONG_OBJECTIVE_FRACTION: f64 = 0.25;
+
+/// Factor on the time after which an attempt takes long, from which on it is stalled where nothing else points at
+/// its endpoint.
+const STALLED_FACTOR: f64 = 1.6;
+
+/// What is known of an attempt in flight and of its endpoint.
+#[derive(Debug, Clone, Copy)]
+pub(crate) struct PendingAttemptInput {
+    /// Time since it was sent, in ms.
+    pub age_ms: f64,
+    /// Time after which attempts of its class take long, in ms.
+    pub long_response_ms: f64,
+    /// The endpoint is ejected for the class: other attempts took long there or failed.
+    pub is_class_ejected: bool,
+    /// The endpoint is an outlier.
+    pub is_outlier: bool,
+    /// The endpoint leaves the fleet without responses.
+    pub is_unresponsive: bool,
+}
+
+/// The time after which an attempt takes long, by the mean response time and the latency objective of its class.
+pub(crate) fn long_response_ms(class_response_ms: f64, latency_objective_ms: f64) -> f64 {
+    let by_mean_ms = class_response_ms * LONG_RESPONSE_TIMES;
+    by_mean_ms.max(LONG_OBJECTIVE_FRACTION * latency_objective_ms)
+}
+
+/// Whether an attempt has begun to take long since the last round of upkeep.
+pub(crate) fn has_turned_long(age_ms: f64, long_response_ms: f64) -> bool {
+    age_ms > long_response_ms && age_ms < long_response_ms + UPKEEP_MS
+}
+
+/// Whether an attempt is stalled.
+pub(crate) fn is_stalled(input: &PendingAttemptInput) -> bool {
+    let factor = if input.is_class_ejected { 1.0 } else { STALLED_FACTOR };
+    let limit_ms = input.long_response_ms * factor;
+    input.is_outlier || input.is_unresponsive || input.age_ms > limit_ms
+}
--- a/crates/admission/src/state/fleet/coordination_mode.rs
+++ b/crates/admission/src/state/fleet/coordination_mode.rs
@@ -38,12 +38,6 @@
         }
     }
 
-    /// Whether each gateway knows every other's counts. In the other three ways a gateway goes by fleet-wide
-    /// means instead.
-    pub(crate) fn is_broadcast(&self) -> bool {
-        matches!(self, Coordination::Broadcast(_))
-    }
-
     /// Peers whose counts were received within the time-out; none in the other three ways.
     pub(crate) fn live_peers(&self, now_ms: f64, timeout_ms: f64) -> impl Iterator<Item = &BroadcastPeer> {
         let broadcast = match self {
--- a/crates/admission/src/state/request/active_request.rs
+++ b/crates/admission/src/state/request/active_request.rs
@@ -70,11 +70,6 @@
         self.attempts.len()
     }
 
-    /// Whether it is still to be answered and has had fewer attempts than it may have at most.
-    pub(crate) fn may_attempt_again(&self, max_attempts: u32) -> bool {
-        !self.closed && self.attempts.len() < max_attempts as usize
-    }
-
     /// Whether no attempt was sent yet.
     pub(crate) fn is_unsent(&self) -> bool {
         self.attempts.is_empty()
--- a/crates/admission/src/state/request/attempt_record.rs
+++ b/crates/admission/src/state/request/attempt_record.rs
@@ -1,7 +1,6 @@
 //! Attempts of a request.
 use crate::event::Outcome;
 use crate::id::{ClassIndex, EndpointId, RequestId, ZoneIndex};
-use crate::settings::DedupGroup;
 use crate::state::Endpoint;
 
 /// An attempt of a request: what was sent, to which endpoint, and what became of it.
@@ -61,13 +60,14 @@
         self.state != AttemptState::NotRun
     }
 
-    /// Whether an endpoint belongs to the group that drops a repeat of this attempt's idempotency key.
-    pub(crate) fn shares_keys_with(&self, endpoint: &Endpoint, group: DedupGroup) -> bool {
-        match group {
-            DedupGroup::All => true,
-            DedupGroup::Zone => self.zone == endpoint.zone(),
-            DedupGroup::Cell => self.cell == endpoint.cell(),
-        }
+    /// The endpoint's zone when it was sent.
+    pub(crate) fn zone(&self) -> ZoneIndex {
+        self.zone
+    }
+
+    /// The endpoint's cell when it was sent.
+    pub(crate) fn cell(&self) -> u64 {
+        self.cell
     }
 }
 
--- a/crates/admission/src/state/request/retry_budget.rs
+++ b/crates/admission/src/state/request/retry_budget.rs
@@ -1,7 +1,7 @@
-//! The budget of further attempts.
+//! The budget of retries.
 
-/// Tokens for further attempts: first attempts bring some, each further one costs some. So retries stay a
-/// part of all attempts, also while many fail.
+/// Tokens for retries: the first attempt of a request brings some, each retry costs some. So retries stay a
+/// bounded fraction of all attempts, also while many fail.
 #[derive(Debug, Default)]
 pub(crate) struct RetryBudget {
     tokens: f64,
@@ -18,9 +18,9 @@
         self.tokens = (self.tokens + tokens).min(limit);
     }
 
-    /// Whether there are as many tokens.
-    pub(crate) fn can_spend(&self, tokens: f64) -> bool {
-        self.tokens >= tokens
+    /// Tokens at hand.
+    pub(crate) fn tokens(&self) -> f64 {
+        self.tokens
     }
 
     /// Takes tokens out.
--- /dev/null
+++ b/crates/admission/src/tests/endpoint_rules/retry_rules.rs
@@ -0,0 +1,173 @@
+//! Retries: where another attempt may go, whether there is one, and what is done about a stalled attempt.
+use super::is_close;
+use crate::event::{EndpointEntry, EndpointState, Outcome};
+use crate::id::{EndpointId, MachineKindIndex, ZoneIndex};
+use crate::policy::retry::{
+    after_attempt, decide_retry, has_turned_long, is_stalled, long_response_ms, repeat_scope, rescue,
+    AfterAttempt, EndedAttempt, PendingAttemptInput, RepeatInput, RepeatScope, Rescue, RescueInput,
+    RetryDecision, RetryInput,
+};
+use crate::settings::{DedupGroup, Idempotency};
+use crate::state::{Attempt, Endpoint, EndpointSmoothing};
+
+#[test]
+fn idempotency_says_where_another_attempt_may_go() {
+    let idempotent = RepeatInput {
+        since_first_risky_ms: Some(100.0),
+        has_attempt_in_flight: false,
+        hedging_allowed: false,
+        idempotency: Idempotency::Idempotent,
+        tick_ms: 5.0,
+    };
+    let non_idempotent = RepeatInput { idempotency: Idempotency::NonIdempotent, ..idempotent };
+    let group = DedupGroup::Zone;
+    // 0.9 of 1000 ms, less two rounds of 5 ms: 890 ms of the window are used.
+    let keyed = |since_first_ms| RepeatInput {
+        since_first_risky_ms: Some(since_first_ms),
+        idempotency: Idempotency::IdempotencyKey { group, window_ms: 1000.0 },
+        ..idempotent
+    };
+    let hedged = RepeatInput { has_attempt_in_flight: true, ..idempotent };
+    let rows = [
+        ("idempotent", idempotent, RepeatScope::AnyEndpoint),
+        ("second in flight, no hedging", hedged, RepeatScope::NoEndpoint),
+        ("hedged", RepeatInput { hedging_allowed: true, ..hedged }, RepeatScope::AnyEndpoint),
+        ("not idempotent", non_idempotent, RepeatScope::NoEndpoint),
+        ("never ran", RepeatInput { since_first_risky_ms: None, ..non_idempotent }, RepeatScope::AnyEndpoint),
+        ("within the window", keyed(889.0), RepeatScope::DedupGroup(group)),
+        ("after the window", keyed(890.0), RepeatScope::NoEndpoint),
+    ];
+    for (name, input, expected) in rows {
+        assert_eq!(repeat_scope(&input), expected, "{name}");
+    }
+}
+
+/// An endpoint of a zone and a cell.
+fn endpoint(zone: usize, cell: u64) -> Endpoint {
+    let entry = EndpointEntry {
+        id: EndpointId(1),
+        zone: ZoneIndex(zone),
+        cell,
+        kind: MachineKindIndex(0),
+        state: EndpointState::Ready,
+        started_at_ms: None,
+    };
+    Endpoint::new(entry, 0.0, 0.0, EndpointSmoothing::default())
+}
+
+#[test]
+fn a_deduplication_group_must_hold_all_earlier_attempts() {
+    let earlier = [Attempt::new(&endpoint(0, 5), 0.0), Attempt::new(&endpoint(0, 6), 0.0)];
+    let rows = [
+        (RepeatScope::AnyEndpoint, endpoint(1, 7), true),
+        (RepeatScope::NoEndpoint, endpoint(0, 5), false),
+        (RepeatScope::DedupGroup(DedupGroup::All), endpoint(1, 7), true),
+        (RepeatScope::DedupGroup(DedupGroup::Zone), endpoint(0, 7), true),
+        (RepeatScope::DedupGroup(DedupGroup::Zone), endpoint(1, 5), false),
+        (RepeatScope::DedupGroup(DedupGroup::Cell), endpoint(0, 5), false),
+    ];
+    for (scope, endpoint, expected) in rows {
+        assert_eq!(scope.includes(&endpoint, earlier.iter()), expected, "{scope:?}: {endpoint:?}");
+    }
+    let cell = RepeatScope::DedupGroup(DedupGroup::Cell);
+    assert!(cell.includes(&endpoint(1, 5), earlier[..1].iter()));
+}
+
+#[test]
+fn a_retry_needs_an_attempt_left_time_and_tokens() {
+    let failed = RetryInput {
+        is_closed: false,
+        attempts: 1,
+        max_attempts: 2,
+        cannot_meet_deadline: false,
+        may_have_run: true,
+        retry_tokens: 1.0,
+    };
+    let never_ran = RetryInput { may_have_run: false, retry_tokens: 0.2, ..failed };
+    let rows = [
+        (failed, RetryDecision::Retry { cost_tokens: 1.0 }),
+        (RetryInput { retry_tokens: 0.9, ..failed }, RetryDecision::BudgetExhausted),
+        (never_ran, RetryDecision::Retry { cost_tokens: 0.2 }),
+        (RetryInput { retry_tokens: 0.1, ..never_ran }, RetryDecision::BudgetExhausted),
+        (RetryInput { is_closed: true, ..failed }, RetryDecision::NoAttemptLeft),
+        (RetryInput { attempts: 2, ..failed }, RetryDecision::NoAttemptLeft),
+        (RetryInput { cannot_meet_deadline: true, ..failed }, RetryDecision::TooLate),
+    ];
+    for (input, expected) in rows {
+        assert_eq!(decide_retry(&input), expected, "{input:?}");
+    }
+}
+
+#[test]
+fn a_stalled_attempt_is_hedged_or_else_cancelled() {
+    let hedging = RescueInput {
+        is_closed: false,
+        attempts: 1,
+        max_attempts: 2,
+        in_flight: 1,
+        idempotency: Idempotency::Idempotent,
+        hedging_allowed: true,
+        cancel_allowed: true,
+        retry_tokens: 1.0,
+    };
+    let cancelling = RescueInput { hedging_allowed: false, ..hedging };
+    let rows = [
+        (hedging, Rescue::Hedge),
+        (RescueInput { is_closed: true, ..hedging }, Rescue::Leave),
+        (RescueInput { attempts: 2, ..hedging }, Rescue::Leave),
+        (RescueInput { in_flight: 2, ..hedging }, Rescue::Leave),
+        (cancelling, Rescue::Cancel),
+        (RescueInput { cancel_allowed: false, ..cancelling }, Rescue::Leave),
+        (RescueInput { idempotency: Idempotency::NonIdempotent, ..cancelling }, Rescue::Leave),
+        (RescueInput { retry_tokens: 0.9, ..cancelling }, Rescue::Leave),
+    ];
+    for (input, expected) in rows {
+        assert_eq!(rescue(&input), expected, "{input:?}");
+    }
+}
+
+#[test]
+fn an_attempt_is_stalled_by_its_age_or_by_its_endpoint() {
+    assert!(is_close(long_response_ms(100.0, 800.0), 250.0), "2.5 mean response times");
+    assert!(is_close(long_response_ms(10.0, 800.0), 200.0), "a quarter of the objective");
+    for (age_ms, expected) in [(250.0, false), (251.0, true), (269.0, true), (270.0, false)] {
+        assert_eq!(has_turned_long(age_ms, 250.0), expected, "{age_ms} ms; upkeep is every 20 ms");
+    }
+    let young = PendingAttemptInput {
+        age_ms: 399.0,
+        long_response_ms: 250.0,
+        is_class_ejected: false,
+        is_outlier: false,
+        is_unresponsive: false,
+    };
+    let rows = [
+        (young, false),
+        (PendingAttemptInput { age_ms: 401.0, ..young }, true),
+        (PendingAttemptInput { is_class_ejected: true, ..young }, true),
+        (PendingAttemptInput { is_class_ejected: true, age_ms: 250.0, ..young }, false),
+        (PendingAttemptInput { is_outlier: true, ..young }, true),
+        (PendingAttemptInput { is_unresponsive: true, ..young }, true),
+    ];
+    for (input, expected) in rows {
+        assert_eq!(is_stalled(&input), expected, "{input:?}");
+    }
+}
+
+#[test]
+fn the_end_of_an_attempt_closes_retries_or_finishes_its_request() {
+    let failed = EndedAttempt { outcome: Outcome::Error, is_closed: false, has_attempt_in_flight: false };
+    let rows = [
+        (failed, AfterAttempt::Retry),
+        (EndedAttempt { outcome: Outcome::Ok, ..failed }, AfterAttempt::Close),
+        (EndedAttempt { is_closed: true, ..failed }, AfterAttempt::Close),
+        (EndedAttempt { has_attempt_in_flight: true, ..failed }, AfterAttempt::AwaitOther),
+        (EndedAttempt { outcome: Outcome::TooLate, ..failed }, AfterAttempt::Finish),
+        (
+            EndedAttempt { outcome: Outcome::TooLate, has_attempt_in_flight: true, ..failed },
+            AfterAttempt::AwaitOther,
+        ),
+    ];
+    for (input, expected) in rows {
+        assert_eq!(after_attempt(&input), expected, "{input:?}");
+    }
+}
--- a/crates/admission/src/tests/load_rules/upkeep_rules.rs
+++ b/crates/admission/src/tests/load_rules/upkeep_rules.rs
@@ -1,5 +1,5 @@
 //! When periodic work is due, and how long an attempt may take.
-use crate::policy::attempt_timeout::attempt_timeout_ms;
+use crate::policy::retry::attempt_timeout_ms;
 use crate::policy::upkeep::{
     eviction_is_due, review_is_due, upkeep_interval_ms_in_broadcast_mode, upkeep_interval_ms_in_large_fleet,
     upkeep_is_due,
