--- a/crates/admission/src/lifecycle/mod.rs
+++ b/crates/admission/src/lifecycle/mod.rs
@@ -4,6 +4,7 @@
 mod attempts;
 mod band_control;
 mod customers;
+mod endpoint_choice;
 mod endpoints;
 mod outlier_checks;
 mod queue_dispatch;
@@ -11,5 +12,6 @@
 mod request_deadlines;
 mod requests;
 mod response_times;
+mod retries;
 mod upkeep_schedule;
 mod warm_up;
--- a/crates/admission/src/policy/mod.rs
+++ b/crates/admission/src/policy/mod.rs
@@ -4,11 +4,9 @@
 //! `coordination` gather the inputs, call the rule and apply its result.
 pub(crate) mod admission;
 pub(crate) mod ample_quota;
-pub(crate) mod attempt_timeout;
 pub(crate) mod band;
 pub(crate) mod coordination_choice;
 pub(crate) mod customer_retention;
-pub(crate) mod endpoint_selection;
 pub(crate) mod observation;
 pub(crate) mod outlier;
 pub(crate) mod peer_messages;
@@ -18,5 +16,6 @@
 pub(crate) mod request_end;
 pub(crate) mod response_time;
 pub(crate) mod retry;
+pub(crate) mod selection;
 pub(crate) mod slow_start;
 pub(crate) mod upkeep;
