--- a/crates/admission/src/coordination/count_reports.rs
+++ b/crates/admission/src/coordination/count_reports.rs
@@ -36,17 +36,17 @@
         messages.last_mut()
     }
 
-    /// Adds what is to be said of a customer to the messages to its gateways.
+    /// Adds what is to be reported of a customer to the messages to its gateways.
     fn add(&mut self, customer: &mut Customer, entry: CountEntry) {
         for peer in customer.gateways().members() {
             let Some(message) = self.message_with_space(peer) else { continue };
-            if customer.report_pending() {
+            if customer.reports.is_pending() {
                 message.counts.push(entry);
             }
-            if customer.ceiling_requested() {
+            if customer.reports.ceiling_requested() {
                 message.ceiling_requests.push(CeilingRequest { tag: entry.tag });
             }
-            if let Some(units) = customer.take_ceiling_transfer(peer) {
+            if let Some(units) = customer.reports.take_ceiling_transfer(peer) {
                 message.ceiling_transfers.push(CeilingTransfer::new(entry.tag, units));
             }
         }
@@ -54,8 +54,8 @@
 }
 
 impl Gateway {
-    /// Where a round of reports is due, sends each peer what changed since the last one, as far as its budget
-    /// of messages goes.
+    /// Where a round of reports is due, sends each peer what changed since the last one, within the peer's budget
+    /// of messages.
     pub(crate) fn broadcast_counts_if_due(&mut self, actions: &mut Vec<Action>) {
         let Coordination::Broadcast(broadcast) = &mut self.coordination else { return };
         let interval_ms = report_interval_ms(self.settings.gateways, self.settings.peer_messages_per_second);
@@ -66,7 +66,7 @@
         self.send_reports(round, stock, actions);
     }
 
-    /// Packs what is to be said of customers into messages.
+    /// Packs what is to be reported of customers into messages.
     fn collect_reports(&mut self, mut round: ReportRound) -> ReportRound {
         for tag in self.customers.unreported() {
             let Some(customer) = self.customers.get_mut(tag) else {
@@ -78,20 +78,19 @@
             let fill = quota_fill(customer.quota_tokens(), plan.burst_units);
             let entry = CountEntry {
                 tag: tag.short(),
-                consumed: ConsumedUnits::new(customer.consumed_units()),
+                consumed: ConsumedUnits::new(customer.reports.consumed_units()),
                 fill: QuotaFill::at_most(fill),
                 in_flight: customer.in_flight(),
             };
             round.add(customer, entry);
-            if !customer.end_report_round() {
+            if !customer.reports.end_round() {
                 self.customers.mark_reported(tag);
             }
         }
         round
     }
 
-    /// Completes and sends the messages of a round, where each peer's budget allows them and they say
-    /// anything new.
+    /// Completes the messages of a round, and sends those that are due.
     fn send_reports(&mut self, round: ReportRound, stock: u32, actions: &mut Vec<Action>) {
         let now_ms = self.clock.now_ms();
         let Coordination::Broadcast(broadcast) = &mut self.coordination else { return };
--- a/crates/admission/src/coordination/quota_requests.rs
+++ b/crates/admission/src/coordination/quota_requests.rs
@@ -50,9 +50,9 @@
         let now_ms = self.clock.now_ms();
         let wait_budget = WaitBudget::from_ms(self.grant_useful_until_ms(active) - now_ms);
         let (tag, previous) = (active.tag, active.quota());
-        let request = active.request.clone();
-        let gateways = GatewaySet::of_request(&request, self.settings.gateways);
-        let customer = self.customer_entry(tag, request.plan, gateways);
+        let (plan, units) = (active.request.plan, active.request.units);
+        let gateways = GatewaySet::of_request(&active.request, self.settings.gateways);
+        let customer = self.customer_entry(tag, plan, gateways);
         let sampling_fraction =
             SamplingFraction::nearest_above_zero(customer.sampling_fraction_now(now_ms, SAMPLING_TTL_MS));
         let Some(gossip) = self.coordination.gossip_mut() else { return };
@@ -61,8 +61,8 @@
         let number = gossip.requests.number_for(previous, owner);
         let quota_request = QuotaRequest {
             customer: tag.0,
-            plan: request.plan.0 as u32,
-            units: request.units.ceil().max(0.0) as u32,
+            plan: plan.0 as u32,
+            units: units.ceil().max(0.0) as u32,
             first_gateway: gateways.first().0 as u32,
             gateways: gateways.len() as u32,
             number,
@@ -161,13 +161,7 @@
         if !active.quota().awaits_response(from, number) {
             return;
         }
-        active.set_quota(match response.verdict {
-            QuotaVerdict::Granted => QuotaState::GrantedByOwner { owner: from, number, ample: false },
-            QuotaVerdict::GrantedAmple => QuotaState::GrantedByOwner { owner: from, number, ample: true },
-            QuotaVerdict::Queued => QuotaState::QueuedAtOwner { owner: from, number },
-            QuotaVerdict::OverQuotaAllowed => QuotaState::OverQuota { within_ceiling: true },
-            QuotaVerdict::OverQuota => QuotaState::OverQuota { within_ceiling: false },
-        });
+        active.set_quota(QuotaState::after_verdict(response.verdict, from, number));
         if response.verdict != QuotaVerdict::Queued {
             gossip.requests.remove(number);
         }
--- a/crates/admission/src/mechanism/token_bucket.rs
+++ b/crates/admission/src/mechanism/token_bucket.rs
@@ -1,26 +1,52 @@
-//! A token bucket: tokens accrue at a steady rate up to a burst, and each unit of work takes some.
+//! Token buckets: tokens accrue up to a limit, and each unit of work takes some.
 
-/// A token bucket, or this gateway's fraction of one that a fleet shares. Rate and burst are those of the
-/// whole bucket; they come with each refill, so that the bucket holds no figure of its own.
+/// Tokens whose amount is added by the caller, up to a limit that comes with each addition.
+#[derive(Debug, Clone, Copy, Default)]
+pub(crate) struct TokenCount(f64);
+
+impl TokenCount {
+    /// So many tokens.
+    pub(crate) fn new(tokens: f64) -> Self {
+        TokenCount(tokens)
+    }
+
+    /// Tokens now; below 0 where more were taken than there were.
+    pub(crate) fn tokens(self) -> f64 {
+        self.0
+    }
+
+    /// Adds tokens, up to a limit.
+    pub(crate) fn add(&mut self, amount: f64, limit: f64) {
+        self.0 = (self.0 + amount).min(limit);
+    }
+
+    /// Takes tokens, whether there are enough or not. A negative amount gives some back.
+    pub(crate) fn take(&mut self, amount: f64) {
+        self.0 -= amount;
+    }
+}
+
+/// A token bucket that fills at a steady rate, or this gateway's fraction of one that a fleet divides. Rate and burst
+/// are those of the whole bucket and come with each refill.
 #[derive(Debug, Clone)]
 pub(crate) struct TokenBucket {
-    /// Tokens in the bucket now. Work may be taken that it does not hold, so it may lie below 0.
-    tokens: f64,
-    /// Fraction of the whole bucket that is held here, 0 to 1.
+    /// Tokens in the bucket.
+    count: TokenCount,
+    /// Fraction of the whole bucket that this gateway has, 0 to 1.
     fraction: f64,
-    /// When tokens were last added for the time that had passed.
+    /// When tokens were last added for the time that had passed, in ms.
     refilled_ms: f64,
 }
 
 impl TokenBucket {
-    /// A bucket that holds `tokens` now.
+    /// A bucket with `tokens` now.
     pub(crate) fn new(tokens: f64, fraction: f64, now_ms: f64) -> Self {
-        TokenBucket { tokens, fraction, refilled_ms: now_ms }
+        TokenBucket { count: TokenCount::new(tokens), fraction, refilled_ms: now_ms }
     }
 
-    /// Tokens as of the last refill.
+    /// Tokens as of the last refill; below 0 where more were taken than there were.
     pub(crate) fn tokens(&self) -> f64 {
-        self.tokens
+        self.count.tokens()
     }
 
     /// Adds the tokens of the time since the last refill, up to the burst.
@@ -35,18 +61,18 @@
         self.refilled_ms = now_ms;
     }
 
-    /// Adds tokens up to a limit.
+    /// Adds tokens, up to a limit.
     pub(crate) fn add(&mut self, amount: f64, limit: f64) {
-        self.tokens = (self.tokens + amount).min(limit);
+        self.count.add(amount, limit);
     }
 
-    /// Takes tokens, whether the bucket holds them or not. A negative amount gives some back.
+    /// Takes tokens, whether there are enough or not. A negative amount gives some back.
     pub(crate) fn take(&mut self, amount: f64) {
-        self.tokens -= amount;
+        self.count.take(amount);
     }
 
-    /// Sets the tokens to a figure known from elsewhere.
+    /// Replaces the tokens by a figure known from elsewhere.
     pub(crate) fn set(&mut self, tokens: f64) {
-        self.tokens = tokens;
+        self.count = TokenCount::new(tokens);
     }
 }
--- a/crates/admission/src/state/fleet/broadcast_peers.rs
+++ b/crates/admission/src/state/fleet/broadcast_peers.rs
@@ -1,15 +1,15 @@
-//! The other gateways of a small fleet, and when they were last sent reports.
+//! Broadcast mode: the other gateways of the fleet.
 use crate::id::GatewayIndex;
 use crate::settings::Settings;
 use crate::state::{peer_indices, BroadcastPeer};
 use std::collections::BTreeMap;
 
-/// What a gateway of a small fleet knows of the others.
+/// What a gateway knows of the others in broadcast mode.
 #[derive(Debug)]
 pub(crate) struct Broadcast {
     /// The other gateways, by number.
     peers: BTreeMap<GatewayIndex, BroadcastPeer>,
-    /// When the last round of reports began.
+    /// When the last round of reports began, in ms.
     reported_ms: f64,
 }
 
--- a/crates/admission/src/state/fleet/coordination_mode.rs
+++ b/crates/admission/src/state/fleet/coordination_mode.rs
@@ -1,24 +1,23 @@
-//! The way in which a fleet agrees on quotas and on attempts in flight, with the state that only this way has.
+//! The mode in which a fleet agrees on quotas and on attempts in flight, with the state that only this mode has.
 use crate::state::{Broadcast, BroadcastPeer, CounterCalls, Gossip};
 
-/// The way in which the fleet's gateways agree on quotas and on attempts in flight, with the state that only
-/// this way has. It follows from the settings alone, so that it is settled once, when the gateway starts, and
+/// The mode in which the fleet's gateways agree on quotas and on attempts in flight, with the state that only
+/// this mode has. It follows from the settings alone, so that it is chosen once, when the gateway starts, and
 /// is the same on all gateways.
 #[derive(Debug, Default)]
 pub(crate) enum Coordination {
-    /// A small fleet: each gateway sends its counts to every other. Also a gateway that is the only one.
+    /// Each gateway sends its counts to every other. Also the mode of a single gateway.
     Broadcast(Broadcast),
-    /// A large fleet: one gateway owns each customer's quota, and fleet-wide means travel with the quota
-    /// messages.
+    /// One gateway owns each customer's quota, and means over the fleet travel with the quota messages.
     Gossip(Gossip),
-    /// Gateways may not send each other messages. Quotas are held through the shared counter.
+    /// Gateways may not send each other messages, and enforce quotas through the shared counter.
     Counter(CounterCalls),
-    /// Gateways may use neither messages nor the counter. Each decides by what it sees itself.
+    /// Gateways may use neither messages nor the counter. Each decides by its own figures.
     #[default]
     Isolated,
 }
 
-/// The two ways in which gateways know of each other's work, where rules differ by it.
+/// The two ways in which gateways know of each other's attempts, where rules differ by it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum FleetMode {
     /// Each gateway knows every other's counts.
@@ -28,7 +27,7 @@
 }
 
 impl Coordination {
-    /// Which of the two kinds of rules this gateway goes by.
+    /// Which of the two sets of rules this gateway goes by.
     pub(crate) fn fleet_mode(&self) -> FleetMode {
         match self {
             Coordination::Broadcast(_) => FleetMode::Broadcast,
@@ -44,7 +43,7 @@
         matches!(self, Coordination::Broadcast(_))
     }
 
-    /// Peers whose counts were received within the time-out; none in the other three ways.
+    /// Peers whose counts were received within the time-out; none in the other three modes.
     pub(crate) fn live_peers(&self, now_ms: f64, timeout_ms: f64) -> impl Iterator<Item = &BroadcastPeer> {
         let broadcast = match self {
             Coordination::Broadcast(broadcast) => Some(broadcast),
@@ -53,7 +52,7 @@
         broadcast.into_iter().flat_map(move |broadcast| broadcast.live_peers(now_ms, timeout_ms))
     }
 
-    /// The state of a fleet that exchanges gossip; `None` in the other three ways.
+    /// The state of gossip mode; `None` in the other three modes.
     pub(crate) fn gossip(&self) -> Option<&Gossip> {
         match self {
             Coordination::Gossip(gossip) => Some(gossip),
--- a/crates/admission/src/state/fleet/fleet_means.rs
+++ b/crates/admission/src/state/fleet/fleet_means.rs
@@ -1,18 +1,18 @@
-//! Means over the gateways of a large fleet, as this gateway knows them.
+//! Means over the fleet in gossip, counter and isolated mode, as this gateway knows them.
 use crate::mechanism::decaying_rate::DecayingRate;
 use crate::mechanism::smoothing::smooth;
 
-/// Means over the gateways of a fleet that does not broadcast counts. Each is kept twice: as passed on to
-/// peers, which this gateway's own figures go into, and as received, which smooths out those own figures.
+/// Means over the gateways of a fleet that does not broadcast counts. There are two of each: the mean passed on to
+/// peers, which contains this gateway's own figures, and the mean received, which leaves these out.
 #[derive(Debug, Default)]
 pub(crate) struct FleetMeans {
     /// The means that are passed on to peers.
     passed_on: GatewayMeans,
     /// The means as received, which decisions go by.
     received: GatewayMeans,
-    /// This gateway's own good responses a second.
+    /// This gateway's own good responses per second.
     own_rate: DecayingRate,
-    /// When the means were last brought towards the own figures.
+    /// When the means were last moved towards the own figures, in ms.
     measured_ms: f64,
 }
 
@@ -21,12 +21,12 @@
 pub(crate) struct GatewayMeans {
     /// Attempts in flight.
     pub(crate) stock: f64,
-    /// Good responses a second.
+    /// Good responses per second.
     pub(crate) responses_per_second: f64,
 }
 
 impl GatewayMeans {
-    /// Moves each figure by the part `gain` of the distance.
+    /// Moves each figure by the fraction `gain` of the distance.
     fn follow(&mut self, sample: GatewayMeans, gain: f64) {
         smooth(&mut self.stock, sample.stock, gain);
         smooth(&mut self.responses_per_second, sample.responses_per_second, gain);
@@ -55,13 +55,13 @@
         self.received.follow(means, received_gain);
     }
 
-    /// Time since the means were last brought towards the own figures.
+    /// Time since the means were last moved towards the own figures.
     pub(crate) fn since_measured_ms(&self, now_ms: f64) -> f64 {
         now_ms - self.measured_ms
     }
 
-    /// Brings the means that are passed on towards this gateway's own figures, at a gain per second. The rate
-    /// of responses is smoothed over a span.
+    /// Moves the means that are passed on towards this gateway's own figures, at a gain per second. The rate of
+    /// responses is smoothed over a span.
     pub(crate) fn measure(&mut self, own_stock: f64, now_ms: f64, gain_per_second: f64, span_s: f64) {
         let seconds = self.since_measured_ms(now_ms).max(0.0) / 1000.0;
         self.measured_ms = now_ms;
@@ -70,7 +70,7 @@
         self.passed_on.follow(own, gain);
     }
 
-    /// Lets this gateway's figures stand for the others', where nothing is received.
+    /// Uses this gateway's figures in place of the received ones, where nothing is received.
     pub(crate) fn receive_own(&mut self) {
         self.received = self.passed_on;
     }
--- a/crates/admission/src/state/fleet/gateway_set.rs
+++ b/crates/admission/src/state/fleet/gateway_set.rs
@@ -2,8 +2,15 @@
 use crate::event::Request;
 use crate::id::{CustomerTag, GatewayIndex};
 use crate::mechanism::splitmix64::mix;
+use crate::settings::Settings;
 
-/// Some gateways of the fleet, consecutive by number and counted round from the last to gateway 0.
+/// Numbers of the other gateways of the fleet.
+pub(crate) fn peer_indices(settings: &Settings) -> impl Iterator<Item = GatewayIndex> {
+    let me = settings.me;
+    (0..settings.gateways).map(GatewayIndex).filter(move |gateway| *gateway != me)
+}
+
+/// Some gateways of the fleet, consecutive by number; gateway 0 follows the last one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct GatewaySet {
     /// The first gateway.
@@ -14,7 +21,7 @@
     fleet: usize,
 }
 
-/// A gateway and its rank for one customer. The lowest rank of a set owns the customer's quota.
+/// A gateway and its rank for one customer. The gateway of the lowest rank in a set owns the customer's quota.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct RankedGateway {
     /// The rank, evenly spread over all gateways and customers.
@@ -61,8 +68,8 @@
         (gateway.0 + self.fleet - self.first.0) % self.fleet < self.len
     }
 
-    /// A gateway's place among the set for a customer. It turns with the customer's tag, so that the first
-    /// places fall to other gateways for other customers.
+    /// A gateway's position in the set for a customer, from 0. It is rotated by the customer's tag, so that the first
+    /// positions fall to other gateways for other customers.
     pub(crate) fn place(&self, tag: CustomerTag, gateway: GatewayIndex) -> u32 {
         let distance = gateway.0 + self.fleet - self.first.0;
         (distance as u32).wrapping_add(tag.short()) % self.len as u32
--- a/crates/admission/src/state/fleet/gossip_credit.rs
+++ b/crates/admission/src/state/fleet/gossip_credit.rs
@@ -1,21 +1,22 @@
-//! The other gateways of a large fleet, and what may be sent to them.
+//! Gossip mode: the other gateways of the fleet, and the message tokens for quota requests to them.
 use crate::id::GatewayIndex;
 use crate::mechanism::decaying_rate::DecayingRate;
+use crate::mechanism::token_bucket::TokenCount;
 use crate::messages::gossip_message::GossipMessage;
 use crate::settings::Settings;
 use crate::state::{peer_indices, GossipPeer, QuotaRequests};
 use std::collections::BTreeMap;
 
-/// What a gateway of a large fleet knows of the others, and what it is to send them.
+/// What a gateway knows of the others in gossip mode, and how many quota requests it may send them.
 #[derive(Debug)]
 pub(crate) struct Gossip {
     /// The other gateways, by number.
     peers: BTreeMap<GatewayIndex, GossipPeer>,
     /// Quota requests that wait for a response.
     pub(crate) requests: QuotaRequests,
-    /// Message tokens: each quota request takes one, so that no gateway gets more messages than it takes in.
-    message_tokens: f64,
-    /// Messages a second that others' quota requests and releases bring.
+    /// Message tokens: each quota request costs one, so that no gateway is sent more messages than it accepts.
+    message_tokens: TokenCount,
+    /// Messages per second with others' quota requests and releases.
     received_rate: DecayingRate,
 }
 
@@ -25,7 +26,7 @@
         Gossip {
             peers: peer_indices(settings).map(|peer| (peer, GossipPeer::default())).collect(),
             requests: QuotaRequests::default(),
-            message_tokens,
+            message_tokens: TokenCount::new(message_tokens),
             received_rate: DecayingRate::default(),
         }
     }
@@ -42,16 +43,16 @@
 
     /// Message tokens: quota requests that may be sent now.
     pub(crate) fn message_tokens(&self) -> f64 {
-        self.message_tokens
+        self.message_tokens.tokens()
     }
 
     /// Takes the message token of a quota request.
     pub(crate) fn spend_message_token(&mut self) {
-        self.message_tokens -= 1.0;
+        self.message_tokens.take(1.0);
     }
 
-    /// Enters a message of a peer. Messages with responses do not count as received: own quota requests bring
-    /// them, and their share of the capacity is planned for with these.
+    /// Records a message of a peer. Messages with responses do not count as received: own quota requests cause
+    /// them, and the budget of these plans for their responses.
     pub(crate) fn record_message(
         &mut self,
         from: GatewayIndex,
@@ -67,13 +68,13 @@
         }
     }
 
-    /// Messages a second that others' quota requests and releases bring.
+    /// Messages per second with others' quota requests and releases.
     pub(crate) fn received_per_second(&self, now_ms: f64, span_s: f64) -> f64 {
         self.received_rate.now(now_ms, span_s)
     }
 
     /// Adds message tokens, up to a limit.
     pub(crate) fn add_message_tokens(&mut self, tokens: f64, max_tokens: f64) {
-        self.message_tokens = (self.message_tokens + tokens).min(max_tokens);
+        self.message_tokens.add(tokens, max_tokens);
     }
 }
--- a/crates/admission/src/state/fleet/mod.rs
+++ b/crates/admission/src/state/fleet/mod.rs
@@ -1,16 +1,18 @@
 //! The fleet's other gateways, the mode in which they coordinate, and the in-flight band.
 mod band_state;
+mod broadcast_peer;
 mod broadcast_peers;
 mod coordination_mode;
 mod fleet_means;
 mod gateway_set;
 mod gossip_credit;
-mod peer_record;
+mod gossip_peer;
 
 pub(crate) use band_state::{Band, BandLoad, BandPosition, InFlightBand};
+pub(crate) use broadcast_peer::BroadcastPeer;
 pub(crate) use broadcast_peers::Broadcast;
 pub(crate) use coordination_mode::{Coordination, FleetMode};
 pub(crate) use fleet_means::{FleetMeans, GatewayMeans};
-pub(crate) use gateway_set::{GatewaySet, RankedGateway};
+pub(crate) use gateway_set::{peer_indices, GatewaySet, RankedGateway};
 pub(crate) use gossip_credit::Gossip;
-pub(crate) use peer_record::{peer_indices, BroadcastPeer, GossipPeer};
+pub(crate) use gossip_peer::GossipPeer;
--- a/crates/admission/src/state/quota/counter_account.rs
+++ b/crates/admission/src/state/quota/counter_account.rs
@@ -1,15 +1,14 @@
-//! Dealings with the shared counter: each customer's calls, and what is known of the counter itself.
-use crate::id::{CustomerTag, RequestId};
-use crate::mechanism::splitmix64::mix;
+//! Counter mode: a customer's calls to the shared counter, and the corrections that its count is due.
+use crate::id::RequestId;
 use crate::settings::PlanSettings;
-use std::collections::{BTreeMap, VecDeque};
+use std::collections::VecDeque;
 
 /// A call to the counter.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum CounterCall {
-    /// Adds the units of a request, to learn whether the count had room for them.
+    /// Adds the units of a request, to learn whether the count had tokens for them.
     Request(CountedRequest),
-    /// Raises a count that lies behind the clock.
+    /// Raises a count that lags behind the clock.
     CatchUp(CatchUp),
     /// Adds only the corrections due.
     Settle,
@@ -31,7 +30,7 @@
 pub(crate) struct CatchUp {
     /// Units to be added.
     pub(crate) units: f64,
-    /// The total that showed the count to lie behind.
+    /// The total that showed the lag.
     pub(crate) seen_total: f64,
 }
 
@@ -51,7 +50,7 @@
 pub(crate) struct CallInFlight {
     /// The call.
     pub(crate) call: CounterCall,
-    /// Corrections that it carries, in units.
+    /// Corrections that it carries, in units; below 0 they lower the count.
     pub(crate) correction_units: f64,
 }
 
@@ -67,9 +66,9 @@
 /// A customer's calls to the counter. One is in flight at a time, so that each reply belongs to one call.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct CounterAccount {
-    /// The call that a reply is awaited to.
+    /// The call in flight.
     in_flight: Option<CallInFlight>,
-    /// Calls to come, oldest first.
+    /// Queued calls, oldest first.
     queue: VecDeque<CounterCall>,
     /// Units by which the count is too low; below 0, too high. The next call adds them.
     correction_units: f64,
@@ -78,22 +77,22 @@
 }
 
 impl CounterAccount {
-    /// Puts a call after all others.
+    /// Queues a call after all others.
     pub(crate) fn push(&mut self, call: CounterCall) {
         self.queue.push_back(call);
     }
 
-    /// Puts a call before all others.
+    /// Queues a call before all others.
     pub(crate) fn push_first(&mut self, call: CounterCall) {
         self.queue.push_front(call);
     }
 
-    /// Whether calls wait for the one in flight.
+    /// Whether calls are queued.
     pub(crate) fn has_queued(&self) -> bool {
         !self.queue.is_empty()
     }
 
-    /// Starts the next call where none is in flight, and gives the units that it adds. Calls for requests
+    /// Starts the next call where none is in flight, and returns the units that it adds. Calls for requests
     /// that no longer wait for a reply are dropped. With no call queued, corrections are settled alone.
     pub(crate) fn next_call(&mut self, waits_for_reply: impl Fn(RequestId) -> bool) -> Option<f64> {
         if self.in_flight.is_some() {
@@ -122,7 +121,7 @@
         self.correction_units += units;
     }
 
-    /// Keeps what a reply showed of the customer's tokens.
+    /// Records what a reply showed of the customer's tokens.
     pub(crate) fn record_tokens(&mut self, tokens: f64, now_ms: f64) {
         self.seen = Some(TokensSeen { tokens, at_ms: now_ms });
     }
@@ -135,65 +134,3 @@
         Some((seen.tokens + accrued).min(plan.burst_units))
     }
 }
-
-/// The epoch of a customer's count: the counter forgets names after a while, so each epoch has its own.
-#[derive(Debug, Clone, Copy, PartialEq)]
-pub(crate) struct CounterEpoch {
-    /// Name of the count at the counter.
-    pub(crate) name: u64,
-    /// Seconds since the epoch began.
-    pub(crate) age_s: f64,
-}
-
-impl CounterEpoch {
-    /// Tokens of a customer by the total of its count: what the burst and the rate gave since the epoch
-    /// began, less the total.
-    pub(crate) fn tokens(&self, plan: &PlanSettings, total: f64) -> f64 {
-        plan.burst_units + plan.rate_per_second * self.age_s - total
-    }
-
-    /// The present epoch of a customer, of epochs of this length. Each customer's begin at a time of its own,
-    /// so that the counts do not all begin anew at once.
-    pub(crate) fn at(tag: CustomerTag, now_ms: f64, epoch_ms: f64) -> Self {
-        let phase_ms = (mix(tag.0) % epoch_ms as u64) as f64;
-        let number = ((now_ms + phase_ms) / epoch_ms).floor();
-        let name = mix(tag.0 ^ mix(number as i64 as u64)) >> 1;
-        CounterEpoch { name, age_s: (now_ms + phase_ms - number * epoch_ms) / 1000.0 }
-    }
-}
-
-/// What a gateway knows of the shared counter.
-#[derive(Debug)]
-pub(crate) struct CounterCalls {
-    /// Fraction of the requests that the counter is called for, 0 to 1.
-    sampling_fraction: f64,
-    /// Customers with a call in flight, by the name of their count.
-    in_flight: BTreeMap<u64, CustomerTag>,
-}
-
-impl CounterCalls {
-    /// No calls in flight, and all requests to be called for.
-    pub(crate) fn new() -> Self {
-        CounterCalls { sampling_fraction: 1.0, in_flight: BTreeMap::new() }
-    }
-
-    /// Fraction of the requests that the counter is called for, 0 to 1.
-    pub(crate) fn sampling_fraction(&self) -> f64 {
-        self.sampling_fraction
-    }
-
-    /// Sets the fraction of the requests that the counter is called for.
-    pub(crate) fn set_sampling_fraction(&mut self, fraction: f64) {
-        self.sampling_fraction = fraction;
-    }
-
-    /// Enters a call for a customer.
-    pub(crate) fn start(&mut self, name: u64, tag: CustomerTag) {
-        self.in_flight.insert(name, tag);
-    }
-
-    /// Ends a call, and gives the customer that it was for.
-    pub(crate) fn complete(&mut self, name: u64) -> Option<CustomerTag> {
-        self.in_flight.remove(&name)
-    }
-}
--- a/crates/admission/src/state/quota/customer_table.rs
+++ b/crates/admission/src/state/quota/customer_table.rs
@@ -1,4 +1,4 @@
-//! The customers that a gateway knows, and those of whom something is to be sent to peers.
+//! The customers that a gateway knows, by tag.
 use crate::id::{CustomerTag, GatewayIndex};
 use crate::settings::PlanSettings;
 use crate::state::Customer;
@@ -9,7 +9,7 @@
 pub(crate) struct CustomerTable {
     /// Their records.
     by_tag: BTreeMap<CustomerTag, Customer>,
-    /// Customers of whom something is to be sent to peers.
+    /// Customers of which something is to be sent to peers.
     unreported: BTreeSet<CustomerTag>,
     /// When idle customers were last evicted.
     evicted_ms: f64,
@@ -31,7 +31,7 @@
         self.by_tag.entry(tag).or_insert_with(|| Customer::new(now_ms))
     }
 
-    /// Brings a customer's quota and ceiling up to now.
+    /// Refills a customer's quota and ceiling for the time since the last refill.
     pub(crate) fn refill(&mut self, tag: CustomerTag, plan: &PlanSettings, now_ms: f64) {
         if let Some(customer) = self.by_tag.get_mut(&tag) {
             customer.refill(plan, now_ms);
@@ -46,15 +46,15 @@
     /// Has a customer's count sent to peers in the next rounds.
     pub(crate) fn schedule_report(&mut self, tag: CustomerTag, rounds: u8) {
         if let Some(customer) = self.by_tag.get_mut(&tag) {
-            customer.schedule_report(rounds);
+            customer.reports.schedule(rounds);
             self.unreported.insert(tag);
         }
     }
 
-    /// Has peers asked for units of a customer's ceiling in the next round.
+    /// Has the next round request units of a customer's ceiling from peers.
     pub(crate) fn schedule_ceiling_request(&mut self, tag: CustomerTag) {
         if let Some(customer) = self.by_tag.get_mut(&tag) {
-            customer.request_ceiling();
+            customer.reports.request_ceiling();
             self.unreported.insert(tag);
         }
     }
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Customers of whom something is to be sent to peers.
+    /// Customers of which something is to be sent to peers.
     pub(crate) fn unreported(&self) -> Vec<CustomerTag> {
         self.unreported.iter().copied().collect()
     }
--- a/crates/admission/src/state/quota/grant_ledger.rs
+++ b/crates/admission/src/state/quota/grant_ledger.rs
@@ -4,7 +4,7 @@
 use crate::messages::quota_message::QuotaRequestNumber;
 use std::collections::VecDeque;
 
-/// Keeps divisions by the units requested finite.
+/// Lower bound of the units requested per second, so that divisions by them stay finite.
 const MIN_REQUESTED_PER_SECOND: f64 = 1e-9;
 
 /// A quota request as its owner knows it: who sent it, its number there, and until when it counts.
@@ -29,18 +29,18 @@
 /// these to end, and how many units are requested and granted.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct QuotaGrants {
-    /// Granted; a repeat of the same request is granted again at no cost.
+    /// Granted requests that have not ended; a repeat of one is granted again at no cost.
     granted: Vec<Grant>,
-    /// Waiting for an active slot, oldest first.
+    /// Requests that wait for a slot, oldest first.
     waiting: VecDeque<Grant>,
-    /// Units requested a second, smoothed.
+    /// Units requested per second, smoothed.
     requested_rate: DecayingRate,
-    /// Units granted a second, smoothed.
+    /// Units granted per second, smoothed.
     granted_rate: DecayingRate,
 }
 
 impl QuotaGrants {
-    /// Drops what no longer counts.
+    /// Drops the requests that no longer count: their release was lost, or their time is over.
     pub(crate) fn expire(&mut self, now_ms: f64) {
         self.granted.retain(|g| g.expires_ms > now_ms);
         self.waiting.retain(|g| g.expires_ms > now_ms);
@@ -66,7 +66,7 @@
         self.waiting.len()
     }
 
-    /// Enters units requested, here or by requests that this one stands for.
+    /// Counts units requested, those of the requests that this one stands for included.
     pub(crate) fn record_request(&mut self, units: f64, now_ms: f64, span_s: f64) {
         self.requested_rate.add(units, now_ms, span_s);
     }
@@ -77,12 +77,12 @@
         self.granted.push(grant);
     }
 
-    /// Lets a request wait for an active slot.
+    /// Queues a request until a slot is free.
     pub(crate) fn wait(&mut self, grant: Grant) {
         self.waiting.push_back(grant);
     }
 
-    /// Takes out a request that has ended or is no longer wanted, and says whether it had been granted.
+    /// Removes a request that has ended or is no longer wanted, and returns whether it had been granted.
     pub(crate) fn release(&mut self, gateway: GatewayIndex, number: QuotaRequestNumber) -> bool {
         self.waiting.retain(|g| !g.is_for(gateway, number));
         let Some(position) = self.granted.iter().position(|g| g.is_for(gateway, number)) else {
@@ -92,18 +92,18 @@
         true
     }
 
-    /// Takes out the request that has waited longest and still counts.
+    /// Removes the request that has waited longest and still counts.
     pub(crate) fn next_waiting(&mut self, now_ms: f64) -> Option<Grant> {
         self.waiting.retain(|g| g.expires_ms > now_ms);
         self.waiting.pop_front()
     }
 
-    /// Units requested a second, as a divisor: never 0.
+    /// Units requested per second, as a divisor: never 0.
     pub(crate) fn requested_per_second(&self, now_ms: f64, span_s: f64) -> f64 {
         self.requested_rate.now(now_ms, span_s).max(MIN_REQUESTED_PER_SECOND)
     }
 
-    /// Units granted a second.
+    /// Units granted per second.
     pub(crate) fn granted_per_second(&self, now_ms: f64, span_s: f64) -> f64 {
         self.granted_rate.now(now_ms, span_s)
     }
--- a/crates/admission/src/state/quota/pending_quota_requests.rs
+++ b/crates/admission/src/state/quota/pending_quota_requests.rs
@@ -32,8 +32,10 @@
 }
 
 impl QuotaRequests {
-    /// The number of a quota request to an owner, given where the request stands. The same owner gets the
-    /// same number again: had its response been lost, it would else grant twice.
+    /// The number of a quota request to an owner, given where the request stands.
+    ///
+    /// Guards against a lost response, after which the owner would grant the same request twice: the same owner
+    /// gets the same number again, by which it recognizes the request.
     pub(crate) fn number_for(&mut self, state: QuotaState, to: GatewayIndex) -> QuotaRequestNumber {
         match state {
             QuotaState::AwaitingOwner { owner, number, .. } if owner == to => return number,
@@ -43,7 +45,7 @@
         self.next_number
     }
 
-    /// Enters a quota request that is sent, whether with a new number or again with an old one.
+    /// Records a quota request that is sent, whether with a new number or again with an old one.
     pub(crate) fn insert(&mut self, number: QuotaRequestNumber, request: RequestId) {
         if number == self.next_number {
             self.next_number = number.next();
@@ -56,7 +58,7 @@
         self.pending.get(&number).copied()
     }
 
-    /// Takes out a quota request that no response is awaited for.
+    /// Removes a quota request that no response is awaited for.
     pub(crate) fn remove(&mut self, number: QuotaRequestNumber) {
         self.pending.remove(&number);
     }
--- a/crates/admission/src/state/quota/quota_state.rs
+++ b/crates/admission/src/state/quota/quota_state.rs
@@ -1,29 +1,44 @@
 //! Where a request stands with its customer's quota.
 use crate::id::GatewayIndex;
-use crate::messages::quota_message::QuotaRequestNumber;
+use crate::messages::quota_message::{QuotaRequestNumber, QuotaVerdict};
 
 /// Who decides whether a request is within its customer's quota, and what was decided.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum QuotaState {
-    /// This gateway's own token bucket decides; nobody is asked.
+    /// This gateway's own token bucket decides, without a message or call.
     LocalBucket { within_quota: bool },
-    /// The quota's owner was asked and has not answered.
+    /// The quota's owner was sent a quota request and has not responded.
     AwaitingOwner { owner: GatewayIndex, number: QuotaRequestNumber, at_ms: f64, retries: u32 },
-    /// The owner keeps the request waiting until the customer has a free slot.
+    /// The owner queues the request until the customer has a free slot.
     QueuedAtOwner { owner: GatewayIndex, number: QuotaRequestNumber },
     /// The owner granted it. Where the quota is ample, the true units need not be reported.
     GrantedByOwner { owner: GatewayIndex, number: QuotaRequestNumber, ample: bool },
-    /// It is over the quota. Within the ceiling it may still be sent while there is room.
+    /// It is over the quota. Within the ceiling it may still be sent while there is capacity.
     OverQuota { within_ceiling: bool },
-    /// The quota counter was asked and has not answered.
+    /// The quota counter was called for it and has not responded.
     AwaitingCounter,
     /// The counter's total admitted it. Where the quota is ample, the true units need not be reported.
     AdmittedByCounter { ample: bool },
-    /// It may be sent, though the counter was not asked about it.
+    /// It may be sent, though the counter was not called for it.
     AdmittedUncounted,
 }
 
 impl QuotaState {
+    /// Where a request stands after its quota's owner responded to the quota request of this number.
+    pub(crate) fn after_verdict(
+        verdict: QuotaVerdict,
+        owner: GatewayIndex,
+        number: QuotaRequestNumber,
+    ) -> Self {
+        match verdict {
+            QuotaVerdict::Granted => QuotaState::GrantedByOwner { owner, number, ample: false },
+            QuotaVerdict::GrantedAmple => QuotaState::GrantedByOwner { owner, number, ample: true },
+            QuotaVerdict::Queued => QuotaState::QueuedAtOwner { owner, number },
+            QuotaVerdict::OverQuotaAllowed => QuotaState::OverQuota { within_ceiling: true },
+            QuotaVerdict::OverQuota => QuotaState::OverQuota { within_ceiling: false },
+        }
+    }
+
     /// What has been decided already; `None` where this gateway's own records are still to be checked.
     pub(crate) fn decision(&self) -> Option<QuotaDecision> {
         match self {
@@ -64,7 +79,7 @@
         }
     }
 
-    /// Whether the request is over its quota, but may still be sent while there is room.
+    /// Whether the request is over its quota, but may still be sent while there is capacity.
     pub(crate) fn may_exceed_quota(&self) -> bool {
         matches!(self, QuotaState::OverQuota { within_ceiling: true })
     }
@@ -85,7 +100,7 @@
 pub(crate) enum QuotaDecision {
     /// It may be sent now.
     Admit,
-    /// It stays queued: an answer, a slot or a part of the ceiling is still to come.
+    /// It stays queued: a response, a slot or units of the ceiling are still to come.
     Wait,
     /// It is over the quota, so it leaves the queue.
     OverQuota,
@@ -96,7 +111,7 @@
 pub(crate) struct OwnBucketCheck {
     /// The request is within the quota.
     pub(crate) is_met: bool,
-    /// Beyond its quota the request may still be sent where there is room.
+    /// Beyond its quota the request may still be sent while there is capacity.
     pub(crate) may_exceed: bool,
     /// When the bucket will have filled enough for the request; `None` where it never does.
     pub(crate) retry_after_ms: Option<f64>,
