--- a/crates/admission/src/coordination/counter_calls.rs
+++ b/crates/admission/src/coordination/counter_calls.rs
@@ -2,7 +2,7 @@
 use crate::action::Action;
 use crate::event::CounterOutcome;
 use crate::gateway::Gateway;
-use crate::id::{CustomerTag, RequestId};
+use crate::id::{CustomerTag, PlanIndex, RequestId};
 use crate::policy::quota_counter::count_catch_up::{catch_up_units, is_double_raise, COUNT_EPOCH_MS};
 use crate::policy::quota_counter::count_decision::{
     assumed_tokens, decide_by_count, decide_over_quota, is_surely_over_quota,
@@ -11,36 +11,40 @@
 use crate::policy::quota_counter::counter_sampling::{
     refund_units, sample_request, sampling_fraction_after, SampleInput,
 };
-use crate::settings::PlanSettings;
 use crate::state::{
     ActiveRequest, CatchUp, Coordination, CountedRequest, CounterCall, CounterEpoch, GatewaySet, QuotaState,
 };
 
+/// A call to the counter that has ended.
+#[derive(Debug, Clone, Copy)]
+struct CompletedCall {
+    /// The customer that it was for.
+    tag: CustomerTag,
+    /// The customer's plan.
+    plan: PlanIndex,
+    /// The call.
+    call: CounterCall,
+}
+
 impl Gateway {
     /// Begins the quota check of a queued request: calls the counter for it, or decides by what was last seen,
     /// since the customer cannot have more tokens than the rate has added since.
     pub(crate) fn request_from_counter(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(active) = self.requests.get(id) else { return };
-        let tag = active.tag;
-        let request = active.request.clone();
-        let now_ms = self.clock.now_ms();
-        let gateways = GatewaySet::of_request(&request, self.settings.gateways);
-        let plan = self.settings.plan(request.plan).clone();
-        let customer = self.customer_entry(tag, request.plan, gateways);
+        let (tag, plan_index) = (active.tag, active.request.plan);
+        let (units, is_repeat) = (active.request.units, active.request.repeat);
+        let gateways = GatewaySet::of_request(&active.request, self.settings.gateways);
+        let last_seen = self.customer_entry(tag, plan_index, gateways).counter.last_seen();
+        let plan = self.settings.plan(plan_index);
         if plan.rate_per_second <= 0.0 {
             return;
         }
-        let tokens_at_most = customer.counter.tokens_at_most(&plan, now_ms);
-        let quota = if is_surely_over_quota(tokens_at_most, request.units) {
-            decide_over_quota(&plan)
+        let now_ms = self.clock.now_ms();
+        let tokens_at_most = last_seen.map(|seen| seen.tokens_at_most(plan, now_ms));
+        let quota = if is_surely_over_quota(tokens_at_most, units) {
+            decide_over_quota(plan)
         } else {
-            match self.sample_for_counter(id, request.units, request.repeat) {
-                Some(counted) => {
-                    self.queue_counter_call(tag, CounterCall::Request(counted));
-                    QuotaState::AwaitingCounter
-                }
-                None => QuotaState::AdmittedUncounted,
-            }
+            self.call_or_admit(tag, id, units, is_repeat)
         };
         if let Some(active) = self.requests.get_mut(id) {
             active.set_quota(quota);
@@ -48,6 +52,17 @@
         self.call_counter(tag, actions);
     }
 
+    /// Queues a call for a request where it is sampled; else admits it uncounted.
+    fn call_or_admit(&mut self, tag: CustomerTag, id: RequestId, units: f64, is_repeat: bool) -> QuotaState {
+        let Some(counted) = self.sample_for_counter(id, units, is_repeat) else {
+            return QuotaState::AdmittedUncounted;
+        };
+        if let Some(customer) = self.customers.get_mut(tag) {
+            customer.counter.push(CounterCall::Request(counted));
+        }
+        QuotaState::AwaitingCounter
+    }
+
     /// The call to the counter for a request; `None` where it is not sampled.
     pub(crate) fn sample_for_counter(
         &mut self,
@@ -75,13 +90,6 @@
         }
     }
 
-    /// Queues a call after the customer's others.
-    fn queue_counter_call(&mut self, tag: CustomerTag, call: CounterCall) {
-        if let Some(customer) = self.customers.get_mut(tag) {
-            customer.counter.push(call);
-        }
-    }
-
     /// Makes a customer's next call, where none is in flight.
     pub(crate) fn call_counter(&mut self, tag: CustomerTag, actions: &mut Vec<Action>) {
         let name = CounterEpoch::at(tag, self.clock.now_ms(), COUNT_EPOCH_MS).name;
@@ -96,92 +104,96 @@
 
     /// Applies the counter's reply to a customer's call, and makes the next call.
     pub(crate) fn on_counter_reply(&mut self, name: u64, outcome: CounterOutcome, actions: &mut Vec<Action>) {
-        let Coordination::Counter(calls) = &mut self.coordination else { return };
-        let Some(tag) = calls.complete(name) else { return };
-        calls.set_sampling_fraction(sampling_fraction_after(outcome, calls.sampling_fraction()));
-        let epoch = CounterEpoch::at(tag, self.clock.now_ms(), COUNT_EPOCH_MS);
-        let Some(customer) = self.customers.get_mut(tag) else { return };
-        let Some(ended) = customer.counter.complete() else { return };
-        let Some(plan) = customer.plan().map(|p| self.settings.plan(p).clone()) else { return };
-        let rejected = outcome == CounterOutcome::Rejected;
-        if rejected {
-            customer.counter.correct(ended.correction_units);
-        }
-        let total = match outcome {
-            // A total that comes after the epoch has ended is of the old count.
-            CounterOutcome::Total(total) if total.is_finite() && epoch.name == name => Some(total),
-            _ => None,
+        let Some(CompletedCall { tag, plan, call }) = self.complete_counter_call(name, outcome) else {
+            return;
         };
-        match (ended.call, total) {
+        let epoch = CounterEpoch::at(tag, self.clock.now_ms(), COUNT_EPOCH_MS);
+        let is_rejected = outcome == CounterOutcome::Rejected;
+        match (call, total_of_epoch(outcome, name, epoch)) {
             (CounterCall::Request(request), Some(total)) => {
-                self.on_total_of_request(tag, &plan, request, total, epoch)
-            }
-            (CounterCall::Request(request), None) => self.on_no_total(tag, &plan, request, rejected),
-            (CounterCall::CatchUp(catch_up), Some(total)) => {
-                if is_double_raise(catch_up, total) {
-                    customer.counter.correct(-catch_up.units);
-                }
-            }
-            (CounterCall::Settle, Some(total)) => {
-                let tokens = epoch.tokens(&plan, total).min(plan.burst_units);
-                customer.counter.record_tokens(tokens, self.clock.now_ms());
+                self.on_total_of_request(tag, plan, request, total, epoch)
             }
+            (CounterCall::Request(request), None) => self.on_no_total(tag, plan, request, is_rejected),
+            (CounterCall::CatchUp(raise), Some(total)) => self.on_total_of_raise(tag, raise, total),
+            (CounterCall::Settle, Some(total)) => self.on_total_of_settlement(tag, plan, total, epoch),
             (CounterCall::CatchUp(_) | CounterCall::Settle, None) => {}
         }
         let has_queued_calls = self.customers.get(tag).is_some_and(|c| c.counter.has_queued());
-        if may_call_at_once(rejected, has_queued_calls) {
+        if may_call_at_once(is_rejected, has_queued_calls) {
             self.call_counter(tag, actions);
         }
     }
 
-    /// Decides on a request by the total after its units were added.
+    /// Ends the call in flight to a count, and adapts the sampling fraction. Corrections that a rejected call
+    /// carried are due again.
+    fn complete_counter_call(&mut self, name: u64, outcome: CounterOutcome) -> Option<CompletedCall> {
+        let Coordination::Counter(calls) = &mut self.coordination else { return None };
+        let tag = calls.complete(name)?;
+        calls.set_sampling_fraction(sampling_fraction_after(outcome, calls.sampling_fraction()));
+        let customer = self.customers.get_mut(tag)?;
+        let ended = customer.counter.complete()?;
+        let plan = customer.plan()?;
+        if outcome == CounterOutcome::Rejected {
+            customer.counter.correct(ended.correction_units);
+        }
+        Some(CompletedCall { tag, plan, call: ended.call })
+    }
+
+    /// Decides on a request by the total after its units were added, and queues a raise of a count that lags.
     fn on_total_of_request(
         &mut self,
         tag: CustomerTag,
-        plan: &PlanSettings,
+        plan: PlanIndex,
         request: CountedRequest,
         total: f64,
         epoch: CounterEpoch,
     ) {
-        let tokens = epoch.tokens(plan, total - request.added_units);
-        if let (Some(units), Some(customer)) =
-            (catch_up_units(plan.burst_units, tokens), self.customers.get_mut(tag))
-        {
+        let settings = self.settings.plan(plan);
+        let tokens = epoch.tokens(settings, total - request.added_units);
+        let burst_units = settings.burst_units;
+        let raise_units = catch_up_units(burst_units, tokens);
+        if let (Some(units), Some(customer)) = (raise_units, self.customers.get_mut(tag)) {
             customer.counter.push_first(CounterCall::CatchUp(CatchUp { units, seen_total: total }));
         }
-        self.decide_counted(tag, plan, request, tokens.min(plan.burst_units));
+        self.decide_counted(tag, plan, request, tokens.min(burst_units));
     }
 
     /// Decides on a request for which the counter gave no total.
-    fn on_no_total(
-        &mut self,
-        tag: CustomerTag,
-        plan: &PlanSettings,
-        request: CountedRequest,
-        rejected: bool,
-    ) {
+    fn on_no_total(&mut self, tag: CustomerTag, plan: PlanIndex, request: CountedRequest, is_rejected: bool) {
         let Some(customer) = self.customers.get_mut(tag) else { return };
-        let tokens_at_most = customer.counter.tokens_at_most(plan, self.clock.now_ms());
-        let tokens = assumed_tokens(plan.burst_units, tokens_at_most);
-        if rejected {
+        let settings = self.settings.plan(plan);
+        let now_ms = self.clock.now_ms();
+        let tokens_at_most = customer.counter.last_seen().map(|seen| seen.tokens_at_most(settings, now_ms));
+        let tokens = assumed_tokens(settings.burst_units, tokens_at_most);
+        if is_rejected {
             customer.counter.correct(request.added_units);
         }
         self.decide_counted(tag, plan, request, tokens);
     }
 
+    /// Takes a raise back where another gateway raised the count at the same time.
+    fn on_total_of_raise(&mut self, tag: CustomerTag, raise: CatchUp, total: f64) {
+        let Some(customer) = self.customers.get_mut(tag) else { return };
+        if is_double_raise(raise, total) {
+            customer.counter.correct(-raise.units);
+        }
+    }
+
+    /// Records the tokens that the total of a settlement shows.
+    fn on_total_of_settlement(&mut self, tag: CustomerTag, plan: PlanIndex, total: f64, epoch: CounterEpoch) {
+        let Some(customer) = self.customers.get_mut(tag) else { return };
+        let settings = self.settings.plan(plan);
+        let tokens = epoch.tokens(settings, total).min(settings.burst_units);
+        customer.counter.record_tokens(tokens, self.clock.now_ms());
+    }
+
     /// Decides on a request, given the customer's tokens before it, and records what it consumes.
-    fn decide_counted(
-        &mut self,
-        tag: CustomerTag,
-        plan: &PlanSettings,
-        request: CountedRequest,
-        tokens: f64,
-    ) {
+    fn decide_counted(&mut self, tag: CustomerTag, plan: PlanIndex, request: CountedRequest, tokens: f64) {
         let refund_units = self.refund_units(request.units);
         let active = self.requests.get_mut(request.id).filter(|active| active.awaits_counter());
         let is_admitted = match active {
             Some(active) => {
-                active.set_quota(decide_by_count(plan, request.units, tokens));
+                active.set_quota(decide_by_count(self.settings.plan(plan), request.units, tokens));
                 active.quota().is_within_quota()
             }
             None => false,
@@ -194,8 +206,8 @@
         }
     }
 
-    /// Corrects the count by what an admitted request took in the end: all of it is given back where it was
-    /// never sent.
+    /// Corrects the count by what an admitted request consumed in the end: all its units are given back where it
+    /// was never sent.
     pub(crate) fn settle_counted(&mut self, active: &ActiveRequest, actions: &mut Vec<Action>) {
         let unsent = active.is_unsent();
         let correction_units = if unsent {
@@ -210,3 +222,14 @@
         }
     }
 }
+
+/// The total that a call showed of the present epoch; `None` where it showed none.
+///
+/// Guards against a reply that comes after its epoch has ended: its total is of the old count, and would show the
+/// customer far over its quota. The name of the count differs in each epoch.
+fn total_of_epoch(outcome: CounterOutcome, name: u64, epoch: CounterEpoch) -> Option<f64> {
+    match outcome {
+        CounterOutcome::Total(total) if total.is_finite() && epoch.name == name => Some(total),
+        _ => None,
+    }
+}
--- a/crates/admission/src/coordination/quota_ownership.rs
+++ b/crates/admission/src/coordination/quota_ownership.rs
@@ -12,6 +12,7 @@
 use crate::policy::quota_owner::owner_verdict::{
     decide_quota_request, grant_lifetime_ms, has_free_slot, verdict_to_send, OwnedQuota,
 };
+use crate::policy::quota_owner::unit_bounds::{bounded_release_units, bounded_request_units};
 use crate::settings::PlanSettings;
 use crate::state::{Customer, GatewaySet, Grant};
 
@@ -58,8 +59,8 @@
         }
     }
 
-    /// Decides on a quota request as the owner. What is granted is taken from quota, slots and ceiling before
-    /// the response is sent. `None` for a request that its sender must not send here.
+    /// Decides on a quota request as the owner. Granted units are taken from quota, slots and ceiling before the
+    /// response is sent. `None` for a request that its sender must not send here.
     fn respond_as_owner(&mut self, from: GatewayIndex, request: &QuotaRequest) -> Option<QuotaResponse> {
         let plan_index = PlanIndex(request.plan as usize);
         let plan = self.settings.plans.get(plan_index.0)?.clone();
@@ -78,8 +79,11 @@
         Some(QuotaResponse { number: request.number, verdict, sampling_fraction })
     }
 
-    /// The gateways that a request's customer comes through; `None` where they are not of this fleet, or the
-    /// sender or this gateway is not among them.
+    /// The gateways that the requests of a quota request's customer come through.
+    ///
+    /// Guards against messages that are corrupt or of another fleet, which could spend a quota that this gateway
+    /// does not own: `None` where the gateways are not of this fleet, or the sender or this gateway is not among
+    /// them.
     fn gateways_of(&self, from: GatewayIndex, request: &QuotaRequest) -> Option<GatewaySet> {
         let first = GatewayIndex(request.first_gateway as usize);
         let len = request.gateways as usize;
@@ -87,9 +91,9 @@
         (gateways.contains(from) && gateways.contains(self.settings.me)).then_some(gateways)
     }
 
-    /// A quota request in the owner's terms: units bounded, steps of the wire as times.
+    /// A quota request in the owner's terms: its units bounded, its wait budget as a time.
     fn received_request(&self, from: GatewayIndex, request: &QuotaRequest) -> ReceivedRequest {
-        let units = f64::from(request.units).min(self.settings.max_units.max(1.0));
+        let units = bounded_request_units(f64::from(request.units), self.settings.max_units);
         let waits_until_ms = self.clock.now_ms() + request.wait_budget.ms();
         ReceivedRequest {
             gateway: from,
@@ -104,7 +108,6 @@
     /// Applies, as the owner, that a request has ended: settles its units, and grants its slot to a waiting
     /// request.
     fn on_quota_release(&mut self, from: GatewayIndex, release: QuotaRelease, actions: &mut Vec<Action>) {
-        let max_units = self.settings.max_units.max(1.0);
         let Some(customer) = self.customers.get_mut(CustomerTag(release.customer)) else { return };
         let Some(plan) = customer.plan().map(|p| self.settings.plan(p)) else { return };
         if !customer.grants.release(from, release.number) {
@@ -112,10 +115,10 @@
         }
         customer.refill(plan, self.clock.now_ms());
         if plan.rate_per_second > 0.0 {
-            let additional_units = release.additional_units.units().clamp(-max_units, max_units);
-            customer.settle_grant(plan, additional_units);
+            let units = release.additional_units.units();
+            customer.settle_grant(plan, bounded_release_units(units, self.settings.max_units));
         }
-        if plan.open_limit > 0 && has_free_slot(plan, customer.grants.active()) {
+        if has_free_slot(plan, customer.grants.active()) {
             self.grant_next_waiting(CustomerTag(release.customer), actions);
         }
     }
--- a/crates/admission/src/policy/quota_owner/mod.rs
+++ b/crates/admission/src/policy/quota_owner/mod.rs
@@ -6,3 +6,4 @@
 pub(crate) mod owner_selection;
 pub(crate) mod owner_verdict;
 pub(crate) mod quota_request_route;
+pub(crate) mod unit_bounds;
--- a/crates/admission/src/policy/quota_owner/owner_verdict.rs
+++ b/crates/admission/src/policy/quota_owner/owner_verdict.rs
@@ -38,7 +38,7 @@
     }
 }
 
-/// Whether a customer of a plan with slots has fewer requests granted than slots.
+/// Whether a customer has fewer requests granted than slots; never in a plan without slots.
 pub(crate) fn has_free_slot(plan: &PlanSettings, granted_requests: usize) -> bool {
     granted_requests < plan.open_limit as usize
 }
--- a/crates/admission/src/tests/quota_rules/owner_rules.rs
+++ b/crates/admission/src/tests/quota_rules/owner_rules.rs
@@ -7,11 +7,12 @@
 use crate::policy::quota_owner::owner_sampling::{wanted_sampling_fraction, QuotaDemand};
 use crate::policy::quota_owner::owner_selection::{select_owner, suspected_until_ms};
 use crate::policy::quota_owner::owner_verdict::{
-    decide_quota_request, grant_lifetime_ms, verdict_to_send, OwnedQuota,
+    decide_quota_request, grant_lifetime_ms, has_free_slot, verdict_to_send, OwnedQuota,
 };
 use crate::policy::quota_owner::quota_request_route::{
     grant_useful_until_ms, may_retry_quota_request, response_wait_ms, route_quota_request, QuotaRouteInput,
 };
+use crate::policy::quota_owner::unit_bounds::{bounded_release_units, bounded_request_units};
 use crate::settings::PlanSettings;
 use crate::state::{GatewaySet, QuotaExpectation, QuotaRoute, QuotaState, RankedGateway};
 
@@ -146,6 +147,21 @@
     }
 }
 
+/// A corrupt message must not empty a quota, nor fill it for nothing.
+#[test]
+fn units_of_quota_messages_stay_within_what_one_request_may_count() {
+    assert_eq!([3.0, 63.0].map(|units| bounded_request_units(units, 4.0)), [3.0, 4.0]);
+    assert_eq!([-9.0, 3.0, 9.0].map(|units| bounded_release_units(units, 4.0)), [-4.0, 3.0, 4.0]);
+    assert_eq!(bounded_request_units(9.0, 0.0), 1.0, "a request counts one unit at least");
+}
+
+#[test]
+fn a_plan_without_slots_has_no_free_slot() {
+    let slots = PlanSettings { open_limit: 3, ..quota_plan(0.0, 0.0) };
+    assert_eq!([2, 3].map(|granted| has_free_slot(&slots, granted)), [true, false]);
+    assert!(!has_free_slot(&quota_plan(1.0, 1.0), 0));
+}
+
 /// While a silent owner may still be alive, it and its successor both spend: together no more than the ceiling.
 #[test]
 fn ceiling_fractions_add_up_to_the_ceiling() {
