--- a/crates/admission/src/event.rs
+++ b/crates/admission/src/event.rs
@@ -137,7 +137,8 @@
     /// The endpoint list is too old: nothing is sent by it until an update comes, be it without entries. The
     /// entries stay.
     EndpointListExpired,
-    /// Nothing happened but that time has passed. As after every event, queued requests that may go now are sent.
+    /// Nothing happened but that time has passed. As after every event, queued requests that may go now are
+    /// sent.
     TimeAdvanced,
     /// A request came in.
     Request(Request),
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -21,14 +21,14 @@
     pub counter: Option<SocketAddr>,
     /// The seed of random numbers.
     pub seed: u64,
-    /// File descriptors the process may hold.
-    pub sockets: usize,
+    /// File descriptors that the process may have open.
+    pub descriptor_limit: usize,
     /// The address that receives peers' messages, or `None` if there are no peers.
     pub peer_listen: Option<SocketAddr>,
     /// The address of each gateway, by its number.
     pub peers: Vec<SocketAddr>,
-    /// The endpoint list as last held before a restart.
-    pub known: Option<EndpointList>,
+    /// The endpoint list that was cached before a restart.
+    pub cached_list: Option<EndpointList>,
     /// The decision library's settings.
     pub settings: Settings,
     /// The names behind the settings' indexes.
@@ -48,17 +48,20 @@
     peer_listen: Option<SocketAddr>,
     #[serde(default)]
     peers: Vec<SocketAddr>,
-    known: Option<EndpointList>,
+    #[serde(rename = "known")]
+    cached_list: Option<EndpointList>,
     settings: SettingsDocument,
 }
 
 #[derive(Deserialize)]
 struct Limits {
-    sockets: usize,
+    #[serde(rename = "sockets")]
+    descriptors: usize,
 }
 
-/// With fewer descriptors there would be too few connections for clients and endpoints.
-const MIN_SOCKETS: usize = 64;
+/// The least number of file descriptors: with fewer there would be too few connections for clients and
+/// endpoints.
+const MIN_DESCRIPTORS: usize = 64;
 
 /// Why the configuration could not be loaded.
 #[derive(Debug, thiserror::Error)]
@@ -74,7 +77,7 @@
         /// Why.
         source: io::Error,
     },
-    /// The file's content is invalid.
+    /// The file's content cannot be used.
     #[error("cannot use the configuration {path}")]
     Invalid {
         /// The file.
@@ -98,10 +101,10 @@
     Settings(#[from] SettingsDocumentError),
     /// The decision library rejected the settings.
     #[error("settings")]
-    Refused(#[from] SettingsError),
+    RejectedSettings(#[from] SettingsError),
     /// `limits.sockets` is too low.
-    #[error("limits.sockets is {0}, but must be at least {MIN_SOCKETS}")]
-    TooFewSockets(usize),
+    #[error("limits.sockets is {0}, but must be at least {MIN_DESCRIPTORS}")]
+    TooFewDescriptors(usize),
     /// `peers` does not list every gateway of the fleet.
     #[error("peers has {peers} addresses, but settings.balancers is {gateways}")]
     PeerCount {
@@ -132,8 +135,8 @@
         let socket_settings = file.settings.socket_settings()?;
         let TranslatedSettings { settings, names } = file.settings.translate()?;
         settings.check()?;
-        if file.limits.sockets < MIN_SOCKETS {
-            return Err(InvalidConfig::TooFewSockets(file.limits.sockets));
+        if file.limits.descriptors < MIN_DESCRIPTORS {
+            return Err(InvalidConfig::TooFewDescriptors(file.limits.descriptors));
         }
         let (peers, gateways) = (file.peers.len(), settings.gateways);
         if file.peer_listen.is_some() && peers > 0 && peers != gateways {
@@ -144,10 +147,10 @@
             discovery: file.discovery,
             counter: file.counter,
             seed,
-            sockets: file.limits.sockets,
+            descriptor_limit: file.limits.descriptors,
             peer_listen: file.peer_listen,
             peers: file.peers,
-            known: file.known,
+            cached_list: file.cached_list,
             settings,
             names,
             socket_settings,
--- a/crates/gateway/src/connection_budget.rs
+++ b/crates/gateway/src/connection_budget.rs
@@ -30,7 +30,7 @@
     }
 }
 
-/// The right to hold one connection, given back when dropped.
+/// Permission for one open connection. Dropping it returns it to the budget.
 pub(crate) struct ConnectionPermit(Rc<Cell<usize>>);
 
 impl Drop for ConnectionPermit {
--- a/crates/gateway/src/descriptor_budget.rs
+++ b/crates/gateway/src/descriptor_budget.rs
@@ -2,11 +2,11 @@
 //! those that connections to endpoints need, and neither can exhaust those that the process itself needs.
 use crate::{downstream, quota_counter};
 
-/// The share of the unreserved descriptors that clients' connections get. Connections to endpoints get the
-/// rest.
+/// The fraction of the unreserved descriptors that is for clients' connections. The rest is for connections
+/// to endpoints.
 const DOWNSTREAM_FRACTION: f64 = 0.6;
 
-/// Descriptors that are kept out of the division between clients and endpoints.
+/// Descriptors that are divided neither among clients nor among endpoints.
 struct Reserved {
     /// Standard input, output and error.
     standard_streams: usize,
@@ -35,7 +35,7 @@
     configuration: 1,
     shed_connections: 2,
     quota_counter: quota_counter::MAX_CONNECTIONS,
-    rejecting_connections: downstream::MAX_REFUSING_CONNECTIONS,
+    rejecting_connections: downstream::MAX_REJECTING_CONNECTIONS,
 };
 
 impl Reserved {
--- a/crates/gateway/src/descriptor_budget/tests.rs
+++ b/crates/gateway/src/descriptor_budget/tests.rs
@@ -2,11 +2,11 @@
 use super::*;
 
 #[test]
-fn the_parts_add_up_to_the_limit_and_leave_endpoints_a_minimum() {
+fn the_budgets_add_up_to_the_limit_and_reserve_a_minimum_for_endpoints() {
     assert_eq!(RESERVED.total(), 32);
     for limit in [64, 1024] {
         let budget = DescriptorBudget::new(limit);
-        let downstream = budget.downstream + downstream::MAX_REFUSING_CONNECTIONS;
+        let downstream = budget.downstream + downstream::MAX_REJECTING_CONNECTIONS;
         let own = RESERVED.standard_streams
             + RESERVED.runtime
             + RESERVED.listeners
--- a/crates/gateway/src/discovery/backoff.rs
+++ b/crates/gateway/src/discovery/backoff.rs
@@ -1,10 +1,11 @@
-//! Exponential back-off with full jitter: pauses are drawn evenly from a window that failures widen.
+//! Exponential backoff with full jitter: a pause is drawn evenly between zero and a window, which failures
+//! widen and lists narrow.
 use std::time::Duration;
 
-/// A refusal widens the window by this factor.
+/// A rejected call widens the window by this factor.
 const WIDENING_FACTOR: f64 = 1.7;
-/// A list narrows the window by this factor only. If a list reset it, a fleet larger than discovery can serve
-/// would keep discovery's queue full.
+/// A list narrows the window by this factor. If it reset the window, a fleet larger than discovery can serve
+/// would call at full rate again after each list, and discovery's queue would stay full.
 const NARROWING_FACTOR: f64 = 0.75;
 
 /// The window that pauses are drawn from.
@@ -16,7 +17,8 @@
 }
 
 impl Backoff {
-    /// A back-off that starts at `initial_window`. Gateways need different seeds, or they would stay in step.
+    /// A backoff that starts at `initial_window`. Each gateway needs a seed of its own: with the same seed
+    /// all would draw the same pauses and call at the same times.
     pub(super) fn new(initial_window: Duration, max_window: Duration, seed: u64) -> Self {
         let random = fastrand::Rng::with_seed(seed);
         Backoff { initial_window, max_window, window: initial_window, random }
--- a/crates/gateway/src/discovery/endpoint_list.rs
+++ b/crates/gateway/src/discovery/endpoint_list.rs
@@ -8,16 +8,16 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// The endpoint list, or the changes to it, in discovery's JSON. The configuration's `known` has the same
-/// form.
+/// The endpoint list, or the changes to it, in discovery's JSON. The configuration's `known`, the list that
+/// was cached before a restart, has the same form.
 #[derive(Deserialize)]
 pub(crate) struct EndpointList {
     /// The version of the list.
     #[serde(rename = "rev")]
     pub revision: u64,
-    /// Whether this is the whole list and not only changes.
+    /// Whether this is the complete list and not only the changes to it.
     #[serde(default, rename = "all")]
-    pub is_whole: bool,
+    pub is_complete: bool,
     /// Parsed one by one, so that a malformed record does not spoil the others.
     #[serde(rename = "targets")]
     records: Vec<serde_json::Value>,
@@ -66,8 +66,8 @@
 
     /// The endpoints of the list, at `now_ms` in Unix milliseconds.
     ///
-    /// A record that cannot be used is logged and left out. Its endpoint then counts as absent from a whole
-    /// list, and nothing is sent to it.
+    /// A record that cannot be used is logged and left out. Its endpoint then counts as absent from a
+    /// complete list, and nothing is sent to it.
     pub(crate) fn endpoints(self, names: &Names, now_ms: f64) -> Vec<DiscoveredEndpoint> {
         let parse = |record| match EndpointRecord::parse(record).and_then(|r| r.into_endpoint(names, now_ms))
         {
@@ -100,22 +100,24 @@
         let has_start = self.started_at_ms.is_finite() && self.started_at_ms > 0.0;
         let entry = EndpointEntry {
             id: endpoint_id(&self.uid),
-            // All zones and kinds that the settings do not name share the index after the last name.
+            // All zones and kinds that the settings do not name get the same index, the one after the last
+            // name.
             zone: ZoneIndex(names.zone_index(&self.zone).unwrap_or(names.zones.len())),
             kind: MachineKindIndex(
                 names.machine_kind_index(&self.machine_kind).unwrap_or(names.machine_kinds.len()),
             ),
             cell: self.cell,
             state,
-            // With a start in the future, slow start would count a negative capacity.
+            // Discovery's clock may be ahead of ours. With a start in the future, slow start would compute a
+            // negative capacity.
             started_at_ms: has_start.then(|| self.started_at_ms.min(now_ms)),
         };
         Ok(DiscoveredEndpoint { entry, addr: self.addr })
     }
 }
 
-/// The FNV-1a hash of the uid: an endpoint's id must be the same at every gateway, whatever its address
-/// there.
+/// The FNV-1a hash of the uid. An endpoint's id must be the same at every gateway, since messages between
+/// gateways name endpoints by it; its address may differ.
 fn endpoint_id(uid: &str) -> EndpointId {
     let mut hasher = fnv::FnvHasher::default();
     hasher.write(uid.as_bytes());
--- a/crates/gateway/src/discovery/error.rs
+++ b/crates/gateway/src/discovery/error.rs
@@ -1,11 +1,11 @@
-//! Why a call to discovery brought no list: [`DiscoveryError`] says what it tells of discovery, which decides
-//! on the next call and on the lease; [`CallError`] says what went wrong.
+//! Why a call to discovery brought no list. [`DiscoveryError`] says what the failure shows of discovery, by
+//! which the next call and the lease are decided; [`CallError`] says what went wrong.
 use crate::http_connection::ExchangeError;
 use std::io;
 use thiserror::Error;
 use tokio::time::Instant;
 
-/// A call to discovery that brought no list, by what it tells of discovery.
+/// A call to discovery that brought no list, by what this shows of discovery.
 #[derive(Debug, Error)]
 pub(super) enum DiscoveryError {
     /// Nothing was reached, so that no change that discovery has published since counts as known yet.
@@ -17,13 +17,14 @@
         #[source]
         cause: CallError,
     },
-    /// The call was refused with 503: discovery is overloaded, or a proxy in front of it answers for it.
-    #[error("discovery refused the call with status 503")]
-    Refused,
+    /// The call was rejected with status 503: discovery is overloaded, or a proxy in front of it answers
+    /// for it.
+    #[error("discovery rejected the call with status 503")]
+    Rejected,
     /// Something was reached over a new connection, or it answered, but there was no list.
     #[error("discovery gave no list")]
     NoList(#[source] CallError),
-    /// A watch over an established connection broke or fell silent: discovery may be up or down.
+    /// A watch over an established connection broke or got no response: discovery may be up or down.
     #[error("the watch was interrupted")]
     WatchInterrupted(#[source] CallError),
 }
@@ -37,7 +38,7 @@
     /// The operating system reported why there is no connection.
     #[error("cannot connect")]
     ConnectFailed(#[source] io::Error),
-    /// The address or the path does not make a request: a defect of the program.
+    /// No request can be built from the address and the path: a defect of the program.
     #[error("cannot build the request")]
     InvalidRequest(#[from] hyper::http::Error),
     /// The connection is up, but the response did not come in time.
@@ -46,10 +47,10 @@
     /// The connection broke, or what came is not a response.
     #[error("no valid response")]
     ExchangeFailed(#[from] ExchangeError),
-    /// The response is neither a list nor a refusal.
+    /// The status is neither 200 nor 503.
     #[error("unexpected status {0}")]
     UnexpectedStatus(hyper::StatusCode),
-    /// The response is no list.
+    /// The response's body is not a list.
     #[error("cannot read the list")]
     MalformedList(#[from] serde_json::Error),
     /// The revision is older than the one known.
--- a/crates/gateway/src/discovery/mod.rs
+++ b/crates/gateway/src/discovery/mod.rs
@@ -1,11 +1,14 @@
 //! Discovery: the endpoint list, the watch that keeps it current, and the lease under which it may be used.
 //!
-//! Nothing here knows who uses the list. News goes to an [`EndpointListObserver`].
+//! Nothing here knows who uses the list: an [`EndpointListObserver`] is notified of each list and of the
+//! lease.
 //!
 //! - [`endpoint_list`]: the list's JSON and what is read from it.
 //! - [`watch`]: the loop that calls discovery over one connection after another.
-//! - [`refresh_schedule`]: when the next call is due, by the [`refresh_policy`], the [`list_lease`] and a
-//!   [`backoff`] with jitter.
+//! - [`refresh_schedule`]: when the next call is due and how long it may take, by the times of the
+//!   [`refresh_policy`], the [`list_lease`] and a [`backoff`] with jitter.
+//! - [`lease_expiry`]: reports when the lease runs out.
+//! - [`error`]: why a call brought no list, by what it shows of discovery.
 mod backoff;
 mod endpoint_list;
 mod error;
--- a/crates/gateway/src/discovery/refresh_schedule.rs
+++ b/crates/gateway/src/discovery/refresh_schedule.rs
@@ -6,25 +6,25 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Room for a connection and a response before the list expires, where discovery is not overloaded.
+/// Time reserved for a connection and a response before the list expires, where discovery is not overloaded.
 pub(super) const RESPONSE_ALLOWANCE: Duration = Duration::from_millis(1250);
-/// The same while discovery is overloaded: watches wait for longer, which is fewer calls, and leave so much
-/// for their responses to wait in discovery's queue.
+/// The same while discovery is overloaded. It is less, so that watches wait for longer and make fewer
+/// calls, and covers what their responses wait in discovery's queue.
 const OVERLOADED_RESPONSE_ALLOWANCE: Duration = Duration::from_millis(1000);
-/// A response that is later than this has waited in a queue: discovery is overloaded.
+/// A response that is later than this was queued: discovery is overloaded.
 const OVERLOADED_DELAY: Duration = Duration::from_millis(250);
-/// After a watch that broke, the window of pauses leaves room for a response before the list expires, but is
-/// never narrower than this, since the watches of the whole fleet may have broken at once.
+/// The narrowest window of pauses after an interrupted watch. The window ends early enough for a response
+/// before the list expires, but the watches of all gateways may have been interrupted at once.
 pub(super) const MIN_RETRY_WINDOW: Duration = Duration::from_millis(250);
-/// The widest window after a refusal while the list may be used. A call that was refused just before
-/// discovery came back, this pause and a response then end before changes count as known and the drain grace
-/// is over.
-pub(super) const MAX_REFUSAL_BACKOFF: Duration = Duration::from_millis(4250);
+/// The widest window after a rejected call while the list may be used. A call that was rejected just before
+/// discovery returned, this pause and a response then end before a change must be acted on and the drain
+/// grace is over.
+pub(super) const MAX_REJECTION_BACKOFF: Duration = Duration::from_millis(4250);
 
 /// Which call on a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum CallPosition {
-    /// The first, which may be the first of a whole fleet at once.
+    /// The first. All gateways of the fleet may make theirs at once.
     First,
     /// Any later one.
     Later,
@@ -33,24 +33,24 @@
 /// The times of one call.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct CallTimes {
-    /// How long discovery may hold the call back while nothing changes.
+    /// How long discovery may delay its response while nothing changes.
     pub(super) wait: Duration,
-    /// How long after that the response may take.
+    /// How long the response may take after that.
     pub(super) response_timeout: Duration,
 }
 
-/// The state of a watch's times.
+/// What the calls so far have shown of discovery, and the lease on the list.
 pub(super) struct RefreshSchedule {
     policy: RefreshPolicy,
-    /// None where the list never expires.
+    /// `None` where the list never expires.
     lease: Option<ListLease>,
     backoff: Backoff,
-    /// The last call was refused, left without a response or answered late.
+    /// The last call was rejected, got no response, or got it late.
     is_overloaded: bool,
 }
 
 impl RefreshSchedule {
-    /// The schedule at the start of a process: the list that is known counts as current.
+    /// The schedule at the start of a process: the cached list counts as current.
     pub(super) fn new(policy: RefreshPolicy, seed: u64, now: Instant) -> Self {
         RefreshSchedule {
             policy,
@@ -65,7 +65,7 @@
         &self.policy
     }
 
-    /// When the list expires; none where it never does.
+    /// When the list expires; `None` where it never does.
     pub(super) fn list_expires_at(&self) -> Option<Instant> {
         self.lease.as_ref().map(ListLease::expires_at)
     }
@@ -90,7 +90,7 @@
         CallTimes { wait, response_timeout }
     }
 
-    /// A list has come, even if without changes, `delay` after it was due.
+    /// A list was received, even if without changes, `delay` after it was due.
     pub(super) fn on_list(&mut self, delay: Duration, now: Instant) {
         if let Some(lease) = &mut self.lease {
             lease.renew(now);
@@ -99,10 +99,10 @@
         self.backoff.narrow();
     }
 
-    /// Discovery has another address from `now` on.
+    /// Discovery has another address since `now`.
     pub(super) fn on_address_change(&mut self, now: Instant) {
         if let Some(lease) = &mut self.lease {
-            lease.shorten_after_move(now);
+            lease.shorten_after_address_change(now);
         }
         self.is_overloaded = false;
         self.backoff.reset();
@@ -112,19 +112,20 @@
     pub(super) fn on_error(&mut self, error: &DiscoveryError, now: Instant) -> Duration {
         let Some(lease) = &mut self.lease else { return self.pause_and_widen() };
         match error {
-            // Calls to what cannot be reached cost it nothing, and its return must not be missed.
+            // Calls that do not reach discovery cost it nothing. A wider window would only delay the first
+            // call after its return.
             DiscoveryError::Unreachable { attempted_at, .. } => {
                 lease.renew_in_outage(*attempted_at, now);
                 self.backoff.draw_pause(self.backoff.initial_window())
             }
-            DiscoveryError::Refused => {
+            DiscoveryError::Rejected => {
                 self.is_overloaded = true;
-                lease.renew_after_refusal(now);
+                lease.renew_after_rejection(now);
                 let remaining = lease.remaining(now);
-                self.pause_after_refusal(remaining)
+                self.pause_after_rejection(remaining)
             }
-            // Silence may be an outage, whose end must not be missed. The response timeout limits the rate of
-            // calls.
+            // No response may mean an outage, after whose end the list is due at once. The response timeout
+            // bounds the rate of calls.
             DiscoveryError::NoList(_) => {
                 self.is_overloaded = true;
                 lease.record_reached_without_list();
@@ -144,14 +145,14 @@
     }
 
     /// `remaining` is how long the list may still be used.
-    fn pause_after_refusal(&mut self, remaining: Duration) -> Duration {
+    fn pause_after_rejection(&mut self, remaining: Duration) -> Duration {
         let mut window = self.backoff.window();
         self.backoff.widen();
         if remaining.is_zero() {
-            // Nothing is sent meanwhile, so there is less of a hurry.
+            // Nothing is sent by an expired list, so there is no deadline to meet.
             self.backoff.widen();
         } else {
-            window = window.min(MAX_REFUSAL_BACKOFF);
+            window = window.min(MAX_REJECTION_BACKOFF);
         }
         self.backoff.draw_pause(window)
     }
--- a/crates/gateway/src/discovery/tests/endpoint_list.rs
+++ b/crates/gateway/src/discovery/tests/endpoint_list.rs
@@ -36,12 +36,12 @@
 }
 
 #[test]
-fn a_list_has_a_revision_and_is_whole_only_where_it_says_so() {
+fn a_list_has_a_revision_and_is_complete_only_where_it_says_so() {
     let whole = list(json!([]));
-    assert!(whole.revision == 7 && whole.is_whole && whole.is_empty());
+    assert!(whole.revision == 7 && whole.is_complete && whole.is_empty());
     let changes: EndpointList =
         serde_json::from_value(json!({"rev": 8, "targets": [record(json!({}))]})).expect("a list");
-    assert!(changes.revision == 8 && !changes.is_whole && !changes.is_empty());
+    assert!(changes.revision == 8 && !changes.is_complete && !changes.is_empty());
 }
 
 #[test]
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn records_that_cannot_be_read_are_left_out_and_the_others_kept() {
+fn records_that_cannot_be_read_are_skipped_and_the_others_applied() {
     let records = json!([
         record(json!({"endpoint": "nowhere"})),
         "nonsense",
--- a/crates/gateway/src/discovery/tests/error.rs
+++ b/crates/gateway/src/discovery/tests/error.rs
@@ -11,7 +11,7 @@
     let unexpected = DiscoveryError::NoList(CallError::UnexpectedStatus(StatusCode::NOT_FOUND));
     for (error, line) in [
         (unreachable(Instant::now()), "discovery cannot be reached: cannot connect: connection refused"),
-        (DiscoveryError::Refused, "discovery refused the call with status 503"),
+        (DiscoveryError::Rejected, "discovery rejected the call with status 503"),
         (silent_call(), "discovery gave no list: no response in time"),
         (unexpected, "discovery gave no list: unexpected status 404 Not Found"),
         (silent_watch(), "the watch was interrupted: no response in time"),
--- a/crates/gateway/src/discovery/tests/fleet_recovery.rs
+++ b/crates/gateway/src/discovery/tests/fleet_recovery.rs
@@ -1,7 +1,7 @@
 //! Simulations of a whole fleet whose discovery returns after an outage or is slow at the start.
 use super::{schedule_for_requested_lists, silent_call, silent_watch, unreachable, LEASE_DURATION};
 use crate::discovery::error::DiscoveryError;
-use crate::discovery::list_lease::MAX_REFUSAL_RENEWAL;
+use crate::discovery::list_lease::MAX_REJECTION_RENEWAL;
 use crate::discovery::refresh_policy::INITIAL_BACKOFF;
 use crate::discovery::refresh_schedule::{CallPosition, RefreshSchedule};
 use std::cmp::Reverse;
@@ -187,14 +187,14 @@
             return match self.overload {
                 Overload::IsSilent if is_established => CallEnd::failed(silent_watch(), wait_s + timeout_s),
                 Overload::IsSilent => CallEnd::failed(silent_call(), wait_s + timeout_s),
-                _ => CallEnd::failed(DiscoveryError::Refused, NETWORK_DELAY_S),
+                _ => CallEnd::failed(DiscoveryError::Rejected, NETWORK_DELAY_S),
             };
         }
         self.idle_at_s = f64::max(self.idle_at_s, now_s) + 1.0 / self.calls_per_second;
         let turn_s = self.idle_at_s - now_s;
         if queued_s > MAX_QUEUED_S {
             self.wasted += 1.0;
-            CallEnd::failed(DiscoveryError::Refused, MAX_QUEUED_S)
+            CallEnd::failed(DiscoveryError::Rejected, MAX_QUEUED_S)
         } else if turn_s + NETWORK_DELAY_S > timeout_s {
             self.wasted += 1.0;
             CallEnd::failed(silent_watch(), wait_s + timeout_s)
@@ -239,7 +239,7 @@
 
 /// `turn_s` is how long discovery takes to serve each gateway once.
 fn check_recovery(recovery: &Recovery, overload: Overload, turn_s: f64, per_second: f64) {
-    let max_list_age = if overload == Overload::IsSilent { LEASE_DURATION } else { MAX_REFUSAL_RENEWAL };
+    let max_list_age = if overload == Overload::IsSilent { LEASE_DURATION } else { MAX_REJECTION_RENEWAL };
     let list_age = recovery.max_list_age;
     assert!(list_age <= max_list_age, "nothing is sent by a list that is older: {list_age:?}");
     if turn_s < 3.0 {
@@ -284,7 +284,7 @@
         } else {
             let failed_s = now_s + MAX_QUEUED_S;
             let failed_at = start + Duration::from_secs_f64(failed_s);
-            let pause = schedules[gateway].on_error(&DiscoveryError::Refused, failed_at);
+            let pause = schedules[gateway].on_error(&DiscoveryError::Rejected, failed_at);
             calls.push(Reverse((((failed_s + pause.as_secs_f64()) * 1e6) as u64, gateway)));
         }
     }
--- a/crates/gateway/src/discovery/tests/list_lease.rs
+++ b/crates/gateway/src/discovery/tests/list_lease.rs
@@ -4,7 +4,8 @@
 };
 use crate::discovery::error::DiscoveryError;
 use crate::discovery::list_lease::{
-    CHANGE_KNOWN_AFTER, CHANGE_KNOWN_AFTER_MOVE, LEASE_MARGIN, MAX_REFUSAL_RENEWAL, REFUSAL_RENEWAL,
+    CHANGE_KNOWN_AFTER, CHANGE_KNOWN_AFTER_ADDRESS_CHANGE, LEASE_MARGIN, MAX_REJECTION_RENEWAL,
+    REJECTION_RENEWAL,
 };
 use crate::discovery::refresh_policy::CONNECT_TIMEOUT;
 use crate::discovery::refresh_schedule::{CallPosition, CallTimes, RefreshSchedule, RESPONSE_ALLOWANCE};
@@ -32,7 +33,7 @@
 }
 
 #[test]
-fn lease_is_renewed_only_by_a_list_a_refusal_or_an_outage_in_which_nothing_is_reached() {
+fn lease_is_renewed_only_by_a_list_a_rejection_or_an_outage_in_which_nothing_is_reached() {
     let start = Instant::now();
     let later = start + Duration::from_secs(1);
     let until = |errors: &[DiscoveryError], schedule: &mut RefreshSchedule| {
@@ -45,7 +46,7 @@
     assert_eq!(until(&[reset_watch(), down()], &mut fresh()), later + LEASE_DURATION);
     assert_eq!(until(&[silent_call()], &mut fresh()), start + LEASE_DURATION);
     assert_eq!(until(&[silent_call(), down()], &mut fresh()), start + LEASE_DURATION);
-    assert_eq!(until(&[DiscoveryError::Refused], &mut fresh()), later + REFUSAL_RENEWAL);
+    assert_eq!(until(&[DiscoveryError::Rejected], &mut fresh()), later + REJECTION_RENEWAL);
     let mut schedule = fresh();
     until(&[silent_call()], &mut schedule);
     schedule.on_list(Duration::ZERO, start);
@@ -56,13 +57,13 @@
     // After a move the lease is shorter, and never longer than it was.
     let mut schedule = fresh();
     schedule.on_address_change(later);
-    assert_eq!(schedule.list_expires_at(), Some(later + CHANGE_KNOWN_AFTER_MOVE - LEASE_MARGIN));
+    assert_eq!(schedule.list_expires_at(), Some(later + CHANGE_KNOWN_AFTER_ADDRESS_CHANGE - LEASE_MARGIN));
     schedule.on_address_change(start + Duration::from_secs(4));
-    assert_eq!(schedule.list_expires_at(), Some(later + CHANGE_KNOWN_AFTER_MOVE - LEASE_MARGIN));
-    schedule.on_error(&DiscoveryError::Refused, start + Duration::from_secs(4));
+    assert_eq!(schedule.list_expires_at(), Some(later + CHANGE_KNOWN_AFTER_ADDRESS_CHANGE - LEASE_MARGIN));
+    schedule.on_error(&DiscoveryError::Rejected, start + Duration::from_secs(4));
     assert_eq!(
         schedule.list_expires_at(),
-        Some(later + CHANGE_KNOWN_AFTER_MOVE - LEASE_MARGIN),
+        Some(later + CHANGE_KNOWN_AFTER_ADDRESS_CHANGE - LEASE_MARGIN),
         "refusals do not renew it either"
     );
     // A pushed list never expires.
@@ -76,7 +77,7 @@
 /// valid, calls stay frequent, and the first one after it is answered before the list expires. In an outage
 /// without end the list does expire, and only a list helps.
 #[test]
-fn lease_is_renewed_by_refusals_for_as_long_as_an_outage_and_no_longer() {
+fn lease_is_renewed_by_rejections_for_as_long_as_an_outage_and_no_longer() {
     const MIN_GRACE: Duration = Duration::from_secs(2);
     const REFUSED_AFTER: [Duration; 2] = [Duration::from_millis(2), Duration::from_secs(2)];
     for (seed, refused_after) in (0..200).flat_map(|seed| REFUSED_AFTER.map(|after| (seed, after))) {
@@ -86,10 +87,10 @@
         let back = start + wait + Duration::from_secs(10);
         // The open watch is refused first.
         let mut now = start + wait;
-        now += schedule.on_error(&DiscoveryError::Refused, now);
+        now += schedule.on_error(&DiscoveryError::Rejected, now);
         while now < back {
             now += refused_after;
-            now += schedule.on_error(&DiscoveryError::Refused, now);
+            now += schedule.on_error(&DiscoveryError::Rejected, now);
             assert!(schedule.list_expires_at() > Some(now), "{:?}", now - start);
         }
         assert!(
@@ -97,11 +98,11 @@
             "the list came {:?} after the return",
             now - back
         );
-        while now < start + 2 * MAX_REFUSAL_RENEWAL {
-            now += refused_after + schedule.on_error(&DiscoveryError::Refused, now);
+        while now < start + 2 * MAX_REJECTION_RENEWAL {
+            now += refused_after + schedule.on_error(&DiscoveryError::Rejected, now);
         }
         assert!(
-            schedule.list_expires_at() <= Some(start + MAX_REFUSAL_RENEWAL),
+            schedule.list_expires_at() <= Some(start + MAX_REJECTION_RENEWAL),
             "{:?}",
             schedule.list_expires_at().map(|u| u - start)
         );
--- a/crates/gateway/src/discovery/tests/refresh_policy.rs
+++ b/crates/gateway/src/discovery/tests/refresh_policy.rs
@@ -19,7 +19,7 @@
             // The same where a first call has just been left silent, at discovery's return or at a new
             // address.
             assert!(timeout + back < room, "{grace_ms}: {timeout:?} and {back:?}");
-            assert!(policy.whole_list_first, "versions may have begun anew");
+            assert!(policy.complete_list_first, "revisions may have restarted");
         }
     }
 }
--- a/crates/gateway/src/discovery/tests/refresh_schedule.rs
+++ b/crates/gateway/src/discovery/tests/refresh_schedule.rs
@@ -1,7 +1,7 @@
 //! The times of calls against the lease of the list, and the backoff window after refusals.
 use super::{reset_watch, schedule_for_requested_lists, silent_call, silent_watch, LEASE_DURATION};
 use crate::discovery::error::DiscoveryError;
-use crate::discovery::list_lease::{CHANGE_KNOWN_AFTER, CHANGE_KNOWN_AFTER_MOVE, LEASE_MARGIN};
+use crate::discovery::list_lease::{CHANGE_KNOWN_AFTER, CHANGE_KNOWN_AFTER_ADDRESS_CHANGE, LEASE_MARGIN};
 use crate::discovery::refresh_policy::{
     CONNECT_TIMEOUT, INITIAL_BACKOFF, MAX_BACKOFF_PER_GATEWAY, QUEUED_RESPONSE_TIMEOUT,
 };
@@ -52,18 +52,18 @@
     // The worst case at discovery's return: a call began just before, and its connection never comes up.
     assert!(CONNECT_TIMEOUT + INITIAL_BACKOFF + RESPONSE_ALLOWANCE <= CHANGE_KNOWN_AFTER - LEASE_MARGIN);
     // After SIGHUP the first call is begun at once, and may be queued.
-    assert!(QUEUED_RESPONSE_TIMEOUT + RESPONSE_ALLOWANCE <= CHANGE_KNOWN_AFTER_MOVE - LEASE_MARGIN);
+    assert!(QUEUED_RESPONSE_TIMEOUT + RESPONSE_ALLOWANCE <= CHANGE_KNOWN_AFTER_ADDRESS_CHANGE - LEASE_MARGIN);
 }
 
 #[test]
-fn backoff_window_widens_with_refusals_up_to_its_bound_and_narrows_with_lists() {
+fn backoff_window_widens_with_rejections_up_to_its_bound_and_narrows_with_lists() {
     // The list has expired: while it is valid, pauses are shorter.
     let now = Instant::now() + LEASE_DURATION;
     let expired_schedule =
         |gateways, seed| schedule_for_requested_lists(gateways, seed, now - LEASE_DURATION);
     let mut schedule = expired_schedule(100, 7);
     let most = MAX_BACKOFF_PER_GATEWAY * 100;
-    let pauses: Vec<Duration> = (0..200).map(|_| schedule.on_error(&DiscoveryError::Refused, now)).collect();
+    let pauses: Vec<Duration> = (0..200).map(|_| schedule.on_error(&DiscoveryError::Rejected, now)).collect();
     assert!(pauses[0] <= INITIAL_BACKOFF);
     assert!(pauses.iter().all(|p| *p <= most));
     assert!(pauses.iter().any(|p| *p > most / 2), "the window has grown");
@@ -73,11 +73,11 @@
         "the end of an outage must not be missed"
     );
     (0..20).for_each(|_| schedule.on_list(Duration::ZERO, now));
-    assert!(schedule.on_error(&DiscoveryError::Refused, now) <= INITIAL_BACKOFF);
+    assert!(schedule.on_error(&DiscoveryError::Rejected, now) <= INITIAL_BACKOFF);
     let mut other = expired_schedule(100, 8);
     assert!(
-        (0..10).any(|i| other.on_error(&DiscoveryError::Refused, now) != pauses[i]),
+        (0..10).any(|i| other.on_error(&DiscoveryError::Rejected, now) != pauses[i]),
         "gateways draw different pauses"
     );
-    assert!(expired_schedule(usize::MAX, 7).on_error(&DiscoveryError::Refused, now) > Duration::ZERO);
+    assert!(expired_schedule(usize::MAX, 7).on_error(&DiscoveryError::Rejected, now) > Duration::ZERO);
 }
--- a/crates/gateway/src/discovery/watch.rs
+++ b/crates/gateway/src/discovery/watch.rs
@@ -1,5 +1,5 @@
-//! The watch that keeps the endpoint list current: one call after another over one connection to discovery,
-//! each held back by discovery until something changes or the wait is over.
+//! The watch that keeps the endpoint list current by long polling: one call after another over one
+//! connection, to each of which discovery responds when something changes or the call's wait is over.
 use super::endpoint_list::EndpointList;
 use super::error::{CallError, DiscoveryError};
 use super::lease_expiry::report_lease_expiry;
@@ -21,15 +21,16 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout, timeout_at, Instant};
 
-/// The longest list that is read, in bytes.
+/// The maximum size of a list, in bytes.
 const MAX_LIST_BYTES: usize = 4 << 20;
 
-/// Keeps the endpoint list current, for good; `addr` is discovery's, which a reload may change.
+/// Keeps the endpoint list current and never returns. `addr` is discovery's address, which a reload may
+/// change.
 ///
-/// Where lists are asked for, the watch starts from `known_revision`, so that discovery has only changes to
-/// write. It starts again with the whole list after an outage, at a new address and, where lists are pushed,
-/// on each connection. A list that is asked for is on a lease: when that runs out, nothing may be sent until
-/// discovery has answered.
+/// Where lists are polled, the watch starts from `known_revision`, so that discovery writes the changes
+/// only. It restarts with the complete list after an outage, at a new address and, where lists are pushed,
+/// on each connection. A polled list is on a lease: when that runs out, nothing may be sent until discovery
+/// has responded.
 pub(crate) async fn watch_endpoint_list<O: EndpointListObserver + Clone + 'static>(
     observer: O,
     mut addr: watch::Receiver<SocketAddr>,
@@ -48,26 +49,32 @@
     }
     loop {
         let current = *addr.borrow_and_update();
-        // A new address ends a call and a pause alike: the old discovery may never answer again.
-        let has_moved = tokio::select! {
+        // A new address ends a call and a pause alike, because the old discovery may never respond again.
+        // What is lost with them: the connection, and a list that was only partly read. The new address
+        // starts with the complete list, and the lease was published before each wait, so neither is
+        // missed.
+        let address_changed = tokio::select! {
             () = list_watch.follow_until_error(current) => false,
             Ok(()) = addr.changed() => true,
         };
-        if has_moved {
+        if address_changed {
             list_watch.on_address_change();
         }
     }
 }
 
 fn on_lease_expired(observer: &impl EndpointListObserver) {
-    tracing::error!(target: target::DISCOVERY, "endpoint list expired; nothing is sent until discovery answers");
+    tracing::error!(
+        target: target::DISCOVERY,
+        "endpoint list expired; nothing is sent until discovery answers"
+    );
     observer.lease_expired();
 }
 
 /// The state of the watch.
 struct EndpointListWatch<O> {
     observer: O,
-    /// The version to ask for changes from; none where the whole list is wanted.
+    /// The revision since which changes are requested; `None` requests the complete list.
     revision: Option<u64>,
     schedule: RefreshSchedule,
     /// When the lease runs out, for the task that reports it.
@@ -76,10 +83,10 @@
     is_healthy: bool,
 }
 
-/// A list and how late it was.
+/// A list and its delay.
 struct ListResponse {
     list: EndpointList,
-    /// The time it took beyond the wait that was asked for.
+    /// The time it took beyond the wait that was requested.
     delay: Duration,
 }
 
@@ -87,8 +94,9 @@
     /// Follows discovery at one address until that fails, then pauses.
     async fn follow_until_error(&mut self, addr: SocketAddr) {
         let Err::<Infallible, DiscoveryError>(error) = self.follow(addr).await;
-        // Discovery that refuses calls is overloaded: asking for changes only costs it less.
-        if !matches!(error, DiscoveryError::Refused) {
+        // Discovery that rejects calls may be overloaded. Changes cost it less to write than the complete
+        // list, so the revision stays.
+        if !matches!(error, DiscoveryError::Rejected) {
             self.revision = None;
         }
         if std::mem::take(&mut self.is_healthy) {
@@ -96,7 +104,7 @@
                 target: target::DISCOVERY,
                 discovery = %addr,
                 reason = %ErrorChain(&error),
-                "discovery failed; the last endpoint list is kept"
+                "discovery failed; the cached endpoint list stays in use"
             );
         }
         let pause = self.schedule.on_error(&error, Instant::now());
@@ -119,14 +127,14 @@
 
     /// Calls discovery at one address over one connection until that fails.
     async fn follow(&mut self, addr: SocketAddr) -> Result<Infallible, DiscoveryError> {
-        let whole_list_first = self.schedule.policy().whole_list_first;
-        if whole_list_first {
+        let complete_list_first = self.schedule.policy().complete_list_first;
+        if complete_list_first {
             self.revision = None;
         }
         let started = Instant::now();
         let mut connection = self.connect(addr, started).await?;
-        // Where lists are pushed, the connection and the first call over it share one timeout.
-        let called = if whole_list_first { started } else { Instant::now() };
+        // Where lists are pushed, the connection and the first call over it have one timeout together.
+        let called = if complete_list_first { started } else { Instant::now() };
         let first = self.call(&mut connection, addr, CallPosition::First, called).await;
         let mut response = first.map_err(|error| match error {
             DiscoveryError::WatchInterrupted(cause) => DiscoveryError::NoList(cause),
@@ -146,11 +154,12 @@
             .map_err(|error| unreachable(CallError::ConnectFailed(error)))
     }
 
-    /// Takes a list in and reports it.
+    /// Renews the lease by a list and passes the list to the observer.
     fn accept(&mut self, response: ListResponse, addr: SocketAddr) -> Result<(), DiscoveryError> {
         let ListResponse { list, delay } = response;
-        // A response older than the version asked from was overtaken, or versions have begun anew. Its
-        // changes may be to another list than the known one, so only the whole list helps.
+        // An older revision than the requested one is a response that was overtaken, or discovery has
+        // restarted its count. Applied, it could undo a drain. Its changes may be to another list than the
+        // cached one, so the complete list is fetched.
         if self.revision.is_some_and(|known| list.revision < known) {
             return Err(DiscoveryError::WatchInterrupted(CallError::RevisionWentBack));
         }
@@ -164,13 +173,13 @@
                 "discovery answers again; endpoint list current"
             );
         }
-        let kind = if list.is_whole { ListKind::Whole } else { ListKind::Changes };
+        let kind = if list.is_complete { ListKind::Whole } else { ListKind::Changes };
         self.observer.list_received(kind, list);
         Ok(())
     }
 
-    /// Makes one call, for what is newer than the known version or for the whole list. Its timeout runs from
-    /// `started`.
+    /// Makes one call, for the changes since the cached revision or for the complete list. Its timeout runs
+    /// from `started`.
     async fn call(
         &self,
         connection: &mut HttpConnection,
@@ -200,7 +209,7 @@
 fn parse_list(response: &Response<Bytes>) -> Result<EndpointList, DiscoveryError> {
     match response.status() {
         StatusCode::OK => {}
-        StatusCode::SERVICE_UNAVAILABLE => return Err(DiscoveryError::Refused),
+        StatusCode::SERVICE_UNAVAILABLE => return Err(DiscoveryError::Rejected),
         other => return Err(DiscoveryError::NoList(CallError::UnexpectedStatus(other))),
     }
     serde_json::from_slice(response.body()).map_err(|error| DiscoveryError::NoList(error.into()))
--- a/crates/gateway/src/dispatcher/actions.rs
+++ b/crates/gateway/src/dispatcher/actions.rs
@@ -32,7 +32,7 @@
                 target: target::DISPATCHER,
                 request = %format_args!("{:016x}", request.0),
                 endpoint = %format_args!("{:016x}", endpoint.0),
-                "attempt asked for after the request was over"
+                "attempt requested after the request was over"
             );
         };
         let index = call.next_attempt_index();
@@ -62,7 +62,7 @@
     }
 }
 
-/// Gives a call its final response, unless it has one.
+/// Sends a call its final response, unless it has one.
 fn respond(state: &mut State, request: RequestId, response: FinalResponse) {
     let Some(call) = state.calls.get_mut(&request) else { return };
     if let Some(responder) = call.take_responder() {
--- a/crates/gateway/src/dispatcher/active_call.rs
+++ b/crates/gateway/src/dispatcher/active_call.rs
@@ -13,7 +13,7 @@
 pub(crate) enum FinalResponse {
     /// An endpoint's response.
     Served(Response<Bytes>),
-    /// The call was rejected and never processed, so that a retry is safe.
+    /// The call was rejected and never processed, so that the client's retry does no harm.
     Rejected {
         /// How long the client should wait before a retry.
         retry_after_ms: Option<f64>,
@@ -102,7 +102,8 @@
         self.attempts.push(attempt);
     }
 
-    /// Takes an attempt that ends now, or returns `None` if it ended before.
+    /// Takes an attempt that ends now, or returns `None` if it ended before. So each attempt's end is
+    /// reported once, whether its response or its cancellation comes first.
     pub(super) fn take_attempt(&mut self, index: usize) -> Option<Attempt> {
         self.attempts.get_mut(index)?.take()
     }
--- a/crates/gateway/src/dispatcher/mod.rs
+++ b/crates/gateway/src/dispatcher/mod.rs
@@ -1,5 +1,6 @@
-//! Connects the decision library to the sockets. The dispatcher is the only owner of the library's `Gateway`:
-//! it passes events to it, carries out its actions in order, and holds the active calls with their attempts.
+//! Connects the decision library to the sockets. The dispatcher is the only owner of the library's
+//! `Gateway`: it passes events to it, carries out its actions in order, and owns the active calls with
+//! their attempts.
 mod actions;
 mod active_call;
 #[cfg(test)]
@@ -23,9 +24,9 @@
 use tokio::sync::{oneshot, Notify};
 use tokio::time::Instant;
 
-/// How long before a request's deadline the dispatcher responds itself. The decision library normally
-/// responds sooner; this guarantees that every request gets a response, whatever the library does.
-const RESPONSE_GUARD_MS: f64 = 5.0;
+/// How long before a request's deadline the dispatcher responds itself, in milliseconds. The decision library
+/// normally responds sooner; this guarantees that every request gets a response, whatever the library does.
+const DEADLINE_GUARD_MS: f64 = 5.0;
 
 /// The state that events change.
 struct State {
@@ -93,8 +94,8 @@
 
     /// Starts a call and returns the channel that its final response arrives on.
     ///
-    /// Returns `None` if a call with the same id is active: executing the same request twice could have its
-    /// effect twice.
+    /// Returns `None` if a call with the same id is active: it may be the same request, which could then
+    /// have its effect twice.
     pub(crate) fn on_request(
         self: &Rc<Self>,
         request: Request,
@@ -107,9 +108,9 @@
                 return None;
             }
             let deadline = Instant::now() + duration_from_ms(request.time_left_ms);
-            let guard = Instant::now() + duration_from_ms(request.time_left_ms - RESPONSE_GUARD_MS);
+            let guard = Instant::now() + duration_from_ms(request.time_left_ms - DEADLINE_GUARD_MS);
             state.calls.insert(request.id, ActiveCall::new(sender, upstream_request, deadline));
-            self.schedule(&mut state, guard, Due::ResponseGuard(request.id));
+            self.schedule(&mut state, guard, Due::DeadlineGuard(request.id));
         }
         self.on_event(Event::Request(request));
         Some(receiver)
@@ -124,10 +125,10 @@
         }
     }
 
-    /// Gives every active call its final response, because the process is about to end.
+    /// Sends every active call its final response, because the process is about to end.
     pub(crate) fn respond_to_all(self: &Rc<Self>) {
         let open: Vec<RequestId> = self.state.borrow().calls.keys().copied().collect();
-        open.into_iter().for_each(|request| self.give_up(request));
+        open.into_iter().for_each(|request| self.end_without_result(request));
     }
 
     /// Whether a call still waits for its response.
@@ -141,8 +142,9 @@
         }
     }
 
-    /// Responds to a call that still waits for its response. It is rejected only if nothing was ever sent.
-    fn give_up(self: &Rc<Self>, request: RequestId) {
+    /// Responds to a call that still waits for its response: rejects it if no attempt was ever sent, else
+    /// it failed.
+    fn end_without_result(self: &Rc<Self>, request: RequestId) {
         let (responder, was_attempted) = {
             let mut state = self.state.borrow_mut();
             let Some(call) = state.calls.get_mut(&request) else { return };
--- a/crates/gateway/src/dispatcher/tests.rs
+++ b/crates/gateway/src/dispatcher/tests.rs
@@ -10,8 +10,8 @@
     let later = start + Duration::from_millis(1);
     let mut timers = TimerQueue::default();
     timers.push(later, Due::Timer(2));
-    timers.push(start, Due::ResponseGuard(RequestId(1)));
-    assert!(timers.pop_due(start) == Some(Due::ResponseGuard(RequestId(1))));
+    timers.push(start, Due::DeadlineGuard(RequestId(1)));
+    assert!(timers.pop_due(start) == Some(Due::DeadlineGuard(RequestId(1))));
     assert!(timers.pop_due(start).is_none(), "the other is due later");
     assert!(timers.pop_due(later) == Some(Due::Timer(2)));
     assert!(timers.pop_due(later).is_none());
--- a/crates/gateway/src/dispatcher/timers.rs
+++ b/crates/gateway/src/dispatcher/timers.rs
@@ -11,8 +11,8 @@
 pub(super) enum Due {
     /// The decision library's timer with this token expires.
     Timer(u64),
-    /// A call must be answered now to meet its deadline.
-    ResponseGuard(RequestId),
+    /// A call must get its response now to meet its deadline.
+    DeadlineGuard(RequestId),
 }
 
 /// Timers in the order in which they expire.
@@ -84,7 +84,7 @@
             };
             match due {
                 Due::Timer(token) => self.on_event(Event::Timer { token }),
-                Due::ResponseGuard(request) => self.give_up(request),
+                Due::DeadlineGuard(request) => self.end_without_result(request),
             }
         }
     }
--- a/crates/gateway/src/downstream/connection_table.rs
+++ b/crates/gateway/src/downstream/connection_table.rs
@@ -1,4 +1,4 @@
-//! The open connections of clients, and which of them makes room for a new one.
+//! The open connections of clients, and which of them is evicted for a new one.
 use super::connection::{Connection, ConnectionStage};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -6,13 +6,13 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// A usual client writes its first request as soon as it is connected: one that has been silent for so long
-/// is the first to make room.
+/// A connection that is silent for this long after its accept is among the first to be evicted. A usual
+/// client writes its first request as soon as it is connected.
 const MIN_SILENCE: Duration = Duration::from_millis(20);
-/// A connection that has served may be closed once it has been idle for so long.
+/// A connection that is idle for this long after a response is among the first to be evicted.
 const MIN_IDLE: Duration = Duration::from_secs(2);
 
-/// A connection's number, in the order of their coming.
+/// A connection's number, in the order of their accepts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct ConnectionId(u64);
 
@@ -24,13 +24,13 @@
     connection_ended: Notify,
 }
 
-/// Whether a connection could be closed to make room for another.
+/// Whether a connection could be evicted for another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Eviction {
-    /// One was told to close.
+    /// One was notified to close.
     Evicted,
     /// All carry requests.
-    NoneFree,
+    AllActive,
 }
 
 impl ConnectionTable {
@@ -53,27 +53,29 @@
         self.connection_ended.notify_one();
     }
 
-    /// Asks the connections that have had a request to close once they have answered what they have taken.
+    /// Has the connections that have had a request close after the response to the one in progress.
     pub(super) fn request_close_of_used(&self) {
         let connections = self.connections.borrow();
         let used = connections.values().filter(|c| c.stage() != ConnectionStage::AwaitingFirstRequest);
         used.for_each(|connection| connection.request_close());
     }
 
-    /// Asks all connections to close once they have answered what they have taken.
+    /// Has all connections close after the response to the request in progress.
     pub(super) fn request_close_of_all(&self) {
         self.connections.borrow().values().for_each(|connection| connection.request_close());
     }
 
-    /// Waits until no connection is open. For one waiter only.
+    /// Waits until no connection is open. Only one task may wait at a time.
+    ///
+    /// Cancel safe: the table is looked at before each wait, so that a connection that ended meanwhile
+    /// counts.
     pub(super) async fn all_ended(&self) {
         while !self.connections.borrow().is_empty() {
             self.connection_ended.notified().await;
         }
     }
 
-    /// Makes room for a new connection: closes one that connected and stays silent, else one that has served
-    /// and stood idle for long, else whichever has carried no request for longest.
+    /// Evicts the connection that is the first in the eviction order, if any carries no request.
     pub(super) fn evict_one(&self) -> Eviction {
         let connections = self.connections.borrow();
         let order = |connection: &Connection| {
@@ -92,7 +94,7 @@
                 connection.evict();
                 Eviction::Evicted
             }
-            None => Eviction::NoneFree,
+            None => Eviction::AllActive,
         }
     }
 }
--- a/crates/gateway/src/downstream/handler.rs
+++ b/crates/gateway/src/downstream/handler.rs
@@ -1,4 +1,4 @@
-//! Takes a request from its head to its response.
+//! Handles a request from its head to its response.
 use super::connection::{Connection, ConnectionRole, ConnectionStage};
 use super::request::{parse_request, upstream_request};
 use super::request_body::read_body;
@@ -22,20 +22,20 @@
 
 /// The path of health checks.
 const HEALTH_PATH: &str = "/healthz";
-/// The body of any request but a connection's first must be here within this.
+/// How long the body of any request but a connection's first may take to arrive.
 const BODY_TIMEOUT: Duration = Duration::from_millis(2000);
 
 /// Handles the requests of all connections.
 pub(super) struct RequestHandler {
     dispatcher: Rc<Dispatcher>,
     settings: Settings,
-    /// The longest `Retry-After`, in milliseconds; none where responses carry none.
+    /// The longest `Retry-After`, in milliseconds; `None` where responses carry no such header.
     max_retry_after_ms: Option<f64>,
     is_draining: Cell<bool>,
 }
 
 impl RequestHandler {
-    /// A handler that has requests dispatched by `dispatcher`.
+    /// Creates a handler that has requests dispatched by `dispatcher`.
     pub(super) fn new(dispatcher: Rc<Dispatcher>, settings: DownstreamSettings) -> Self {
         let DownstreamSettings { admission, sends_retry_after, .. } = settings;
         let max_retry_after_ms = sends_retry_after.then_some(admission.max_retry_after_ms);
@@ -47,16 +47,17 @@
         self.is_draining.set(true);
     }
 
-    /// Handles one request and decides whether its connection goes on.
+    /// Handles one request, and decides whether its connection stays open.
     pub(super) async fn respond(
         &self,
         connection: &Connection,
         request: hyper::Request<Incoming>,
     ) -> Result<Response<Full<Bytes>>, Infallible> {
         let handled = self.handle(request, connection).await;
-        // What comes after a malformed request, its body above all, cannot be read as another request.
+        // Where a malformed request ends is unknown. What follows it, like a body that was not read, must
+        // not be taken for another request.
         let closes = handled.is_err()
-            || connection.role() == ConnectionRole::Refusing
+            || connection.role() == ConnectionRole::Rejecting
             || connection.is_flooded()
             || self.is_draining.get();
         let mut response = handled.unwrap_or_else(error_response);
@@ -67,7 +68,7 @@
         Ok(response)
     }
 
-    /// Takes a request through its steps: head, body, dispatch, response.
+    /// Handles a request in its steps: head, body, dispatch, response.
     async fn handle(
         &self,
         request: hyper::Request<Incoming>,
@@ -79,9 +80,9 @@
             return Ok(health_response(self.is_healthy()));
         }
         let mut request = parse_request(&head, &self.settings, self.dispatcher.names())?;
-        if connection.role() == ConnectionRole::Refusing {
-            let refusal = FinalResponse::Rejected { retry_after_ms: None };
-            return Ok(final_response(refusal, self.max_retry_after_ms));
+        if connection.role() == ConnectionRole::Rejecting {
+            let rejection = FinalResponse::Rejected { retry_after_ms: None };
+            return Ok(final_response(rejection, self.max_retry_after_ms));
         }
         let body = if body.is_end_stream() {
             Bytes::new()
@@ -103,25 +104,28 @@
         self.dispatcher.has_ready_endpoint() && !self.is_draining.get()
     }
 
-    /// Waits for the response to a request that was dispatched, or for its client to leave.
+    /// Waits for the response to a request that was dispatched, or for its client to disconnect.
     async fn wait_for_response(
         &self,
         id: RequestId,
         response: oneshot::Receiver<FinalResponse>,
         connection: &Connection,
     ) -> FinalResponse {
-        // hyper drops this future when the client closes the connection.
+        // hyper drops this future when the client closes the connection. Without the notification on drop,
+        // the dispatcher would start further attempts for nobody.
         let mut cancellation = CancelOnDrop { dispatcher: &self.dispatcher, request: Some(id) };
+        // If the client disconnects first, a response that arrives at the same moment is lost: nobody can
+        // receive it.
         let response = tokio::select! {
             response = response => response,
-            () = connection.client_left() => connection.abandon().await,
+            () = connection.client_disconnected() => connection.abandon().await,
         };
         cancellation.disarm();
         response.unwrap_or(FinalResponse::Failed)
     }
 }
 
-/// When the body of a request must be here.
+/// When the body of a request must be complete.
 fn body_deadline(connection: &Connection, received_at: Instant, time_left_ms: f64) -> Instant {
     let deadline = match connection.stage() {
         ConnectionStage::AwaitingFirstRequest => connection.first_request_deadline(),
@@ -130,10 +134,10 @@
     deadline.min(received_at + duration_from_ms(time_left_ms))
 }
 
-/// Tells the dispatcher, when dropped before the response is here, that its client has gone.
+/// Notifies the dispatcher that the client has disconnected, if dropped before there is a response.
 struct CancelOnDrop<'a> {
     dispatcher: &'a Rc<Dispatcher>,
-    /// None once there is a response.
+    /// `None` once there is a response.
     request: Option<RequestId>,
 }
 
--- a/crates/gateway/src/downstream/listener.rs
+++ b/crates/gateway/src/downstream/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts clients' connections, within a bound.
+//! Accepts clients' connections, within a limit.
 use super::connection::ConnectionRole;
 use super::connection_table::Eviction;
 use super::server::DownstreamServer;
@@ -9,14 +9,14 @@
 use tokio::task::yield_now;
 use tokio::time::sleep;
 
-/// Connections that are accepted beyond the bound to refuse their requests, so that their clients are not
-/// left without a response.
-pub(crate) const MAX_REFUSING_CONNECTIONS: usize = 8;
-/// The pause after a failed accept: without a free descriptor, it would fail again at once.
+/// The maximum number of connections that are accepted beyond the limit, only to reject the requests on
+/// them, so that their clients get a response.
+pub(crate) const MAX_REJECTING_CONNECTIONS: usize = 8;
+/// The pause after a failed accept, which would fail again at once while there is no free descriptor.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
 impl DownstreamServer {
-    /// Accepts connections, for good.
+    /// Accepts connections and never returns.
     pub(crate) async fn accept(self: Rc<Self>, listener: Rc<TcpListener>) {
         loop {
             match listener.accept().await {
@@ -25,30 +25,33 @@
                     tracing::warn!(
                         target: target::DOWNSTREAM,
                         %error,
-                        "cannot accept a connection; an idle one is closed to make room"
+                        "cannot accept a connection; an idle one is closed to free a descriptor"
                     );
                     self.connections().evict_one();
                     sleep(ACCEPT_RETRY_INTERVAL).await;
                 }
             }
-            // The accepted connection gets its turn to be read before the next one looks for silent ones.
+            // The accepted connection's task runs before the next accept. Otherwise, in a burst of
+            // connections, one whose request has arrived but is not read yet would look silent and be
+            // evicted.
             yield_now().await;
         }
     }
 
-    /// Serves a new connection if there is room. Beyond the bound, a connection that carries no request makes
-    /// room. Where all carry one, requests over a few further connections are refused, and the rest are
-    /// closed: left unaccepted, their clients would wait in vain.
+    /// Serves a new connection. At the limit, a connection that carries no request is evicted for it. Where
+    /// all carry one, the requests on a few further connections are rejected, and the rest are closed:
+    /// unaccepted, they would wait in the kernel's queue, and their clients for a response that never
+    /// comes.
     async fn admit(self: &Rc<Self>, stream: TcpStream) {
         let open = self.connections().len();
-        let is_full = open >= self.max_connections() && self.connections().evict_one() == Eviction::NoneFree;
-        let max_open = self.max_connections() + MAX_REFUSING_CONNECTIONS;
+        let is_full = open >= self.max_connections() && self.connections().evict_one() == Eviction::AllActive;
+        let max_open = self.max_connections() + MAX_REJECTING_CONNECTIONS;
         if open >= max_open && !is_full {
             // The evicted connection closes in its turn, unless it still has a body to read.
             yield_now().await;
         }
         if self.connections().len() < max_open {
-            self.serve(stream, if is_full { ConnectionRole::Refusing } else { ConnectionRole::Serving });
+            self.serve(stream, if is_full { ConnectionRole::Rejecting } else { ConnectionRole::Serving });
         }
     }
 }
--- a/crates/gateway/src/downstream/metering.rs
+++ b/crates/gateway/src/downstream/metering.rs
@@ -1,28 +1,28 @@
-//! The `X-Metering` header: what a request counts, and which gateways its customer comes through.
+//! The `X-Metering` header: what a request takes from its quota, and which gateways serve its customer.
 use irishinge_admission::Settings;
 
 /// The fields of `X-Metering`.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct Metering {
-    /// Units the request counts.
+    /// The units that the request takes from its quota.
     pub(super) units: f64,
-    /// Through how many gateways the customer's requests come.
+    /// The number of gateways that the customer's requests arrive at (`spread` on the wire).
     pub(super) gateway_count: usize,
-    /// The number of the first of these gateways.
+    /// The number of the first of these gateways (`first` on the wire).
     pub(super) first_gateway: usize,
 }
 
 impl Metering {
-    /// Parses `units=2,spread=3,first=1`, in any order; unknown fields are skipped. None where a field is
-    /// missing, malformed, repeated or out of the settings' bounds.
+    /// Parses `units=2,spread=3,first=1`, in any order; unknown fields are skipped. Returns `None`
+    /// where a field is missing, malformed, repeated or out of the settings' range.
     pub(super) fn parse(text: &str, settings: &Settings) -> Option<Self> {
-        let (mut units, mut spread, mut first) = (None, None, None);
+        let (mut units, mut gateway_count, mut first_gateway) = (None, None, None);
         for field in text.split(',') {
             let (name, value) = field.trim().split_once('=')?;
             let is_repeated = match name {
                 "units" => units.replace(value.parse::<f64>().ok()?).is_some(),
-                "spread" => spread.replace(value.parse::<usize>().ok()?).is_some(),
-                "first" => first.replace(value.parse::<usize>().ok()?).is_some(),
+                "spread" => gateway_count.replace(value.parse::<usize>().ok()?).is_some(),
+                "first" => first_gateway.replace(value.parse::<usize>().ok()?).is_some(),
                 _ => false,
             };
             if is_repeated {
@@ -31,8 +31,8 @@
         }
         Some(Metering {
             units: units.filter(|units| *units > 0.0 && *units <= settings.max_units)?,
-            gateway_count: spread.filter(|count| (1..=settings.gateways).contains(count))?,
-            first_gateway: first.filter(|first| *first < settings.gateways)?,
+            gateway_count: gateway_count.filter(|count| (1..=settings.gateways).contains(count))?,
+            first_gateway: first_gateway.filter(|first| *first < settings.gateways)?,
         })
     }
 }
--- a/crates/gateway/src/downstream/mod.rs
+++ b/crates/gateway/src/downstream/mod.rs
@@ -1,9 +1,9 @@
 //! The downstream side: the connections of the gateway's clients, their requests and the responses to them.
 //!
-//! - [`listener`]: accepts connections, within a bound.
+//! - [`listener`]: accepts connections, within a limit.
 //! - [`server`]: serves each accepted connection, and drains them all at the end.
-//! - [`connection_table`]: the open connections, and which one makes room for a new one.
-//! - [`connection`]: one connection's stage, and how the departure of its client is noticed; [`flood`]
+//! - [`connection_table`]: the open connections, and which one is evicted for a new one.
+//! - [`connection`]: one connection's stage, and how a disconnect of its client is noticed; [`flood`]
 //!   discards what a client sends without waiting for a response.
 //! - [`handler`]: takes a request from its head to its response: [`request`] and [`metering`] parse it,
 //!   [`response`] writes what the dispatcher decided.
@@ -23,6 +23,6 @@
 #[cfg(test)]
 mod tests;
 
-pub(crate) use self::listener::MAX_REFUSING_CONNECTIONS;
+pub(crate) use self::listener::MAX_REJECTING_CONNECTIONS;
 pub(crate) use self::server::DownstreamServer;
 pub(crate) use self::settings::DownstreamSettings;
--- a/crates/gateway/src/downstream/request.rs
+++ b/crates/gateway/src/downstream/request.rs
@@ -1,4 +1,4 @@
-//! Parses the head of a request into what the admission library and the upstream side take.
+//! Parses the head of a request into the admission library's request and the upstream request.
 use super::metering::Metering;
 use super::request_error::RequestError;
 use crate::header_names::{AGAIN, BUDGET, CALL_CLASS, CALL_ID, CONTRACT, IDEMPOTENCY_KEY, METERING};
@@ -12,17 +12,18 @@
 };
 use irishinge_settings::Names;
 
-/// Headers that say what a request is. One that stands there twice says two things.
+/// Headers of which one value is allowed. Which of two values counted would be a guess, and an endpoint may
+/// guess differently.
 static SINGLE_HEADERS: [HeaderName; 7] =
     [HOST, CALL_ID, CALL_CLASS, CONTRACT, BUDGET, METERING, IDEMPOTENCY_KEY];
-/// Customers are numbers below this.
+/// Customers' ids are below this.
 const CUSTOMER_ID_END: u64 = 1 << 33;
 
-/// Parses a request's head. A malformed one touches no state.
+/// Parses a request's head. A malformed one changes no state.
 ///
 /// # Errors
 ///
-/// What is wrong with it, by the first check that fails.
+/// Returns the first check that fails.
 pub(super) fn parse_request(
     head: &Parts,
     settings: &Settings,
@@ -55,11 +56,11 @@
     })
 }
 
-/// What goes on to an endpoint, unchanged.
+/// What is forwarded to an endpoint, unchanged.
 ///
 /// # Errors
 ///
-/// When a header that endpoints need is missing.
+/// Fails if a header that endpoints need is missing.
 pub(super) fn upstream_request(mut head: Parts, body: Bytes) -> Result<UpstreamRequest, RequestError> {
     let headers = &mut head.headers;
     Ok(UpstreamRequest {
@@ -80,8 +81,10 @@
     customer.map(CustomerId).ok_or(RequestError::InvalidCustomer)
 }
 
-/// Clients declare a body's length. One declared in two ways may hide a second request in the body, and hyper
-/// leaves only the transfer encoding of the two to be seen here.
+/// Requires that a body's length is declared once, by `Content-Length`. A client that declares it in two
+/// ways may hide a second request in the body (request smuggling): this gateway and an endpoint would then
+/// disagree on where the first one ends. hyper removes `Content-Length` where there is a
+/// `Transfer-Encoding`, so only the latter can be checked here.
 fn check_framing(headers: &HeaderMap) -> Result<(), RequestError> {
     if headers.contains_key(TRANSFER_ENCODING) {
         return Err(RequestError::LengthRequired);
@@ -92,7 +95,7 @@
     Ok(())
 }
 
-/// Checks the method and the key that the class asks for.
+/// Checks the method and the idempotency key that the class requires.
 fn check_idempotency(head: &Parts, idempotency: Idempotency) -> Result<(), RequestError> {
     let method = match idempotency {
         Idempotency::Idempotent => Method::GET,
--- a/crates/gateway/src/downstream/request_body.rs
+++ b/crates/gateway/src/downstream/request_body.rs
@@ -1,4 +1,4 @@
-//! Reads the body of a request, within bounds of length and time.
+//! Reads the body of a request, within limits of size and time.
 use super::request_error::RequestError;
 use crate::upstream::MAX_BODY_BYTES;
 use bytes::Bytes;
@@ -11,13 +11,13 @@
 ///
 /// # Errors
 ///
-/// When the body is not allowed, too long, late or broken.
+/// Fails if the body is not allowed, too large, late, truncated or malformed.
 pub(super) async fn read_body(
     body: Incoming,
     method: &Method,
     deadline: Instant,
 ) -> Result<Bytes, RequestError> {
-    // A body whose declared length is too large is not waited for.
+    // A body whose declared length is too large is rejected before it is read.
     if body.size_hint().lower() > MAX_BODY_BYTES as u64 {
         return Err(RequestError::BodyTooLarge);
     }
--- a/crates/gateway/src/downstream/request_error.rs
+++ b/crates/gateway/src/downstream/request_error.rs
@@ -1,7 +1,7 @@
-//! Why a request is not taken, and the response that says so.
+//! Why a request is invalid, and the response that says so.
 use hyper::StatusCode;
 
-/// Why a request is not taken. It has touched no state and was sent nowhere.
+/// Why a request is invalid. It has changed no state, and no attempt of it was sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum RequestError {
     /// Neither an API path nor `/healthz`.
@@ -10,7 +10,7 @@
     InvalidCustomer,
     /// The method is not the one of the request's class.
     WrongMethod,
-    /// A header that says what the request is stands there twice.
+    /// A header of which one value is allowed is repeated.
     RepeatedHeader,
     /// No `Host`.
     MissingHost,
@@ -28,7 +28,7 @@
     MissingPlan,
     /// The settings do not name the plan.
     UnknownPlan,
-    /// The class asks for an `Idempotency-Key`.
+    /// The class requires an `Idempotency-Key`.
     MissingIdempotencyKey,
     /// `X-Budget` is missing or not a positive number of seconds.
     InvalidBudget,
@@ -36,13 +36,13 @@
     InvalidMetering,
     /// The length of the body is not declared by `Content-Length`.
     LengthRequired,
-    /// The body is longer than the bound.
+    /// The body is longer than the limit.
     BodyTooLarge,
     /// A GET must not have a body.
     BodyOnGet,
-    /// The body did not come in time.
+    /// The body was not complete in time.
     BodyTimedOut,
-    /// The body broke off or is malformed.
+    /// The body was truncated or is malformed.
     UnreadableBody,
 }
 
@@ -73,7 +73,7 @@
         }
     }
 
-    /// The body of the response.
+    /// The body of the response. These texts are part of the interface to clients.
     pub(super) fn text(self) -> &'static str {
         match self {
             RequestError::UnknownPath => "no such path",
--- a/crates/gateway/src/downstream/response.rs
+++ b/crates/gateway/src/downstream/response.rs
@@ -6,7 +6,7 @@
 use hyper::header::{HeaderValue, CONTENT_TYPE, RETRY_AFTER};
 use hyper::{Response, StatusCode};
 
-/// The response to a request that is not taken.
+/// The response to an invalid request.
 pub(super) fn error_response(error: RequestError) -> Response<Full<Bytes>> {
     text_response(error.status(), error.text())
 }
@@ -16,8 +16,8 @@
     text_response(if is_healthy { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE }, "")
 }
 
-/// The response that the dispatcher decided on. `Retry-After` is at most `max_retry_after_ms`, and left out
-/// without.
+/// The response that the dispatcher decided on. A `Retry-After` is at most `max_retry_after_ms`; `None`
+/// omits it.
 pub(super) fn final_response(
     response: FinalResponse,
     max_retry_after_ms: Option<f64>,
@@ -29,7 +29,7 @@
     }
 }
 
-/// The endpoint's response: its body and that body's type, and no other header.
+/// The endpoint's response: its body with `Content-Type`, and no other header.
 fn served_response(response: Response<Bytes>) -> Response<Full<Bytes>> {
     let (mut head, body) = response.into_parts();
     let mut response = Response::new(Full::new(body));
@@ -39,7 +39,8 @@
     response
 }
 
-/// A rejection. The admission library advises a wait where a quota is used up.
+/// A rejection: 429 where the admission library advises a wait, because a quota is used up, and 503
+/// otherwise.
 fn rejection(retry_after_ms: Option<f64>, max_retry_after_ms: Option<f64>) -> Response<Full<Bytes>> {
     let status = match retry_after_ms {
         Some(_) => StatusCode::TOO_MANY_REQUESTS,
--- a/crates/gateway/src/downstream/server.rs
+++ b/crates/gateway/src/downstream/server.rs
@@ -15,12 +15,12 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep_until;
 
-/// The longest head of a request, in bytes.
+/// The maximum size of a request's head, in bytes.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// A client that takes longer over a request's head is closed, and so is one that stands idle for so long.
+/// How long a request's head may take to arrive, and how long a connection may be idle. It is closed then.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// All clients' connections.
+/// The server: all clients' connections, and the handler of their requests.
 pub(crate) struct DownstreamServer {
     handler: RequestHandler,
     connections: ConnectionTable,
@@ -28,7 +28,7 @@
 }
 
 impl DownstreamServer {
-    /// A server without connections.
+    /// Creates a server without connections.
     pub(crate) fn new(dispatcher: Rc<Dispatcher>, settings: DownstreamSettings) -> Rc<Self> {
         let max_connections = settings.max_connections;
         Rc::new(DownstreamServer {
@@ -43,19 +43,20 @@
         &self.connections
     }
 
-    /// The bound on connections whose requests are served.
+    /// The maximum number of connections whose requests are served.
     pub(super) fn max_connections(&self) -> usize {
         self.max_connections
     }
 
-    /// Has connections close once they have answered what they have taken. Those that are new, or come later,
-    /// close with their first response.
+    /// Begins to drain: each connection that has had a request closes after the response to the one in
+    /// progress. Those that have had none, or are accepted later, close with their first response.
     pub(crate) fn drain(&self) {
         self.handler.start_draining();
         self.connections.request_close_of_used();
     }
 
-    /// The same for all connections; no further one comes.
+    /// Drains all connections, also those that have had no request. To be called when no further one is
+    /// accepted.
     pub(crate) fn drain_all(&self) {
         self.connections.request_close_of_all();
     }
@@ -83,7 +84,7 @@
         });
     }
 
-    /// Reads requests and writes responses until the connection ends.
+    /// Reads requests and writes responses until the connection ends. Dropping the future closes the socket.
     async fn drive(&self, connection: &Connection) {
         let service = service_fn(|request| self.handler.respond(connection, request));
         let driver = http1::Builder::new()
@@ -95,8 +96,11 @@
         let mut driver = pin!(driver);
         let mut first_request_due = pin!(sleep_until(connection.first_request_deadline()));
         loop {
+            // Nothing is lost on cancellation: all three futures are polled again in the next round. A
+            // request to close that arrives between rounds is stored by its `Notify`.
             tokio::select! {
-                // An error here is the client's: it left, or wrote what is not HTTP and was told so.
+                // An error is the client's: it disconnected, or sent what is not HTTP and has got a
+                // response to that.
                 _ = driver.as_mut() => return,
                 () = connection.close_requested() => match connection.stage() {
                     ConnectionStage::Discarded => return,
--- a/crates/gateway/src/downstream/settings.rs
+++ b/crates/gateway/src/downstream/settings.rs
@@ -1,12 +1,12 @@
-//! What the server for clients goes by.
+//! The settings of the server for clients.
 use irishinge_admission::Settings;
 
-/// What the server goes by.
+/// The settings of the server for clients.
 pub(crate) struct DownstreamSettings {
-    /// The classes and bounds of requests.
+    /// The decision library's settings: the classes of requests and the limits on their headers.
     pub admission: Settings,
-    /// Rejections may carry `Retry-After`.
+    /// Whether rejections carry `Retry-After`.
     pub sends_retry_after: bool,
-    /// Connections whose requests are served.
+    /// The maximum number of connections whose requests are served.
     pub max_connections: usize,
 }
--- a/crates/gateway/src/downstream/shared_stream.rs
+++ b/crates/gateway/src/downstream/shared_stream.rs
@@ -1,4 +1,5 @@
-//! A client's socket in two halves: hyper reads and writes one, the connection's task looks at the other.
+//! A client's socket with two users: hyper reads and writes it, and the connection's task inspects it to
+//! notice a disconnect that hyper does not report.
 use std::cell::RefCell;
 use std::io;
 use std::pin::Pin;
@@ -7,11 +8,11 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// hyper's half.
+/// hyper's handle on the socket.
 pub(super) struct SharedStream(Rc<RefCell<TcpStream>>);
 
 impl SharedStream {
-    /// A half of `stream`.
+    /// Creates a handle on `stream`.
     pub(super) fn new(stream: Rc<RefCell<TcpStream>>) -> Self {
         SharedStream(stream)
     }
--- a/crates/gateway/src/downstream/tests/client_departure.rs
+++ b/crates/gateway/src/downstream/tests/client_departure.rs
@@ -32,7 +32,7 @@
 async fn noticed_after(leave: Leave, before: &[u8], behind: usize) -> Duration {
     let (connection, mut client) = active_connection().await;
     client.write_all(before).expect("the socket takes it");
-    let mut left = pin!(connection.client_left());
+    let mut left = pin!(connection.client_disconnected());
     for _ in 0..10 {
         assert!(
             poll_fn(|cx| Poll::Ready(left.as_mut().poll(cx).is_pending())).await,
@@ -53,7 +53,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn client_that_leaves_is_noticed_by_its_socket_and_not_by_a_timer() {
+async fn disconnect_is_noticed_by_the_socket_and_not_by_a_timer() {
     for (name, leave) in WAYS_TO_LEAVE {
         assert_eq!(noticed_after(leave, b"", 0).await, Duration::ZERO, "{name}");
         assert_eq!(noticed_after(leave, b"", 10).await, Duration::ZERO, "{name}, its last bytes unread");
@@ -62,7 +62,7 @@
 
 /// What it wrote lies there unread, or is still on its way: its departure must be noticed within 100 ms.
 #[tokio::test(start_paused = true)]
-async fn client_that_leaves_unread_bytes_behind_is_noticed_within_50_ms() {
+async fn disconnect_behind_unread_bytes_is_noticed_within_50_ms() {
     for (name, leave) in WAYS_TO_LEAVE {
         for behind in [0, 10, MIN_FLOOD_BYTES / 2, 2 * MIN_FLOOD_BYTES, 16 << 20] {
             let time = noticed_after(leave, b"GET /", behind).await;
--- a/crates/gateway/src/downstream/tests/eviction.rs
+++ b/crates/gateway/src/downstream/tests/eviction.rs
@@ -27,7 +27,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn silent_new_connection_makes_room_before_one_that_is_idle_for_long() {
+async fn silent_new_connection_is_evicted_before_one_that_is_idle_for_long() {
     let mut fixture = Fixture::default();
     let idle = fixture.add(ConnectionStage::Idle).await;
     advance(Duration::from_secs(3)).await;
@@ -42,7 +42,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn connection_that_is_idle_for_long_makes_room_before_one_that_has_just_connected() {
+async fn connection_that_is_idle_for_long_is_evicted_before_one_that_has_just_connected() {
     let mut fixture = Fixture::default();
     let idle = fixture.add(ConnectionStage::Idle).await;
     advance(Duration::from_millis(1990)).await;
@@ -54,7 +54,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn without_silent_or_long_idle_ones_new_connections_make_room_first_and_the_oldest_of_them() {
+async fn without_silent_or_long_idle_ones_the_oldest_new_connection_is_evicted_first() {
     let mut fixture = Fixture::default();
     let idle = fixture.add(ConnectionStage::Idle).await;
     advance(Duration::from_millis(1900)).await;
@@ -71,11 +71,11 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn connection_with_a_request_never_makes_room() {
+async fn connection_with_a_request_is_never_evicted() {
     let mut fixture = Fixture::default();
     let active = fixture.add(ConnectionStage::Active).await;
     fixture.add(ConnectionStage::Discarded).await;
     advance(Duration::from_secs(10)).await;
-    assert_eq!(fixture.table.evict_one(), Eviction::NoneFree);
+    assert_eq!(fixture.table.evict_one(), Eviction::AllActive);
     assert_eq!(active.stage(), ConnectionStage::Active);
 }
--- a/crates/gateway/src/downstream/tests/flood.rs
+++ b/crates/gateway/src/downstream/tests/flood.rs
@@ -22,14 +22,14 @@
 }
 
 #[tokio::test]
-async fn discarding_reports_what_is_left() {
+async fn discarding_reports_whether_bytes_are_still_unread() {
     let (stream, mut client) = socket_pair().await;
     client.write_all(b"x").expect("the sockets take it");
     stream.readable().await.expect("bytes");
     assert_eq!(discard(&stream), Discarded::NoneUnread);
     drop(client);
     stream.readable().await.expect("an end");
-    assert_eq!(discard(&stream), Discarded::ClientLeft);
+    assert_eq!(discard(&stream), Discarded::ClientDisconnected);
 }
 
 /// Fewer bytes than a flood stay unread, for hyper.
@@ -37,6 +37,6 @@
 async fn less_than_a_flood_is_not_discarded() {
     let (connection, mut client) = active_connection().await;
     client.write_all(b"GET /").expect("the sockets take it");
-    assert!(timeout(Duration::from_millis(100), connection.client_left()).await.is_err());
+    assert!(timeout(Duration::from_millis(100), connection.client_disconnected()).await.is_err());
     assert!(!connection.is_flooded());
 }
--- a/crates/gateway/src/error_chain/tests.rs
+++ b/crates/gateway/src/error_chain/tests.rs
@@ -6,7 +6,7 @@
 
 #[test]
 fn a_wrong_configuration_is_one_line_that_says_what_where_and_why() {
-    let source = InvalidConfig::TooFewSockets(5);
+    let source = InvalidConfig::TooFewDescriptors(5);
     let error = StartupError::Config(ConfigError::Invalid { path: "gateway.json".to_string(), source });
     let line = "cannot use the configuration gateway.json: limits.sockets is 5, but must be at least 64";
     assert_eq!(ErrorChain(&error).to_string(), line);
--- a/crates/gateway/src/header_names.rs
+++ b/crates/gateway/src/header_names.rs
@@ -1,7 +1,8 @@
-//! The names of the HTTP headers for which hyper has no constant.
+//! The names of the HTTP headers for which hyper has no constant. The wire's names are mapped to ours here
+//! only.
 use hyper::header::HeaderName;
 
-/// Identifies a request: 16 hexadecimal digits. Sent by the client, passed on to the endpoint.
+/// Identifies a request: 16 hexadecimal digits. Sent by the client and forwarded to the endpoint.
 pub(crate) const CALL_ID: HeaderName = HeaderName::from_static("x-call-id");
 
 /// The request's class, by its name in the settings. Sent by the client.
@@ -11,17 +12,18 @@
 pub(crate) const CONTRACT: HeaderName = HeaderName::from_static("x-contract");
 
 /// How long the sender waits for the response, in seconds with decimals. Sent by the client, and by the
-/// gateway to the endpoint with the time that is left.
+/// gateway to the endpoint with the time that remains.
 pub(crate) const BUDGET: HeaderName = HeaderName::from_static("x-budget");
 
-/// The units that a request takes from its quota, and the customer's set of gateways. Sent by the client.
+/// The units that a request takes from its quota, and the set of gateways that serve the customer. Sent by
+/// the client.
 pub(crate) const METERING: HeaderName = HeaderName::from_static("x-metering");
 
 /// `1` marks a client's retry. Sent by the client, where clients mark retries.
 pub(crate) const AGAIN: HeaderName = HeaderName::from_static("x-again");
 
-/// The key by which an endpoint recognizes a request that it has already executed. Sent by the client, passed
-/// on to the endpoint.
+/// The key by which an endpoint recognizes a request that it has already executed. Sent by the client and
+/// forwarded to the endpoint.
 pub(crate) const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
 
 /// The units that the request really used. Sent by the endpoint, where units are settled afterwards.
@@ -30,5 +32,5 @@
 /// The endpoint's load: a JSON object of numbers by name. Sent by the endpoint.
 pub(crate) const LOAD_REPORT: HeaderName = HeaderName::from_static("x-load-report");
 
-/// `1` on a 503 or 504 response says that the request was turned away and not executed. Sent by the endpoint.
+/// `1` on a 503 or 504 response says that the request was rejected and not executed. Sent by the endpoint.
 pub(crate) const REJECTED: HeaderName = HeaderName::from_static("x-rejected");
--- a/crates/gateway/src/http_connection/mod.rs
+++ b/crates/gateway/src/http_connection/mod.rs
@@ -27,7 +27,7 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, Sleep};
 
-/// The maximum size of a response's head.
+/// The maximum size of a response's head, in bytes.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
 /// How long a response may take to arrive once it has begun. Endpoints write a response in one go, so one
 /// that is incomplete after this time will never be completed.
@@ -54,7 +54,7 @@
     state: Rc<ExchangeState>,
 }
 
-/// Tells whether any byte of a connection's current request has been written, even after its exchange was
+/// Shows whether any byte of a connection's current request has been written, even after its exchange was
 /// dropped. A partly written request counts as written, because it may have been processed.
 pub(crate) struct WriteStatus(Rc<ExchangeState>);
 
@@ -82,21 +82,23 @@
         Ok(HttpConnection { sender, driver: Box::pin(driver), stream, state })
     }
 
-    /// Returns a handle that tells whether the current request was written.
+    /// Returns a handle that shows whether the current request was written.
     pub(crate) fn write_status(&self) -> WriteStatus {
         WriteStatus(self.state.clone())
     }
 
     /// Whether the connection can carry another request.
     ///
-    /// The far end may have closed it, or may have sent surplus bytes after its last response, which would be
-    /// taken for the next one. The runtime may not have noticed either yet, so this looks at the socket
-    /// itself too.
+    /// The far end may have closed it: a request written then ends with a reset, and may have been
+    /// processed. Or it may have sent surplus bytes after its last response, which would be taken for the
+    /// response to the next request. The runtime may not have noticed either yet, so this also looks at the
+    /// socket itself.
     pub(crate) fn is_usable(&mut self) -> bool {
         let mut cx = Context::from_waker(Waker::noop());
         self.state.response_begun.set(false);
         let idle = self.driver.as_mut().poll(&mut cx).is_pending() && self.sender.is_ready();
-        // hyper may have read bytes during this poll that it would report as an error only in the next.
+        // hyper may have read surplus bytes during this poll, and would report them as an error only in the
+        // next one.
         let waiting = SockRef::from(&*self.stream.borrow()).peek(&mut [MaybeUninit::uninit()]);
         let surplus = self.state.response_begun.get() || matches!(waiting, Ok(1));
         self.state.surplus_received.set(surplus);
@@ -113,6 +115,7 @@
     /// # Errors
     ///
     /// Fails if no complete response arrives or it exceeds a limit. The connection cannot be used again then.
+    /// Dropping the future closes nothing by itself: the connection must be dropped with it.
     pub(crate) async fn exchange(
         &mut self,
         mut request: Request<Full<Bytes>>,
@@ -154,7 +157,7 @@
     max_body_bytes: usize,
 ) -> Option<Response<Bytes>> {
     let (head, body) = response.await.ok()?.into_parts();
-    // Not even begun if the announced length is too large.
+    // A body whose declared length is too large is not read at all.
     if body.size_hint().lower() > max_body_bytes as u64 {
         return None;
     }
--- a/crates/gateway/src/http_connection/observed_stream.rs
+++ b/crates/gateway/src/http_connection/observed_stream.rs
@@ -20,8 +20,8 @@
     pub(super) connection_ended: Cell<bool>,
     /// Whether bytes have arrived that did not belong to the last response.
     pub(super) surplus_received: Cell<bool>,
-    /// The number of interim responses that arrived. It is shared through an `Arc` because hyper's callback
-    /// must be `Send` and `Sync`.
+    /// The number of interim responses that arrived. It is in an `Arc` because hyper's callback must be
+    /// `Send` and `Sync`.
     pub(super) interim_responses: Arc<AtomicU32>,
 }
 
@@ -34,8 +34,8 @@
     }
 }
 
-/// A stream that records the progress of its exchange. The socket is shared, so that the connection can
-/// inspect it while hyper owns this stream.
+/// A stream that records the progress of its exchange. The connection has a handle on the same socket, so
+/// that it can inspect it while hyper owns this stream.
 pub(super) struct ObservedStream {
     stream: Rc<RefCell<TcpStream>>,
     state: Rc<ExchangeState>,
--- a/crates/gateway/src/idle_connections/tests.rs
+++ b/crates/gateway/src/idle_connections/tests.rs
@@ -81,7 +81,7 @@
 }
 
 #[tokio::test]
-async fn longest_idle_connection_is_closed_to_make_room() {
+async fn the_longest_idle_connection_is_closed_first() {
     let mut idle = IdleConnections::new(TIMEOUT);
     let mut far_ends = put_connections(&mut idle, 2).await;
     idle.close_oldest();
--- a/crates/gateway/src/logging.rs
+++ b/crates/gateway/src/logging.rs
@@ -15,7 +15,7 @@
 use tracing_subscriber::layer::{Context, Layer, SubscriberExt};
 use tracing_subscriber::registry::{LookupSpan, Registry};
 
-/// The targets of log lines: the parts of the gateway as an operator knows them.
+/// The targets of log lines: the areas of the gateway as an operator knows them.
 pub(crate) mod target {
     /// Startup, reload and shutdown.
     pub(crate) const LIFECYCLE: &str = "lifecycle";
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -8,16 +8,16 @@
 use tokio::net::UdpSocket;
 use tokio::time::{sleep, Instant};
 
-/// The maximum size of a datagram.
+/// The maximum size of a datagram, in bytes.
 const MAX_DATAGRAM_BYTES: usize = 256;
 /// The pause after a failed receive, so that a persistent failure does not spin.
 const RECEIVE_RETRY_DELAY: Duration = Duration::from_millis(10);
 
 /// A token bucket for the messages that this gateway sends to all of its peers together.
 ///
-/// If no gateway sends more messages than one gateway accepts, it is unlikely that any gateway receives more
-/// than it accepts. Equal limits for each peer would not work: in a large fleet a gateway sends many messages
-/// to the few peers that own its customers' quotas, and none to the rest.
+/// If no gateway sends more messages than one gateway accepts, it is unlikely that any gateway receives
+/// more than it accepts. Equal limits for each peer would not work: in a large fleet a gateway sends many
+/// messages to the few peers that own its customers' quotas, and none to the others.
 struct SendRateLimit {
     per_second: f64,
     tokens: f64,
@@ -64,7 +64,7 @@
     /// Indexed by the gateway's number.
     addrs: Vec<SocketAddr>,
     /// This gateway's number.
-    me: GatewayIndex,
+    own_index: GatewayIndex,
     send_rate_limit: RefCell<SendRateLimit>,
 }
 
@@ -78,7 +78,7 @@
     pub(crate) async fn bind(
         listen: Option<SocketAddr>,
         addrs: Vec<SocketAddr>,
-        me: GatewayIndex,
+        own_index: GatewayIndex,
         accepted_per_second: f64,
     ) -> Result<Self, BindError> {
         let socket = match listen {
@@ -86,7 +86,7 @@
             None => None,
         };
         let send_rate_limit = RefCell::new(SendRateLimit::full(accepted_per_second, Instant::now()));
-        Ok(Peers { socket, addrs, me, send_rate_limit })
+        Ok(Peers { socket, addrs, own_index, send_rate_limit })
     }
 
     /// The address that receives messages, or `None` if there is no socket.
@@ -113,7 +113,7 @@
         }
         for (peer, addr) in self.addrs.iter().enumerate() {
             let peer = GatewayIndex(peer);
-            if peer != self.me && to.is_none_or(|to| to == peer) {
+            if peer != self.own_index && to.is_none_or(|to| to == peer) {
                 self.send_to(socket, peer.0, *addr, body);
             }
         }
@@ -121,7 +121,12 @@
 
     fn send_to(&self, socket: &UdpSocket, peer: usize, addr: SocketAddr, body: &str) {
         if !self.send_rate_limit.borrow_mut().try_take(Instant::now()) {
-            return tracing::warn!(target: target::PEERS, peer, reason = "send rate limit", "message not sent");
+            return tracing::warn!(
+                target: target::PEERS,
+                peer,
+                reason = "send rate limit",
+                "message not sent"
+            );
         }
         if let Err(error) = socket.try_send_to(body.as_bytes(), addr) {
             tracing::warn!(target: target::PEERS, peer, %error, "message not sent");
@@ -137,7 +142,8 @@
             match socket.recv_from(&mut buffer).await {
                 Ok((length, sender)) => self.on_datagram(&buffer[..length], sender, &handler),
                 Err(error) => {
-                    // A message sent to a peer that is down is reported here as an error.
+                    // The kernel reports a message to a peer that is down as an error of the next receive.
+                    // Without the pause, a lasting error would be retried without end.
                     tracing::warn!(target: target::PEERS, %error, "cannot receive from peers");
                     sleep(RECEIVE_RETRY_DELAY).await;
                 }
@@ -151,7 +157,7 @@
             .iter()
             .position(|addr| *addr == sender)
             .map(GatewayIndex)
-            .filter(|peer| *peer != self.me);
+            .filter(|peer| *peer != self.own_index);
         match (from, std::str::from_utf8(datagram)) {
             (Some(from), Ok(body)) if datagram.len() <= MAX_DATAGRAM_BYTES => {
                 handler.on_peer_message(from, body.to_string());
--- a/crates/gateway/src/peers/tests.rs
+++ b/crates/gateway/src/peers/tests.rs
@@ -3,7 +3,7 @@
 use irishinge_admission::GatewayIndex;
 
 #[test]
-fn one_peer_may_be_sent_the_whole_rate_limit_and_no_more() {
+fn one_peer_may_be_sent_the_full_rate_limit_and_no_more() {
     let start = Instant::now();
     let mut limit = SendRateLimit::full(40.0, start);
     // A second's worth at once, all of it to one peer.
--- a/crates/gateway/src/quota_counter.rs
+++ b/crates/gateway/src/quota_counter.rs
@@ -1,5 +1,5 @@
-//! The client of the quota counter, the service that counts the units used over the whole fleet. It holds a
-//! few connections, each with one call at a time.
+//! The client of the quota counter, the service that counts the units used over the whole fleet. It opens
+//! a few connections, each with one call at a time.
 use crate::clock::duration_from_ms;
 use crate::connection_budget::{ConnectionBudget, PooledConnection};
 use crate::http_connection::HttpConnection;
@@ -63,12 +63,14 @@
         let write_status = pooled.connection.write_status();
         let response = timeout_at(deadline, pooled.connection.exchange(request, MAX_BODY_BYTES)).await;
         let Ok(Ok(response)) = response else {
-            // A request that was written, even in part, may still be processed.
+            // One byte is enough for the counter to have received the request: the kernel may have sent the
+            // rest. If this counted as rejected, units that were added would count as free.
             let written = write_status.any_written();
             return if written { CounterOutcome::Unanswered } else { CounterOutcome::Rejected };
         };
         let outcome = outcome_of(&response);
-        // After a response that cannot be understood, the connection's state is unknown.
+        // What follows a response that cannot be understood may be the rest of it, and would be read as the
+        // response to the next call. So such a connection is closed.
         if !matches!(outcome, CounterOutcome::Unanswered) {
             self.release(addr, pooled);
         }
--- a/crates/gateway/src/shutdown.rs
+++ b/crates/gateway/src/shutdown.rs
@@ -44,7 +44,7 @@
     }
 }
 
-/// The parts of the gateway that the shutdown ends.
+/// The components of the gateway that the shutdown ends.
 pub(crate) struct Shutdown {
     /// Drained: its connections close once they have no active request.
     pub downstream: Rc<DownstreamServer>,
--- a/crates/gateway/src/startup.rs
+++ b/crates/gateway/src/startup.rs
@@ -1,4 +1,4 @@
-//! Startup: builds the parts of the gateway from the configuration, lowest layer first, and starts their
+//! Startup: builds the gateway's components from the configuration, lowest layer first, and starts their
 //! tasks.
 use crate::clock::Clock;
 use crate::config::{Config, ConfigError};
@@ -70,7 +70,7 @@
 pub(crate) async fn start(config: Config) -> Result<RunningGateway, StartupError> {
     let settings = config.settings;
     let socket_settings = config.socket_settings;
-    let budget = DescriptorBudget::new(config.sockets);
+    let budget = DescriptorBudget::new(config.descriptor_limit);
     let clock = Clock::start();
     let gateway = Gateway::new(settings.clone(), config.seed, clock.now_ms())?;
     let upstream = UpstreamPool::new(&socket_settings, budget.upstream);
@@ -79,7 +79,7 @@
         Rc::new(Peers::bind(config.peer_listen, config.peers, settings.me, accepted_per_second).await?);
     let quota_counter = QuotaCounter::new(config.counter, socket_settings.counter_timeout_ms);
     let dispatcher = Dispatcher::new(gateway, clock, config.names, upstream, peers.clone(), quota_counter);
-    let known_revision = restore_known_list(&dispatcher, config.known);
+    let known_revision = restore_cached_list(&dispatcher, config.cached_list);
 
     let listener = listen(config.listen, &peers).await?;
     let times = ShutdownTimes::new(&settings);
@@ -107,13 +107,13 @@
     Ok(RunningGateway { discovery_addr, dispatcher, shutdown })
 }
 
-/// Applies the endpoint list that was known before a restart, and returns the revision that discovery
-/// continues from.
-fn restore_known_list(dispatcher: &Rc<Dispatcher>, known: Option<EndpointList>) -> Option<u64> {
-    let known = known?;
-    // An empty list is not worth continuing from.
-    let revision = (!known.is_empty()).then_some(known.revision);
-    dispatcher.list_received(ListKind::Remembered, known);
+/// Applies the endpoint list that was cached before a restart, and returns the revision that discovery
+/// continues from: `None` fetches the complete list.
+fn restore_cached_list(dispatcher: &Rc<Dispatcher>, cached: Option<EndpointList>) -> Option<u64> {
+    let cached = cached?;
+    // To continue from an empty list would save discovery no work.
+    let revision = (!cached.is_empty()).then_some(cached.revision);
+    dispatcher.list_received(ListKind::Remembered, cached);
     revision
 }
 
--- a/crates/gateway/src/upstream/attempt.rs
+++ b/crates/gateway/src/upstream/attempt.rs
@@ -42,7 +42,7 @@
 
     fn header(&self, name: HeaderName) -> Option<&str> {
         let mut values = self.response.as_ref()?.headers().get_all(name).iter();
-        // A header that is repeated is ambiguous and ignored.
+        // Which value of a repeated header counts would be a guess, so it is ignored.
         values.next().filter(|_| values.next().is_none())?.to_str().ok()
     }
 }
@@ -63,6 +63,8 @@
         let attempt = self.attempt_without_timeout(endpoint, request, deadline, is_wanted, &write_status);
         match timeout_at(deadline, attempt).await {
             Ok(result) => result,
+            // One written byte is enough for the endpoint to have received the request: the kernel may have
+            // sent the rest. Counted as never sent, it could be repeated although it runs.
             Err(_) => {
                 let written = write_status.take().is_some_and(|status: WriteStatus| status.any_written());
                 let outcome = if written { Outcome::TimedOut } else { Outcome::ConnectFailed };
@@ -96,9 +98,12 @@
         }
     }
 
-    /// Decides whether the request is still to be sent once the connection is established. Meanwhile the list
-    /// may have expired or the endpoint may be draining. The client may have disconnected, or may have the
-    /// response of another attempt if the settings forbid cancelling.
+    /// Why the request must not be sent any more now that the connection is established; `None` if it may be.
+    ///
+    /// A connection may take long to come up. Without this check, a request could be sent by an expired
+    /// list or to a draining endpoint, or for a client that has disconnected or has the response of another
+    /// attempt (where the settings forbid cancelling). The check holds because nothing is awaited between
+    /// it and the write.
     fn reason_not_to_send(
         &self,
         endpoint: EndpointId,
--- a/crates/gateway/src/upstream/mod.rs
+++ b/crates/gateway/src/upstream/mod.rs
@@ -10,5 +10,5 @@
 pub(crate) use self::pool::{UpstreamPool, IDLE_CHECK_INTERVAL};
 pub(crate) use self::request::UpstreamRequest;
 
-/// The maximum size of a request's or response's body.
+/// The maximum size of a request's or response's body, in bytes.
 pub(crate) const MAX_BODY_BYTES: usize = 64 * 1024;
--- a/crates/gateway/src/upstream/pool.rs
+++ b/crates/gateway/src/upstream/pool.rs
@@ -13,9 +13,11 @@
 use std::time::Duration;
 use tokio::time::{timeout, Instant};
 
-/// Idle connections are closed after this fraction of the endpoint's own idle timeout. A request that is sent
-/// while the endpoint closes the connection ends with a reset, and may have been processed. A lower fraction
-/// would cost a large fleet, whose gateways use each endpoint only every few seconds, additional handshakes.
+/// Idle connections are closed after this fraction of the endpoint's own idle timeout.
+///
+/// A request that is sent while the endpoint closes the connection ends with a reset, and may have been
+/// processed. A lower fraction would cost a large fleet, whose gateways use each endpoint only every few
+/// seconds, additional handshakes.
 const IDLE_TIMEOUT_FRACTION: f64 = 0.8;
 /// How often idle connections are checked.
 pub(crate) const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(1000);
@@ -129,8 +131,8 @@
         usable
     }
 
-    /// Returns a connection to the pool, or closes it if it is not usable or its endpoint accepts no more
-    /// requests.
+    /// Returns a connection to the pool, or closes it if it is not usable, or if its endpoint accepts no more
+    /// requests or has another address.
     pub(super) fn release(&self, endpoint: EndpointId, addr: SocketAddr, mut pooled: PooledConnection) {
         if let Some(endpoint) = self.endpoints.borrow_mut().get_mut(&endpoint) {
             let accepts = endpoint.state == EndpointState::Ready && endpoint.addr == addr;
--- a/crates/gateway/src/upstream/request.rs
+++ b/crates/gateway/src/upstream/request.rs
@@ -6,7 +6,7 @@
 use hyper::{Method, Request, Uri};
 use tokio::time::Instant;
 
-/// The parts of a client's request that are sent to an endpoint.
+/// What of a client's request is sent to an endpoint.
 pub(crate) struct UpstreamRequest {
     /// The method.
     pub method: Method,
@@ -25,7 +25,8 @@
 }
 
 impl UpstreamRequest {
-    /// Creates the HTTP request of one attempt. Its `X-Budget` is the time left until `deadline`, in seconds.
+    /// Creates the HTTP request of one attempt. Its `X-Budget` is the time that remains until `deadline`,
+    /// in seconds.
     pub(super) fn to_http(&self, deadline: Instant) -> Request<Full<Bytes>> {
         let seconds_left = deadline.saturating_duration_since(Instant::now()).as_secs_f64();
         let mut request = Request::new(Full::new(self.body.clone()));
--- a/crates/gateway/src/upstream/reuse_delay.rs
+++ b/crates/gateway/src/upstream/reuse_delay.rs
@@ -1,14 +1,16 @@
 //! Protection against responses that arrive twice.
 //!
-//! A second copy may arrive some milliseconds after the first. If the next request has been written by then,
-//! the copy would be taken for its response. So once any connection has received surplus bytes, all
-//! connections pause after each response before they are reused. A permanent pause would cost a large fleet
+//! An endpoint, or what is between it and the gateway, may send a response twice, the second copy some
+//! milliseconds after the first. If the next request has been written by then, the copy is taken for its
+//! response: a client gets the response to another's request. So once any connection has received surplus
+//! bytes, all connections pause after each response before they are reused, and a copy that arrives in the
+//! pause shows as surplus bytes, which close the connection. A permanent pause would cost a large fleet
 //! additional handshakes.
 use std::cell::Cell;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long after surplus bytes the delay applies.
+/// The reuse delay applies for this long after surplus bytes were received.
 pub(super) const DELAY_PERIOD: Duration = Duration::from_secs(60);
 /// The pause between a response and the reuse of its connection.
 pub(super) const REUSE_DELAY: Duration = Duration::from_millis(15);
--- a/crates/gateway/tests/it/client_connections.rs
+++ b/crates/gateway/tests/it/client_connections.rs
@@ -1,4 +1,5 @@
-//! Connections of clients: how long a new one may take, and which are closed beyond the bound on their number.
+//! Connections of clients: how long a new one may take, and which are closed beyond the bound on their
+//! number.
 use crate::common::*;
 use serde_json::json;
 use std::time::{Duration, Instant};
@@ -13,7 +14,7 @@
 
 /// A new connection gets an error or a close within 3 s; one that has been served may stay idle.
 #[test]
-fn closes_a_new_connection_without_a_whole_request_within_3_s() {
+fn closes_a_new_connection_without_a_complete_request_within_3_s() {
     let endpoint = ScriptedServer::serving("");
     let (gateway, _discovery) = start_gateway(&[&endpoint]);
     let mut served = gateway.client();
--- a/crates/gateway/tests/it/client_disconnects.rs
+++ b/crates/gateway/tests/it/client_disconnects.rs
@@ -35,7 +35,7 @@
 
 /// The counter's reply is held back until the gateway has seen the close.
 #[test]
-fn never_sends_a_request_whose_client_left_during_its_quota_check() {
+fn never_sends_a_request_whose_client_disconnected_during_its_quota_check() {
     let endpoint = ScriptedServer::serving("");
     let counter = ScriptedServer::silent();
     let (gateway, _discovery) = start_gateway_with_counter(&endpoint, &counter);
@@ -55,7 +55,7 @@
 
 /// Its attempt waits for its connection, where attempts may not be cancelled.
 #[test]
-fn never_sends_a_request_whose_client_left_before_its_connection_was_up() {
+fn never_sends_a_request_whose_client_disconnected_before_its_connection_was_up() {
     let listener = LateListener::start();
     let discovery = Discovery::start();
     let mut config = config(discovery.addr, &[endpoint_entry("s-0", listener.addr(), "up")]);
--- a/crates/gateway/tests/it/common/config.rs
+++ b/crates/gateway/tests/it/common/config.rs
@@ -9,7 +9,7 @@
 }
 
 /// All lines of the list.
-pub(crate) fn whole_list(rev: u64, entries: &[Value]) -> Value {
+pub(crate) fn complete_list(rev: u64, entries: &[Value]) -> Value {
     json!({"rev": rev, "all": true, "targets": entries})
 }
 
@@ -18,7 +18,8 @@
     json!({"rev": rev, "all": false, "targets": entries})
 }
 
-/// A configuration, which a test may change before the start, of a gateway that starts with a list of known endpoints.
+/// A configuration, which a test may change before the start, of a gateway that starts with a list of known
+/// endpoints.
 pub(crate) fn config(discovery: SocketAddr, known: &[Value]) -> Value {
     let class = |name: &str, repeat: &str| {
         json!({"name": name, "deadlineMs": 20000.0, "objectiveMs": 10000.0, "worth": 1.0, "lateShare": 0.0,
@@ -28,7 +29,7 @@
         "name": "n0", "listen": "127.0.0.1:0", "discovery": discovery.to_string(), "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
         "peer_listen": null, "peers": [], "counter": null,
-        "known": whole_list(1, known),
+        "known": complete_list(1, known),
         "settings": {
             "discovery": "on_request", "balancers": 1, "me": 0, "tickMs": 4.0, "zone": "a", "zones": ["a", "b"], "shapes": ["m"],
             "classes": [class("read", "repeatable"), class("post", "by_key"), class("once", "once")],
--- a/crates/gateway/tests/it/common/discovery.rs
+++ b/crates/gateway/tests/it/common/discovery.rs
@@ -1,4 +1,5 @@
-//! A discovery that serves one connection at a time and answers each call with the next list that the test pushes.
+//! A discovery that serves one connection at a time and answers each call with the next list that the test
+//! pushes.
 use super::http_message::{http_response, read_message};
 use super::TEST_TIMEOUT;
 use serde_json::Value;
--- a/crates/gateway/tests/it/common/discovery_agent.rs
+++ b/crates/gateway/tests/it/common/discovery_agent.rs
@@ -1,4 +1,5 @@
-//! A discovery that takes any number of connections at once, so that one call may stay silent while the next comes.
+//! A discovery that takes any number of connections at once, so that one call may stay silent while the
+//! next comes.
 use super::http_message::{http_response, read_message};
 use super::TEST_TIMEOUT;
 use serde_json::Value;
@@ -29,7 +30,7 @@
         self.reply.send(None).expect("the agent runs");
     }
 
-    pub(crate) fn is_for_whole_list(&self) -> bool {
+    pub(crate) fn is_for_complete_list(&self) -> bool {
         self.request_line == "GET /v1/servers HTTP/1.1"
     }
 
@@ -65,28 +66,28 @@
     }
 
     /// The next call, which must be for the whole list.
-    pub(crate) fn next_call_for_whole_list(&self) -> DiscoveryCall {
+    pub(crate) fn next_call_for_complete_list(&self) -> DiscoveryCall {
         let call = self.next_call();
-        assert!(call.is_for_whole_list(), "{}", call.request_line);
+        assert!(call.is_for_complete_list(), "{}", call.request_line);
         call
     }
 
     /// Answers the first call of a process that was started with a list, and returns the watch that follows.
     pub(crate) fn answer_first_watch(&self, list: &Value) -> DiscoveryCall {
         let call = self.next_call();
-        assert!(!call.is_for_whole_list(), "{}", call.request_line);
+        assert!(!call.is_for_complete_list(), "{}", call.request_line);
         call.answer(list);
         let watch = self.next_call();
         watch.assert_watches_after(list);
         watch
     }
 
-    /// Answers calls for the whole list until the watch that follows, and returns it. There may be several calls: on
-    /// a busy machine an answer may come after the gateway has given the call up.
+    /// Answers calls for the whole list until the watch that follows, and returns it. There may be several
+    /// calls: on a busy machine an answer may come after the gateway has given the call up.
     pub(crate) fn answer_until_watch(&self, list: &Value) -> DiscoveryCall {
         loop {
             let call = self.next_call();
-            if !call.is_for_whole_list() {
+            if !call.is_for_complete_list() {
                 call.assert_watches_after(list);
                 return call;
             }
--- a/crates/gateway/tests/it/common/gateway_process.rs
+++ b/crates/gateway/tests/it/common/gateway_process.rs
@@ -98,8 +98,9 @@
         format!("socket:[{inode}]")
     }
 
-    /// Waits until the gateway has closed one of its sockets. That a client has closed its end does not show that the
-    /// gateway was told: while another test starts a process, that process holds the client's end open too.
+    /// Waits until the gateway has closed one of its sockets. That a client has closed its end does not
+    /// show that the gateway was notified: while another test starts a process, that process holds the client's
+    /// end open too.
     pub(crate) fn wait_until_closed(&self, socket: &str, what: &str) {
         let start = Instant::now();
         while self.has_descriptor(socket) {
--- a/crates/gateway/tests/it/common/mod.rs
+++ b/crates/gateway/tests/it/common/mod.rs
@@ -11,7 +11,7 @@
 mod scripted_server;
 
 pub(crate) use client::{Client, ClientRequest, HEALTH_CHECK};
-pub(crate) use config::{changes, config, endpoint_entry, use_counter, whole_list};
+pub(crate) use config::{changes, complete_list, config, endpoint_entry, use_counter};
 pub(crate) use discovery::Discovery;
 pub(crate) use discovery_agent::{DiscoveryAgent, DiscoveryCall};
 pub(crate) use gateway_process::{
--- a/crates/gateway/tests/it/common/quota_owner.rs
+++ b/crates/gateway/tests/it/common/quota_owner.rs
@@ -1,4 +1,5 @@
-//! A gateway of a large fleet that owns a customer's quota. It answers quota requests only when the test says so.
+//! A gateway of a large fleet that owns a customer's quota. It answers quota requests only when the test
+//! says so.
 use super::{ClientRequest, TEST_TIMEOUT};
 use serde_json::{json, Value};
 use std::net::{Ipv4Addr, SocketAddr, UdpSocket};
@@ -9,8 +10,8 @@
 const CUSTOMER: &str = "0000000000000002";
 /// Length of a gossip message's head: its version and three means.
 const HEAD_LEN: usize = 7;
-/// Where the number of a quota request stands in the message: behind its kind, the customer, the plan, the units and
-/// the customer's gateways.
+/// Where the number of a quota request stands in the message: behind its kind, the customer, the plan, the
+/// units and the customer's gateways.
 const NUMBER_OFFSET: usize = HEAD_LEN + 1 + 11 + 1 + 1 + 2 + 2;
 const NUMBER_LEN: usize = 2;
 
--- a/crates/gateway/tests/it/descriptors.rs
+++ b/crates/gateway/tests/it/descriptors.rs
@@ -4,9 +4,10 @@
 use std::io::{Read, Write};
 use std::net::TcpStream;
 
-/// Discovery goes and comes back meanwhile; the process really has no more descriptors than its configuration says.
+/// Discovery goes and comes back meanwhile; the process really has no more descriptors than its
+/// configuration says.
 #[test]
-fn idle_clients_leave_descriptors_for_discovery_and_endpoints() {
+fn idle_clients_cannot_take_the_descriptors_of_discovery_and_endpoints() {
     for sockets in [64, 256] {
         let endpoint = ScriptedServer::serving("new");
         let discovery = Discovery::start();
@@ -14,7 +15,7 @@
         config["limits"]["sockets"] = json!(sockets);
         let gateway = GatewayProcess::start_with_descriptor_limit(&config);
         discovery.next_call();
-        discovery.push(whole_list(4, &[]));
+        discovery.push(complete_list(4, &[]));
         discovery.next_call();
         // Served ones and silent ones, more than there are descriptors.
         let mut idle = Vec::new();
@@ -28,7 +29,7 @@
         // Its connection breaks and must come up anew.
         discovery.break_connection();
         discovery.next_call();
-        discovery.push(whole_list(5, &[endpoint_entry("s-0", endpoint.addr, "up")]));
+        discovery.push(complete_list(5, &[endpoint_entry("s-0", endpoint.addr, "up")]));
         assert!(discovery.next_call().contains("after=5"));
         assert_eq!(gateway.client().request(&ClientRequest::new("read")).body, b"new", "{sockets}");
         drop(idle);
@@ -63,7 +64,7 @@
 
 /// All connections within the bound have an active request, and silent ones take all places beyond it.
 #[test]
-fn silent_clients_beyond_the_bound_leave_room_for_others() {
+fn silent_clients_beyond_the_bound_are_evicted_for_others() {
     let (endpoint, discovery) = (ScriptedServer::silent(), Discovery::start());
     let mut config = config(discovery.addr, &[endpoint_entry("s-0", endpoint.addr, "up")]);
     config["limits"]["sockets"] = json!(64);
--- a/crates/gateway/tests/it/disconnect_variants.rs
+++ b/crates/gateway/tests/it/disconnect_variants.rs
@@ -1,5 +1,6 @@
-//! Each way in which a client may disconnect, whatever its request waits for. What it waits for comes only once the
-//! gateway has closed the client's connection, so that nothing here depends on the machine's speed.
+//! Each way in which a client may disconnect, whatever its request waits for. What it waits for comes only
+//! once the gateway has closed the client's connection, so that nothing here depends on the machine's
+//! speed.
 use crate::common::*;
 use serde_json::{json, Value};
 use std::io::{BufReader, ErrorKind, Write};
@@ -104,7 +105,7 @@
         // It waits: the health check was read behind it.
         assert_eq!(gateway.client().health_status(), 503);
         client.disconnect(&gateway, &kind);
-        discovery.push(whole_list(4, &[endpoint_entry("s-0", endpoint.addr, "up")]));
+        discovery.push(complete_list(4, &[endpoint_entry("s-0", endpoint.addr, "up")]));
         discovery.next_call();
         assert_eq!(
             other_request_ids(&gateway, &endpoint, ClientRequest::new("read")),
--- a/crates/gateway/tests/it/discovery.rs
+++ b/crates/gateway/tests/it/discovery.rs
@@ -8,17 +8,17 @@
     let (gateway, discovery) = start_gateway(&[]);
     assert_eq!(gateway.client().health_status(), 503);
     assert_eq!(discovery.next_call(), "GET /v1/servers HTTP/1.1");
-    discovery.push(whole_list(4, &[endpoint_entry("s-0", endpoint.addr, "up"), json!({"uid": 5})]));
+    discovery.push(complete_list(4, &[endpoint_entry("s-0", endpoint.addr, "up"), json!({"uid": 5})]));
     assert!(discovery.next_call().starts_with("GET /v1/servers?after=4&wait_ms="));
     assert_eq!(gateway.client().health_status(), 200);
 }
 
 #[test]
-fn fetches_the_whole_list_after_an_outage_and_serves_by_the_old_one_meanwhile() {
+fn fetches_the_complete_list_after_an_outage_and_serves_by_the_old_one_meanwhile() {
     let endpoint = ScriptedServer::serving("");
     let (gateway, discovery) = start_gateway(&[&endpoint]);
     discovery.next_call();
-    discovery.push(whole_list(4, &[endpoint_entry("s-0", endpoint.addr, "up")]));
+    discovery.push(complete_list(4, &[endpoint_entry("s-0", endpoint.addr, "up")]));
     assert!(discovery.next_call().contains("after=4"));
     discovery.break_connection();
     assert_eq!(discovery.next_call(), "GET /v1/servers HTTP/1.1");
@@ -52,7 +52,7 @@
     assert_eq!(client.request(&ClientRequest::new("read")).body, b"old");
     old.next_request();
     discovery.next_call();
-    discovery.push(whole_list(
+    discovery.push(complete_list(
         2,
         &[endpoint_entry("s-0", old.addr, "draining"), endpoint_entry("s-1", new.addr, "up")],
     ));
--- a/crates/gateway/tests/it/list_lease.rs
+++ b/crates/gateway/tests/it/list_lease.rs
@@ -23,8 +23,8 @@
     }
 }
 
-/// Discovery is there and each call ends like this: the gateway sends for a while and then no more, a request waits,
-/// and goes on once there is a list, even one without changes.
+/// Discovery is there and each call ends like this: the gateway sends for a while and then no more, a
+/// request waits, and goes on once there is a list, even one without changes.
 fn assert_sends_nothing_while_calls_end(end_call: fn(DiscoveryCall)) {
     let (endpoint, agent) = (ScriptedServer::serving(""), DiscoveryAgent::start());
     let gateway = GatewayProcess::start(&config(agent.addr, &[up(&endpoint)]));
@@ -42,8 +42,8 @@
     let known = up(&endpoint);
     std::thread::spawn(move || loop {
         let call = agent.next_call();
-        let whole = call.is_for_whole_list();
-        call.answer(&if whole { whole_list(1, std::slice::from_ref(&known)) } else { changes(1, &[]) });
+        let whole = call.is_for_complete_list();
+        call.answer(&if whole { complete_list(1, std::slice::from_ref(&known)) } else { changes(1, &[]) });
         sleep(Duration::from_millis(20));
     });
     assert_eq!(client.read().expect("a response").status(), 200);
@@ -59,7 +59,7 @@
     let start = Instant::now();
     while start.elapsed() < LEASE {
         let call = agent.next_call();
-        assert!(!call.is_for_whole_list());
+        assert!(!call.is_for_complete_list());
         call.write("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
     }
     assert_eq!(gateway.client().request(&ClientRequest::new("read")).status(), 200);
@@ -92,7 +92,7 @@
     // What it has at its return is applied: the endpoint is gone.
     port.listen(16).expect("a listener");
     let agent = DiscoveryAgent::start_on(port.into());
-    agent.answer_until_watch(&whole_list(2, &[]));
+    agent.answer_until_watch(&complete_list(2, &[]));
     assert_serves_nothing(&gateway, &endpoint);
 }
 
@@ -103,30 +103,30 @@
     let (old, new) = (DiscoveryAgent::start(), DiscoveryAgent::start());
     let mut config = config(old.addr, &[up(&endpoint)]);
     let gateway = GatewayProcess::start(&config);
-    let watch = old.answer_first_watch(&whole_list(2, &[up(&endpoint)]));
+    let watch = old.answer_first_watch(&complete_list(2, &[up(&endpoint)]));
     config["discovery"] = json!(new.addr.to_string());
     gateway.reload(&config.to_string());
     let (moved, mut client) = (Instant::now(), gateway.client());
-    drop(new.next_call_for_whole_list());
+    drop(new.next_call_for_complete_list());
     drop(watch);
     assert_eq!(client.request(&ClientRequest::new("read")).status(), 200);
     endpoint.next_request();
     sleep(LEASE_AFTER_RELOAD.saturating_sub(moved.elapsed()));
     assert_serves_nothing(&gateway, &endpoint);
     client.write(&ClientRequest::new("read").text());
-    new.answer_until_watch(&whole_list(1, &[up(&endpoint)]));
+    new.answer_until_watch(&complete_list(1, &[up(&endpoint)]));
     assert_eq!(client.read().expect("a response").status(), 200);
 }
 
 /// A truncated answer is no list: the whole one is fetched, and applied though it is older.
 #[test]
-fn fetches_the_whole_list_after_a_truncated_one() {
+fn fetches_the_complete_list_after_a_truncated_one() {
     let (old, new) = (ScriptedServer::serving("old"), ScriptedServer::serving("new"));
     let agent = DiscoveryAgent::start();
     let gateway = GatewayProcess::start(&config(agent.addr, &[up(&old)]));
-    let watch = agent.answer_first_watch(&whole_list(7, &[up(&old)]));
+    let watch = agent.answer_first_watch(&complete_list(7, &[up(&old)]));
     watch.write("HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{\"rev\":");
-    agent.next_call_for_whole_list().answer(&whole_list(3, &[endpoint_entry("s-1", new.addr, "up")]));
+    agent.next_call_for_complete_list().answer(&complete_list(3, &[endpoint_entry("s-1", new.addr, "up")]));
     assert!(agent.next_call().request_line.contains("after=3&"));
     assert_eq!(gateway.client().request(&ClientRequest::new("read")).body, b"new");
 }
--- a/crates/gateway/tests/it/main.rs
+++ b/crates/gateway/tests/it/main.rs
@@ -1,5 +1,5 @@
-//! The gateway as a process on loopback sockets, between a discovery, endpoints, a counter and clients that the tests
-//! play; a file for each concern.
+//! The gateway as a process on loopback sockets, between a discovery, endpoints, a counter and clients that
+//! the tests play; a file for each concern.
 mod common;
 
 mod attempts;
--- a/crates/gateway/tests/it/reload.rs
+++ b/crates/gateway/tests/it/reload.rs
@@ -6,7 +6,7 @@
 /// A new configuration moves the watch, whatever the old address was just doing: waiting in a call, silent
 /// before its first answer, or refusing connections. Unhandled, SIGHUP would end the process.
 #[test]
-fn sighup_moves_the_watch_to_the_new_address_and_keeps_the_list_meanwhile() {
+fn sighup_moves_the_watch_to_the_new_address_and_serves_by_the_old_list_meanwhile() {
     let endpoint = ScriptedServer::serving("old");
     let (gateway, first) = start_gateway(&[&endpoint]);
     first.next_call();
@@ -16,7 +16,7 @@
     gateway.reload(&to(second.addr));
     assert_eq!(second.next_call(), "GET /v1/servers HTTP/1.1");
     assert_eq!(gateway.client().request(&ClientRequest::new("read")).body, b"old");
-    second.push(whole_list(7, &[endpoint_entry("s-0", endpoint.addr, "up")]));
+    second.push(complete_list(7, &[endpoint_entry("s-0", endpoint.addr, "up")]));
     assert!(second.next_call().contains("after=7"));
     // Neither a file that cannot be read nor the same one again ends the call.
     gateway.reload("{");
@@ -29,7 +29,7 @@
     gateway.reload(&to(last.addr));
     assert_eq!(last.next_call(), "GET /v1/servers HTTP/1.1");
     assert_eq!(gateway.client().request(&ClientRequest::new("read")).body, b"old");
-    last.push(whole_list(2, &[endpoint_entry("s-1", new.addr, "up")]));
+    last.push(complete_list(2, &[endpoint_entry("s-1", new.addr, "up")]));
     assert!(last.next_call().contains("after=2"));
     assert_eq!(gateway.client().request(&ClientRequest::new("read")).body, b"new");
     assert!(second.has_no_call(), "no call to the address that was left");
--- a/crates/gateway/tests/it/upstream_connections.rs
+++ b/crates/gateway/tests/it/upstream_connections.rs
@@ -38,8 +38,8 @@
     }
 }
 
-/// The connection of a malformed response stays open and silent: waiting for more would cost the whole budget. The
-/// request has run, so that only a class that allows it is attempted again.
+/// The connection of a malformed response stays open and silent: waiting for more would cost the whole
+/// budget. The request has run, so that only a class that allows it is attempted again.
 #[test]
 fn fails_an_attempt_at_once_on_a_malformed_response_and_closes_its_connection() {
     let head = "HTTP/1.1 200 OK\r\n";
--- a/crates/settings/src/document.rs
+++ b/crates/settings/src/document.rs
@@ -1,4 +1,5 @@
-//! The settings object as it is written: field names are ours, serde renames carry the document's keys.
+//! The settings object as it is written. The document's keys are mapped to our names here only: fields have
+//! ours, and serde renames carry the keys.
 
 use serde::Deserialize;
 
@@ -22,7 +23,7 @@
     pub(crate) plans: Vec<PlanSection>,
     #[serde(rename = "ceilings")]
     pub(crate) site_limits: SiteLimitsSection,
-    /// Read by gateways with real sockets only; the simulator's lists need no settings.
+    /// Read by gateways with real sockets only: the simulator's lists need no settings.
     #[serde(default)]
     pub(crate) discovery: Option<String>,
     #[serde(rename = "familyInfo")]
@@ -81,7 +82,7 @@
 pub(crate) struct SiteLimitsSection {
     #[serde(rename = "cancel")]
     pub(crate) cancel_allowed: bool,
-    /// Required on real sockets only; so is `connectTimeoutMs`.
+    /// Required on real sockets only. So is `connectTimeoutMs`.
     #[serde(rename = "connIdleMs", default)]
     pub(crate) idle_connection_timeout_ms: Option<f64>,
     #[serde(rename = "connectTimeoutMs", default)]
@@ -112,7 +113,7 @@
     pub(crate) peer_messages_per_second: f64,
 }
 
-/// `rules`: how endpoints drain, warm up and fall over.
+/// `rules`: how endpoints drain, warm up and become overloaded.
 #[derive(Debug, Deserialize)]
 pub(crate) struct EndpointRulesSection {
     #[serde(rename = "coldShare")]
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -2,13 +2,13 @@
 
 use crate::names::UnknownName;
 
-/// A settings object that was parsed but says something the gateway cannot act on.
+/// A settings object that has the right form but cannot be used.
 ///
-/// The message is the one line an operator sees: it names the key and, for a list element, which one.
+/// The message is the line that an operator sees. It names the key and, where it is a class's, the class.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsDocumentError {
     /// A figure that real sockets need is absent, zero, negative or not finite.
-    #[error("no sound {key} in the settings")]
+    #[error("{key} in the settings is not a positive number")]
     InvalidFigure {
         /// The key as written in the document.
         key: &'static str,
--- a/crates/settings/src/socket_settings.rs
+++ b/crates/settings/src/socket_settings.rs
@@ -1,32 +1,33 @@
-//! The settings of connections, discovery and answers, which only a gateway with real sockets needs.
+//! The settings of connections, discovery and responses, which only a gateway with real sockets needs.
 
 use crate::document::SettingsDocument;
 use crate::error::SettingsDocumentError;
 
-/// What the settings say of connections and answers on real sockets.
+/// The settings of connections, discovery and responses. Times are in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SocketSettings {
-    /// An endpoint closes a connection that has been idle for this long.
+    /// An endpoint closes a connection that has been idle for this long (`connIdleMs`).
     pub idle_connection_timeout_ms: f64,
-    /// A connection that is not established within this time never will be.
+    /// How long a connection may take to come up (`connectTimeoutMs`).
     pub connect_timeout_ms: f64,
-    /// Whether rejected clients are told when to come back.
+    /// Whether rejections carry `Retry-After` (`retryAfter`).
     pub retry_after_enabled: bool,
-    /// A call to the quota counter is abandoned after this; 0 where there is no counter.
+    /// A call to the quota counter times out after this; 0 where there is no counter (`countLimitMs`).
     pub counter_timeout_ms: f64,
-    /// How the endpoint list reaches the gateway.
+    /// How the endpoint list reaches the gateway (`discovery`).
     pub discovery_mode: DiscoveryMode,
-    /// Sends to an endpoint must stop this long after the gateway was told that it drains or is gone.
+    /// Sends to an endpoint must stop this long after the gateway was notified that it is draining or gone
+    /// (`stopSendingWithinMs`).
     pub drain_grace_ms: f64,
 }
 
 /// How the endpoint list reaches a gateway.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DiscoveryMode {
-    /// Through an agent on the gateway's own machine. Calls to it cost nothing and are answered at once, and the
-    /// gateway counts as told of whatever the agent has.
+    /// Pushed by an agent on the gateway's own machine. Calls to it cost nothing and are answered at once,
+    /// and the gateway counts as notified of a change as soon as the agent has it.
     Pushed,
-    /// From one service that all gateways call, where calls wait for each other.
+    /// Polled from one service that all gateways call, which queues their calls.
     OnRequest,
 }
 
@@ -44,7 +45,8 @@
     /// Reads the settings of real sockets.
     ///
     /// # Errors
-    /// A [`SettingsDocumentError`] where a figure is absent or not positive, or the discovery mode is unknown.
+    ///
+    /// Fails if a figure is absent or not positive, or the discovery mode is unknown.
     pub fn socket_settings(&self) -> Result<SocketSettings, SettingsDocumentError> {
         let limits = &self.site_limits;
         Ok(SocketSettings {
--- a/crates/settings/src/translate.rs
+++ b/crates/settings/src/translate.rs
@@ -22,7 +22,8 @@
     /// The figures are taken as they stand; [`Settings::check`] says whether a gateway can act on them.
     ///
     /// # Errors
-    /// A [`SettingsDocumentError`] where a name or a keyword is unknown, or a `by_key` class is incomplete.
+    ///
+    /// Fails if a name or a keyword is unknown, or a `by_key` class is incomplete.
     pub fn translate(self) -> Result<TranslatedSettings, SettingsDocumentError> {
         let names = Names {
             classes: self.request_classes.iter().map(|class| class.name.clone()).collect(),
--- a/crates/settings/tests/settings_document.rs
+++ b/crates/settings/tests/settings_document.rs
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn an_unusable_keyword_is_refused_with_its_class_and_key() {
+fn an_unusable_keyword_is_rejected_with_its_class_and_key() {
     let mut unknown_repeat = complete();
     unknown_repeat["classes"][0]["repeat"] = "sometimes".into();
     assert_eq!(translation_error(unknown_repeat).to_string(), "class read: unknown repeat: sometimes");
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn a_figure_that_sockets_cannot_use_is_refused_by_its_key() {
+fn a_figure_that_sockets_cannot_use_is_rejected_by_its_key() {
     for (section, key) in
         [("ceilings", "connIdleMs"), ("ceilings", "connectTimeoutMs"), ("familyInfo", "countLimitMs")]
     {
@@ -117,13 +117,13 @@
             document[section][key] = unsound;
             let error = parse(document).socket_settings().expect_err("not a figure to use");
             assert_eq!(error, SettingsDocumentError::InvalidFigure { key });
-            assert_eq!(error.to_string(), format!("no sound {key} in the settings"));
+            assert_eq!(error.to_string(), format!("{key} in the settings is not a positive number"));
         }
     }
 }
 
 #[test]
-fn an_unknown_discovery_mode_is_refused() {
+fn an_unknown_discovery_mode_is_rejected() {
     for (value, message) in
         [(json!("by_mail"), "unknown discovery: by_mail"), (Value::Null, "unknown discovery: none")]
     {
--- a/crates/simulator-adapter/src/hosted_gateways.rs
+++ b/crates/simulator-adapter/src/hosted_gateways.rs
@@ -1,4 +1,4 @@
-//! The gateways that run in this process, each with its own state and nothing shared.
+//! The gateways that run in this process, each with state of its own.
 
 use crate::wire::input::{Batch, BatchPart, EventMessage, InputMessage, StartMessage};
 use crate::wire::output::{OutputMessage, Reply, ReplyPart};
@@ -16,13 +16,13 @@
     /// A gateway's settings object cannot be translated.
     #[error("settings of {gateway_id}: {source}")]
     SettingsDocument { gateway_id: String, source: SettingsDocumentError },
-    /// A gateway's settings hold a figure that it cannot act on.
+    /// A gateway's settings have a figure out of range.
     #[error("settings of {gateway_id}: {source}")]
     Settings { gateway_id: String, source: SettingsError },
     /// An event names a gateway that is not running.
     #[error("{gateway_id} was not started")]
     NotStarted { gateway_id: String },
-    /// An event cannot be put in the library's terms.
+    /// An event cannot be translated to the library's terms.
     #[error("event for {gateway_id}: {source}")]
     Event { gateway_id: String, source: TranslationError },
 }
@@ -39,10 +39,11 @@
 }
 
 impl HostedGateways {
-    /// Delivers one line of input and returns the line of output that answers it, without its newline.
+    /// Delivers one line of input and returns the line of output that replies to it, without its newline.
     ///
     /// # Errors
-    /// A [`BatchError`] where the line cannot be read; the gateways may then have seen part of the batch.
+    ///
+    /// Fails if the line cannot be read. The gateways may then have received the beginning of the batch.
     pub(crate) fn answer(&mut self, line: &str) -> Result<String, BatchError> {
         let batch: Batch = serde_json::from_str(line)?;
         let mut reply = Reply::default();
@@ -52,7 +53,7 @@
         Ok(serde_json::to_string(&reply)?)
     }
 
-    /// Delivers one gateway's messages. A gateway that takes no action has no part in the reply.
+    /// Delivers one gateway's messages. A gateway that takes no action is absent from the reply.
     fn answer_part(&mut self, now_ms: f64, part: BatchPart) -> Result<Option<ReplyPart>, BatchError> {
         let mut actions = Vec::new();
         for message in part.messages {
@@ -76,7 +77,8 @@
             InputMessage::Start(start) => self.start(gateway_id, now_ms, start),
             InputMessage::Kill => {
                 self.gateways.remove(gateway_id);
-                // A killed gateway says nothing, so what it decided earlier in this batch is void.
+                // A process that was killed writes nothing any more, also of what it decided earlier in
+                // this batch.
                 actions.clear();
                 Ok(())
             }
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,7 +1,8 @@
-//! Runs gateways inside the simulator: reads batches of events on standard input and writes one reply for each
-//! on standard output, with the same admission library that the deployed gateway uses.
+//! Runs gateways inside the simulator: reads batches of events on standard input and writes one reply for
+//! each on standard output, with the same admission library that the deployed gateway uses.
 //!
-//! The program translates and decides nothing. Input that it cannot read ends it with one line on standard error.
+//! The program only translates; the library decides. Input that it cannot read ends it with one line on
+//! standard error.
 
 mod hosted_gateways;
 mod wire;
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -1,7 +1,8 @@
 //! The simulator's wire: one JSON value a line.
 //!
-//! [`input`] and [`output`] are the messages as they are written; serde renames carry the wire's names, so that the
-//! fields have ours. Events and actions of the admission library are made from and to them in `event` and `action`.
+//! [`input`] and [`output`] are the messages as they are written. The wire's names are mapped to ours there
+//! only: fields have ours, and serde renames carry the wire's. Events and actions of the admission library
+//! are made from and to them in `event` and `action`.
 
 mod action;
 mod event;
--- a/crates/simulator-adapter/src/wire/event.rs
+++ b/crates/simulator-adapter/src/wire/event.rs
@@ -10,13 +10,13 @@
 };
 use irishinge_settings::{Names, UnknownName};
 
-/// A message that has the wire's form but says something the library cannot be told.
+/// A message that has the wire's form but cannot be translated to the library's terms.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum TranslationError {
     /// A class, plan, zone or machine kind is not among those of the settings.
     #[error(transparent)]
     UnknownName(#[from] UnknownName),
-    /// The counter answered without saying what it counted.
+    /// The counter responded without its total.
     #[error("counter reply without total")]
     CounterReplyWithoutTotal,
 }
@@ -34,8 +34,9 @@
             }
             EventMessage::ClientGone(client) => Event::ClientGone { request: RequestId(client.request.0) },
             EventMessage::AttemptEnded(attempt) => Event::AttemptEnded(attempt.into_attempt_end()),
-            // The library takes no notice of either, but sends queued requests at their time.
-            EventMessage::ProbeDone | EventMessage::StreamOpened => Event::TimeAdvanced,
+            // No decision depends on them, but as after every event the library sends queued requests that
+            // may go.
+            EventMessage::HealthCheckDone | EventMessage::StreamOpened => Event::TimeAdvanced,
         })
     }
 }
@@ -143,7 +144,7 @@
     }
 }
 
-/// On the wire 0 stands for a figure that is not there.
+/// On the wire, 0 stands for an absent figure.
 fn positive(value: Option<f64>) -> Option<f64> {
     value.filter(|figure| *figure > 0.0)
 }
--- a/crates/simulator-adapter/src/wire/ids.rs
+++ b/crates/simulator-adapter/src/wire/ids.rs
@@ -47,7 +47,8 @@
     }
 }
 
-/// An endpoint as `address:port`. The admission library's id holds both, so that no table is needed to go back.
+/// An endpoint as `address:port`. The admission library's id holds both, so that no table is needed to go
+/// back.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(try_from = "String")]
 pub(crate) struct EndpointAddress(pub(crate) EndpointId);
--- a/crates/simulator-adapter/src/wire/input.rs
+++ b/crates/simulator-adapter/src/wire/input.rs
@@ -50,16 +50,17 @@
     Request(RequestMessage),
     Timer(TimerMessage),
     CounterReply(CounterReplyMessage),
-    /// Ignored but for its time, since the library has no endpoint probed.
-    ProbeDone,
+    /// Ignored except for its time: the library requests no health checks.
+    HealthCheckDone,
     PeerMessage(PeerMessage),
     ClientGone(ClientGoneMessage),
     AttemptEnded(AttemptEndedMessage),
-    /// Ignored but for its time, since the library decides nothing by the beginning of a response.
+    /// Ignored except for its time: no decision depends on the beginning of a response.
     StreamOpened,
 }
 
-/// All messages under the wire's names, before they are told apart by who they are for.
+/// All messages under the wire's names, before those for the adapter are separated from those for the
+/// library.
 #[derive(Deserialize)]
 #[serde(tag = "msg")]
 enum TaggedMessage {
@@ -74,7 +75,7 @@
     Timer(TimerMessage),
     CounterReply(CounterReplyMessage),
     #[serde(rename = "Echo")]
-    ProbeDone(#[expect(dead_code, reason = "only its form is checked")] ProbeDoneMessage),
+    HealthCheckDone(#[expect(dead_code, reason = "only its form is checked")] HealthCheckDoneMessage),
     #[serde(rename = "NoteFrom")]
     PeerMessage(PeerMessage),
     #[serde(rename = "Hangup")]
@@ -94,7 +95,7 @@
             TaggedMessage::Request(request) => EventMessage::Request(request),
             TaggedMessage::Timer(timer) => EventMessage::Timer(timer),
             TaggedMessage::CounterReply(reply) => EventMessage::CounterReply(reply),
-            TaggedMessage::ProbeDone(_) => EventMessage::ProbeDone,
+            TaggedMessage::HealthCheckDone(_) => EventMessage::HealthCheckDone,
             TaggedMessage::PeerMessage(message) => EventMessage::PeerMessage(message),
             TaggedMessage::ClientGone(client) => EventMessage::ClientGone(client),
             TaggedMessage::AttemptEnded(attempt) => EventMessage::AttemptEnded(attempt),
@@ -103,7 +104,7 @@
     }
 }
 
-/// News of the endpoint list.
+/// An update of the endpoint list.
 #[derive(Deserialize)]
 pub(crate) struct EndpointListMessage {
     pub(super) kind: EndpointListKind,
@@ -124,7 +125,7 @@
     Failed,
 }
 
-/// A line of the endpoint list.
+/// An entry of the endpoint list.
 #[derive(Deserialize)]
 pub(super) struct EndpointEntryMessage {
     #[serde(rename = "host")]
@@ -168,7 +169,7 @@
     pub(super) time_left_ms: f64,
     #[serde(rename = "weight")]
     pub(super) units: f64,
-    /// Through how many gateways the customer's requests come.
+    /// The number of gateways that the customer's requests arrive at.
     #[serde(rename = "spread")]
     pub(super) gateway_count: usize,
     /// The number of the first of them.
@@ -187,7 +188,7 @@
     pub(super) token: u64,
 }
 
-/// The quota counter's answer.
+/// The quota counter's response.
 #[derive(Deserialize)]
 pub(crate) struct CounterReplyMessage {
     #[serde(rename = "book")]
@@ -213,10 +214,10 @@
 /// Values of an endpoint's load report by their names; absent where no report came.
 pub(super) type LoadReport = Option<BTreeMap<String, f64>>;
 
-/// The end of a probe. It is read in full, so that a malformed one is still an error.
+/// The end of a health check. It is read in full, so that a malformed one is still an error.
 #[derive(Deserialize)]
 #[expect(dead_code, reason = "only its form is checked")]
-struct ProbeDoneMessage {
+struct HealthCheckDoneMessage {
     #[serde(rename = "host")]
     endpoint: EndpointAddress,
     #[serde(rename = "verdict")]
@@ -235,7 +236,7 @@
     pub(super) body: String,
 }
 
-/// The client left.
+/// The client disconnected.
 #[derive(Deserialize)]
 pub(crate) struct ClientGoneMessage {
     #[serde(rename = "job")]
@@ -249,7 +250,7 @@
     pub(super) request: HexId,
     #[serde(rename = "verdict")]
     pub(super) outcome: OutcomeMessage,
-    /// Absent, or 0, where no true units came with the answer.
+    /// Absent, or 0, where the response did not carry the true units.
     #[serde(rename = "charged")]
     pub(super) true_units: Option<f64>,
     #[serde(rename = "closed")]
@@ -258,7 +259,7 @@
     pub(super) took_ms: f64,
     #[serde(rename = "host")]
     pub(super) endpoint: EndpointAddress,
-    /// 1 + the customer's use in percent of its rate; absent, or 0, where the meter told none.
+    /// 1 + the customer's use in percent of its rate; absent, or 0, where the meter gave none.
     #[serde(rename = "metered")]
     pub(super) metered_percent_plus_one: Option<f64>,
     #[serde(rename = "sendNo")]
@@ -266,7 +267,7 @@
     pub(super) load: LoadReport,
 }
 
-/// How an attempt or a probe ended.
+/// How an attempt or a health check ended.
 #[derive(Deserialize)]
 pub(super) enum OutcomeMessage {
     #[serde(rename = "OK")]
--- a/crates/simulator-adapter/src/wire/output.rs
+++ b/crates/simulator-adapter/src/wire/output.rs
@@ -32,7 +32,7 @@
         #[serde(rename = "host")]
         endpoint: EndpointAddress,
     },
-    /// Final answer: rejected, and trying again does no harm.
+    /// Final response: rejected; a client's retry does no harm.
     #[serde(rename = "Decline")]
     Reject {
         #[serde(rename = "job")]
@@ -40,13 +40,13 @@
         #[serde(rename = "retryAfterMs", skip_serializing_if = "Option::is_none")]
         retry_after_ms: Option<f64>,
     },
-    /// Final answer: failed.
+    /// Final response: failed.
     #[serde(rename = "Error")]
     Fail {
         #[serde(rename = "job")]
         request: HexId,
     },
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt.
     #[serde(rename = "Recall")]
     Cancel {
         #[serde(rename = "job")]
@@ -62,7 +62,7 @@
         #[serde(rename = "data")]
         body: String,
     },
-    /// Ask for a timer event.
+    /// Set a timer.
     #[serde(rename = "WakeMe")]
     SetTimer {
         #[serde(rename = "momentMs")]
@@ -70,7 +70,7 @@
         #[serde(rename = "name")]
         token: u64,
     },
-    /// Add to a count of the quota counter.
+    /// Add to a counter of the quota counter service.
     #[serde(rename = "PostAmount")]
     AddToCounter {
         #[serde(rename = "book")]
--- a/crates/simulator-adapter/src/wire/tests/events.rs
+++ b/crates/simulator-adapter/src/wire/tests/events.rs
@@ -165,8 +165,9 @@
     );
 }
 
-/// The adapter is sent two kinds of message that no decision goes by: the beginning of a response, and the end of
-/// a probe. They only move the clock, but a malformed one is an error, like any other message that cannot be read.
+/// The adapter is sent two kinds of message that no decision goes by: the beginning of a response, and the
+/// end of a probe. They only move the clock, but a malformed one is an error, like any other message that
+/// cannot be read.
 #[test]
 fn messages_that_no_decision_goes_by_are_read_in_full_and_only_advance_the_time() {
     let opened = json!({"msg": "Opened", "job": "0000000000000abc", "sendNo": 2, "host": "10.18.74.7:7003",
--- a/crates/simulator-adapter/src/wire/tests/ids.rs
+++ b/crates/simulator-adapter/src/wire/tests/ids.rs
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn an_endpoint_address_that_would_not_round_trip_is_refused() {
+fn an_endpoint_address_that_would_not_round_trip_is_rejected() {
     assert!(endpoint_address("10.0.0.1:0700").is_err());
     assert!(endpoint_address("10.0.0.1").is_err());
     assert_eq!(
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn an_id_that_would_not_round_trip_is_refused() {
+fn an_id_that_would_not_round_trip_is_rejected() {
     let parse = |text: &str| HexId::try_from(text.to_owned());
     for text in ["not hex", "abc", "+000000000000abc", "0000000000000ABC", "00000000000000abc"] {
         assert_eq!(parse(text), Err(IdError::NotHexadecimal(text.to_owned())));
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -120,9 +120,9 @@
     }
 }
 
-/// A gateway sets its first timer, and sends what may go now, at the first event of any kind. A message that the
-/// library takes no notice of must bring this about too: were it dropped, the gateway would run no timer until
-/// another event came.
+/// A gateway sets its first timer, and sends what may go now, at the first event of any kind. A message
+/// that the library takes no notice of must bring this about too: were it dropped, the gateway would run no
+/// timer until another event came.
 #[test]
 fn an_ignored_message_still_starts_the_gateways_timer() {
     let opened = serde_json::json!({"msg": "Opened", "job": "0000000000000abc", "sendNo": 0,
