--- a/crates/gateway/src/downstream/connection_table.rs
+++ b/crates/gateway/src/downstream/connection_table.rs
@@ -1,16 +1,11 @@
 //! The open connections of clients, and which of them is evicted for a new one.
 use super::connection::{Connection, ConnectionStage};
+use super::eviction_order::EvictionRank;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
-use std::time::Duration;
 use tokio::sync::Notify;
-
-/// A connection that is silent for this long after its accept is among the first to be evicted. A usual
-/// client writes its first request as soon as it is connected.
-const MIN_SILENCE: Duration = Duration::from_millis(20);
-/// A connection that is idle for this long after a response is among the first to be evicted.
-const MIN_IDLE: Duration = Duration::from_secs(2);
+use tokio::time::Instant;
 
 /// A connection's number, in the order of their accepts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -78,19 +73,13 @@
     /// Evicts the connection that is the first in the eviction order, if any carries no request.
     pub(super) fn evict_one(&self) -> Eviction {
         let connections = self.connections.borrow();
-        let order = |connection: &Connection| {
-            let min_age = match connection.stage() {
-                ConnectionStage::AwaitingFirstRequest => MIN_SILENCE,
-                _ => MIN_IDLE,
-            };
-            let is_recent = connection.stage_since().elapsed() < min_age;
-            (is_recent, connection.stage(), connection.stage_since())
-        };
-        let carries_no_request = |connection: &&Rc<Connection>| {
-            matches!(connection.stage(), ConnectionStage::AwaitingFirstRequest | ConnectionStage::Idle)
+        let now = Instant::now();
+        let rank = |connection: &Connection| {
+            EvictionRank::new(connection.stage(), now.saturating_duration_since(connection.stage_since()))
         };
-        match connections.values().filter(carries_no_request).min_by_key(|connection| order(connection)) {
-            Some(connection) => {
+        let ranked = connections.values().filter_map(|connection| Some((rank(connection)?, connection)));
+        match ranked.min_by_key(|(rank, _)| *rank) {
+            Some((_, connection)) => {
                 connection.evict();
                 Eviction::Evicted
             }
--- a/crates/gateway/src/downstream/handler.rs
+++ b/crates/gateway/src/downstream/handler.rs
@@ -3,9 +3,9 @@
 use super::request::{parse_request, upstream_request};
 use super::request_body::read_body;
 use super::request_error::RequestError;
+use super::request_rules::{body_deadline, close_reason, BodyDeadlineInput, CloseInput};
 use super::response::{error_response, final_response, health_response};
 use super::settings::DownstreamSettings;
-use crate::clock::duration_from_ms;
 use crate::dispatcher::{Dispatcher, FinalResponse};
 use bytes::Bytes;
 use http_body_util::Full;
@@ -16,14 +16,11 @@
 use std::cell::Cell;
 use std::convert::Infallible;
 use std::rc::Rc;
-use std::time::Duration;
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
 /// The path of health checks.
 const HEALTH_PATH: &str = "/healthz";
-/// How long the body of any request but a connection's first may take to arrive.
-const BODY_TIMEOUT: Duration = Duration::from_millis(2000);
 
 /// Handles the requests of all connections.
 pub(super) struct RequestHandler {
@@ -54,12 +51,13 @@
         request: hyper::Request<Incoming>,
     ) -> Result<Response<Full<Bytes>>, Infallible> {
         let handled = self.handle(request, connection).await;
-        // Where a malformed request ends is unknown. What follows it, like a body that was not read, must
-        // not be taken for another request.
-        let closes = handled.is_err()
-            || connection.role() == ConnectionRole::Rejecting
-            || connection.is_flooded()
-            || self.is_draining.get();
+        let closes = close_reason(&CloseInput {
+            is_invalid: handled.is_err(),
+            role: connection.role(),
+            is_flooded: connection.is_flooded(),
+            is_draining: self.is_draining.get(),
+        })
+        .is_some();
         let mut response = handled.unwrap_or_else(error_response);
         if closes {
             response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
@@ -87,7 +85,12 @@
         let body = if body.is_end_stream() {
             Bytes::new()
         } else {
-            let deadline = body_deadline(connection, received_at, request.time_left_ms);
+            let deadline = body_deadline(&BodyDeadlineInput {
+                stage: connection.stage(),
+                first_request_deadline: connection.first_request_deadline(),
+                received_at,
+                time_left_ms: request.time_left_ms,
+            });
             read_body(body, &head.method, deadline).await?
         };
         connection.begin_request().await;
@@ -125,15 +128,6 @@
     }
 }
 
-/// When the body of a request must be complete.
-fn body_deadline(connection: &Connection, received_at: Instant, time_left_ms: f64) -> Instant {
-    let deadline = match connection.stage() {
-        ConnectionStage::AwaitingFirstRequest => connection.first_request_deadline(),
-        _ => received_at + BODY_TIMEOUT,
-    };
-    deadline.min(received_at + duration_from_ms(time_left_ms))
-}
-
 /// Notifies the dispatcher that the client has disconnected, if dropped before there is a response.
 struct CancelOnDrop<'a> {
     dispatcher: &'a Rc<Dispatcher>,
--- a/crates/gateway/src/downstream/listener.rs
+++ b/crates/gateway/src/downstream/listener.rs
@@ -1,6 +1,6 @@
 //! Accepts clients' connections, within a limit.
 use super::connection::ConnectionRole;
-use super::connection_table::Eviction;
+use super::connection_limit::Placement;
 use super::server::DownstreamServer;
 use crate::logging::target;
 use std::rc::Rc;
@@ -43,15 +43,20 @@
     /// unaccepted, they would wait in the kernel's queue, and their clients for a response that never
     /// comes.
     async fn admit(self: &Rc<Self>, stream: TcpStream) {
+        let limit = self.connection_limit();
         let open = self.connections().len();
-        let is_full = open >= self.max_connections() && self.connections().evict_one() == Eviction::AllActive;
-        let max_open = self.max_connections() + MAX_REJECTING_CONNECTIONS;
-        if open >= max_open && !is_full {
-            // The evicted connection closes in its turn, unless it still has a body to read.
-            yield_now().await;
-        }
-        if self.connections().len() < max_open {
-            self.serve(stream, if is_full { ConnectionRole::Rejecting } else { ConnectionRole::Serving });
+        let eviction = limit.needs_eviction(open).then(|| self.connections().evict_one());
+        match limit.place(open, eviction) {
+            Placement::Serve => self.serve(stream, ConnectionRole::Serving),
+            Placement::ServeAfterClose => {
+                // The evicted connection closes when its task runs, unless it still has a body to read.
+                yield_now().await;
+                if limit.has_capacity(self.connections().len()) {
+                    self.serve(stream, ConnectionRole::Serving);
+                }
+            }
+            Placement::Reject => self.serve(stream, ConnectionRole::Rejecting),
+            Placement::Close => {}
         }
     }
 }
--- a/crates/gateway/src/downstream/mod.rs
+++ b/crates/gateway/src/downstream/mod.rs
@@ -2,13 +2,18 @@
 //!
 //! - [`listener`]: accepts connections, within a limit.
 //! - [`server`]: serves each accepted connection, and drains them all at the end.
-//! - [`connection_table`]: the open connections, and which one is evicted for a new one.
+//! - [`connection_table`]: the open connections.
+//! - [`connection_limit`]: what becomes of a new connection; [`eviction_order`]: which one is evicted for
+//!   it; [`request_rules`]: when a body must be complete, and after which responses a connection closes.
+//!   These are the rules, without I/O.
 //! - [`connection`]: one connection's stage, and how a disconnect of its client is noticed; [`flood`]
 //!   discards what a client sends without waiting for a response.
 //! - [`handler`]: takes a request from its head to its response: [`request`] and [`metering`] parse it,
 //!   [`response`] writes what the dispatcher decided.
 mod connection;
+mod connection_limit;
 mod connection_table;
+mod eviction_order;
 mod flood;
 mod handler;
 mod listener;
@@ -16,6 +21,7 @@
 mod request;
 mod request_body;
 mod request_error;
+mod request_rules;
 mod response;
 mod server;
 mod settings;
--- a/crates/gateway/src/downstream/server.rs
+++ b/crates/gateway/src/downstream/server.rs
@@ -1,7 +1,9 @@
 //! The server for clients: serves each connection, and drains them all at the end.
 use super::connection::{Connection, ConnectionRole, ConnectionStage};
+use super::connection_limit::ConnectionLimit;
 use super::connection_table::ConnectionTable;
 use super::handler::RequestHandler;
+use super::listener::MAX_REJECTING_CONNECTIONS;
 use super::settings::DownstreamSettings;
 use crate::dispatcher::Dispatcher;
 use crate::logging::target;
@@ -24,17 +26,20 @@
 pub(crate) struct DownstreamServer {
     handler: RequestHandler,
     connections: ConnectionTable,
-    max_connections: usize,
+    connection_limit: ConnectionLimit,
 }
 
 impl DownstreamServer {
     /// Creates a server without connections.
     pub(crate) fn new(dispatcher: Rc<Dispatcher>, settings: DownstreamSettings) -> Rc<Self> {
-        let max_connections = settings.max_connections;
+        let connection_limit = ConnectionLimit {
+            max_serving: settings.max_connections,
+            max_rejecting: MAX_REJECTING_CONNECTIONS,
+        };
         Rc::new(DownstreamServer {
             handler: RequestHandler::new(dispatcher, settings),
             connections: ConnectionTable::default(),
-            max_connections,
+            connection_limit,
         })
     }
 
@@ -43,9 +48,9 @@
         &self.connections
     }
 
-    /// The maximum number of connections whose requests are served.
-    pub(super) fn max_connections(&self) -> usize {
-        self.max_connections
+    /// The limits on open connections.
+    pub(super) fn connection_limit(&self) -> ConnectionLimit {
+        self.connection_limit
     }
 
     /// Begins to drain: each connection that has had a request closes after the response to the one in
--- a/crates/gateway/src/downstream/tests/mod.rs
+++ b/crates/gateway/src/downstream/tests/mod.rs
@@ -1,10 +1,13 @@
 //! The tests of the downstream server, by concern, and what they share.
 mod client_departure;
+mod connection_limit;
 mod eviction;
+mod eviction_order;
 mod flood;
 mod metering;
 mod request_errors;
 mod request_parsing;
+mod request_rules;
 
 use super::connection::{Connection, ConnectionRole, ConnectionStage};
 use irishinge_admission::{ClassSettings, DedupGroup, Idempotency, Settings};
--- /dev/null
+++ b/crates/gateway/src/downstream/tests/request_rules.rs
@@ -0,0 +1,46 @@
+//! The deadline of a body and the reasons to close a connection, branch by branch.
+use crate::downstream::connection::{ConnectionRole, ConnectionStage};
+use crate::downstream::request_rules::{
+    body_deadline, close_reason, BodyDeadlineInput, CloseInput, CloseReason, BODY_TIMEOUT,
+};
+use std::time::Duration;
+use tokio::time::Instant;
+
+#[test]
+fn a_body_is_due_by_the_first_requests_deadline_or_its_timeout_and_never_after_its_client_stops_waiting() {
+    let received_at = Instant::now();
+    let first_request_deadline = received_at + Duration::from_millis(700);
+    let after_ms = |ms| received_at + Duration::from_millis(ms);
+    let cases = [
+        (ConnectionStage::AwaitingFirstRequest, 5000.0, first_request_deadline),
+        (ConnectionStage::AwaitingFirstRequest, 300.0, after_ms(300)),
+        (ConnectionStage::Idle, 5000.0, received_at + BODY_TIMEOUT),
+        (ConnectionStage::Active, 5000.0, received_at + BODY_TIMEOUT),
+        (ConnectionStage::Idle, 300.0, after_ms(300)),
+    ];
+    for (stage, time_left_ms, deadline) in cases {
+        let input = BodyDeadlineInput { stage, first_request_deadline, received_at, time_left_ms };
+        assert_eq!(body_deadline(&input), deadline, "{input:?}");
+    }
+}
+
+#[test]
+fn a_connection_closes_for_the_first_reason_that_holds() {
+    let open = CloseInput {
+        is_invalid: false,
+        role: ConnectionRole::Serving,
+        is_flooded: false,
+        is_draining: false,
+    };
+    let rejecting = ConnectionRole::Rejecting;
+    let cases = [
+        (open, None),
+        (CloseInput { is_draining: true, ..open }, Some(CloseReason::Draining)),
+        (CloseInput { is_flooded: true, is_draining: true, ..open }, Some(CloseReason::Flooded)),
+        (CloseInput { role: rejecting, is_flooded: true, ..open }, Some(CloseReason::OverLimit)),
+        (CloseInput { is_invalid: true, role: rejecting, ..open }, Some(CloseReason::InvalidRequest)),
+    ];
+    for (input, reason) in cases {
+        assert_eq!(close_reason(&input), reason, "{input:?}");
+    }
+}
