--- a/crates/gateway/src/dispatcher/active_call.rs
+++ b/crates/gateway/src/dispatcher/active_call.rs
@@ -1,5 +1,5 @@
 //! The state of an active call: the channel for its response, and its attempts.
-use crate::clock::duration_from_ms;
+use super::call_deadlines::CallDeadlines;
 use crate::upstream::{AttemptResult, UpstreamRequest};
 use bytes::Bytes;
 use hyper::Response;
@@ -52,22 +52,22 @@
     /// `None` once the call has its response or its client has disconnected.
     responder: Option<Responder>,
     pub(super) request: Rc<UpstreamRequest>,
-    deadline: Instant,
+    deadlines: CallDeadlines,
     /// Indexed in the order sent; `None` if the attempt has ended.
     attempts: Vec<Option<Attempt>>,
 }
 
 impl ActiveCall {
-    /// Creates a call without attempts that must have its response by `deadline`.
+    /// Creates a call without attempts.
     pub(super) fn new(
         responder: oneshot::Sender<FinalResponse>,
         request: UpstreamRequest,
-        deadline: Instant,
+        deadlines: CallDeadlines,
     ) -> Self {
         ActiveCall {
             responder: Some(Responder(responder)),
             request: Rc::new(request),
-            deadline,
+            deadlines,
             attempts: Vec::new(),
         }
     }
@@ -108,13 +108,9 @@
         self.attempts.get_mut(index)?.take()
     }
 
-    /// The deadline of an attempt. With a timeout of 0 it is the deadline of the call.
+    /// When an attempt that is sent at `sent_at` times out; see [`CallDeadlines::attempt_deadline`].
     pub(super) fn attempt_deadline(&self, sent_at: Instant, timeout_ms: f64) -> Instant {
-        if timeout_ms == 0.0 {
-            self.deadline
-        } else {
-            self.deadline.min(sent_at + duration_from_ms(timeout_ms))
-        }
+        self.deadlines.attempt_deadline(sent_at, timeout_ms)
     }
 }
 
--- a/crates/gateway/src/dispatcher/mod.rs
+++ b/crates/gateway/src/dispatcher/mod.rs
@@ -3,14 +3,16 @@
 //! their attempts.
 mod actions;
 mod active_call;
+mod call_deadlines;
 #[cfg(test)]
 mod tests;
 mod timers;
 
 pub(crate) use self::active_call::FinalResponse;
 use self::active_call::{ActiveCall, EndedAttempt};
+use self::call_deadlines::{response_without_result, CallDeadlines};
 use self::timers::{Due, Rearm, TimerQueue};
-use crate::clock::{duration_from_ms, Clock};
+use crate::clock::Clock;
 use crate::discovery::{EndpointList, EndpointListObserver};
 use crate::peers::{PeerMessageHandler, Peers};
 use crate::quota_counter::QuotaCounter;
@@ -24,10 +26,6 @@
 use tokio::sync::{oneshot, Notify};
 use tokio::time::Instant;
 
-/// How long before a request's deadline the dispatcher responds itself, in milliseconds. The decision library
-/// normally responds sooner; this guarantees that every request gets a response, whatever the library does.
-const DEADLINE_GUARD_MS: f64 = 5.0;
-
 /// The state that events change.
 struct State {
     gateway: Gateway,
@@ -107,10 +105,9 @@
             if state.calls.contains_key(&request.id) {
                 return None;
             }
-            let deadline = Instant::now() + duration_from_ms(request.time_left_ms);
-            let guard = Instant::now() + duration_from_ms(request.time_left_ms - DEADLINE_GUARD_MS);
-            state.calls.insert(request.id, ActiveCall::new(sender, upstream_request, deadline));
-            self.schedule(&mut state, guard, Due::DeadlineGuard(request.id));
+            let deadlines = CallDeadlines::new(Instant::now(), request.time_left_ms);
+            state.calls.insert(request.id, ActiveCall::new(sender, upstream_request, deadlines));
+            self.schedule(&mut state, deadlines.guard(), Due::DeadlineGuard(request.id));
         }
         self.on_event(Event::Request(request));
         Some(receiver)
@@ -151,10 +148,7 @@
             let Some(responder) = call.take_responder() else { return };
             (responder, call.was_attempted())
         };
-        responder.respond(match was_attempted {
-            true => FinalResponse::Failed,
-            false => FinalResponse::Rejected { retry_after_ms: None },
-        });
+        responder.respond(response_without_result(was_attempted));
         self.on_event(Event::ClientGone { request });
         self.forget_if_over(request);
     }
--- a/crates/gateway/src/dispatcher/tests.rs
+++ b/crates/gateway/src/dispatcher/tests/timer_queue.rs
@@ -1,5 +1,5 @@
 //! The tests of the dispatcher's timers.
-use super::timers::{Due, Rearm, TimerQueue};
+use crate::dispatcher::timers::{Due, Rearm, TimerQueue};
 use irishinge_admission::RequestId;
 use std::time::Duration;
 use tokio::time::Instant;
--- a/crates/gateway/src/upstream/attempt.rs
+++ b/crates/gateway/src/upstream/attempt.rs
@@ -1,13 +1,13 @@
 //! A single attempt to serve a request: acquires a connection, sends the request and classifies the outcome.
+use super::outcomes::{failure_outcome, reason_not_to_send, response_outcome, timeout_outcome, SendCheck};
 use super::pool::UpstreamPool;
 use super::request::UpstreamRequest;
 use super::MAX_BODY_BYTES;
-use crate::connection_budget::PooledConnection;
 use crate::header_names::{LOAD_REPORT, REJECTED, SETTLED};
-use crate::http_connection::{ExchangeError, WriteStatus};
+use crate::http_connection::WriteStatus;
 use bytes::Bytes;
 use hyper::header::HeaderName;
-use hyper::{Response, StatusCode};
+use hyper::Response;
 use irishinge_admission::{EndpointId, Outcome};
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -63,12 +63,9 @@
         let attempt = self.attempt_without_timeout(endpoint, request, deadline, is_wanted, &write_status);
         match timeout_at(deadline, attempt).await {
             Ok(result) => result,
-            // One written byte is enough for the endpoint to have received the request: the kernel may have
-            // sent the rest. Counted as never sent, it could be repeated although it runs.
             Err(_) => {
-                let written = write_status.take().is_some_and(|status: WriteStatus| status.any_written());
-                let outcome = if written { Outcome::TimedOut } else { Outcome::ConnectFailed };
-                AttemptResult::without_response(outcome)
+                let any_written = write_status.take().is_some_and(|status: WriteStatus| status.any_written());
+                AttemptResult::without_response(timeout_outcome(any_written))
             }
         }
     }
@@ -84,7 +81,7 @@
         let never_sent = || AttemptResult::without_response(Outcome::ConnectFailed);
         let Some(addr) = self.ready_addr(endpoint) else { return never_sent() };
         let Some(mut pooled) = self.acquire(endpoint, addr).await else { return never_sent() };
-        if let Some(outcome) = self.reason_not_to_send(endpoint, addr, is_wanted) {
+        if let Some(outcome) = self.check_before_send(endpoint, addr, is_wanted) {
             self.release(endpoint, addr, pooled);
             return AttemptResult::without_response(outcome);
         }
@@ -94,7 +91,10 @@
                 self.release(endpoint, addr, pooled);
                 AttemptResult { outcome: outcome_of(&response), response: Some(response) }
             }
-            Err(error) => AttemptResult::without_response(outcome_of_failure(&pooled, &error)),
+            Err(error) => {
+                let any_written = pooled.connection.write_status().any_written();
+                AttemptResult::without_response(failure_outcome(any_written, &error))
+            }
         }
     }
 
@@ -104,36 +104,21 @@
     /// list or to a draining endpoint, or for a client that has disconnected or has the response of another
     /// attempt (where the settings forbid cancelling). The check holds because nothing is awaited between
     /// it and the write.
-    fn reason_not_to_send(
+    fn check_before_send(
         &self,
         endpoint: EndpointId,
         addr: SocketAddr,
         is_wanted: impl Fn() -> bool,
     ) -> Option<Outcome> {
-        if self.is_lease_expired() {
-            return Some(Outcome::TooLate);
-        }
-        let wanted = self.ready_addr(endpoint) == Some(addr) && is_wanted();
-        (!wanted).then_some(Outcome::ConnectFailed)
+        reason_not_to_send(&SendCheck {
+            is_lease_expired: self.is_lease_expired(),
+            is_endpoint_ready: self.ready_addr(endpoint) == Some(addr),
+            is_wanted: is_wanted(),
+        })
     }
 }
 
 fn outcome_of(response: &Response<Bytes>) -> Outcome {
-    let rejected = response.headers().get(REJECTED).is_some_and(|value| value == "1");
-    match response.status() {
-        StatusCode::OK => Outcome::Ok,
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if rejected => Outcome::Overloaded,
-        _ => Outcome::Error,
-    }
-}
-
-fn outcome_of_failure(pooled: &PooledConnection, error: &ExchangeError) -> Outcome {
-    if !pooled.connection.write_status().any_written() {
-        return Outcome::ConnectFailed;
-    }
-    match error {
-        ExchangeError::ConnectionLost => Outcome::Reset,
-        // The endpoint is up and has responded, but not with valid HTTP.
-        ExchangeError::InvalidResponse => Outcome::Error,
-    }
+    let is_marked_rejected = response.headers().get(REJECTED).is_some_and(|value| value == "1");
+    response_outcome(response.status(), is_marked_rejected)
 }
--- a/crates/gateway/src/upstream/mod.rs
+++ b/crates/gateway/src/upstream/mod.rs
@@ -1,5 +1,6 @@
 //! The upstream side: the endpoints, the pool of connections to them, and single attempts to serve a request.
 mod attempt;
+mod outcomes;
 mod pool;
 mod request;
 mod reuse_delay;
--- a/crates/gateway/src/upstream/tests.rs
+++ b/crates/gateway/src/upstream/tests/connections.rs
@@ -1,8 +1,8 @@
-//! The tests of the upstream side: the delay before reuse, surplus bytes, and expired endpoint lists.
-use super::reuse_delay::{ReuseDelay, DELAY_PERIOD, REUSE_DELAY};
-use super::*;
+//! Connections to endpoints: the delay before reuse, surplus bytes, and expired endpoint lists.
 use crate::discovery::DiscoveredEndpoint;
 use crate::http_connection::HttpConnection;
+use crate::upstream::reuse_delay::{ReuseDelay, DELAY_PERIOD, REUSE_DELAY};
+use crate::upstream::{UpstreamPool, UpstreamRequest};
 use bytes::Bytes;
 use hyper::header::HeaderValue;
 use hyper::{Method, Uri};
--- /dev/null
+++ b/crates/gateway/src/upstream/tests/mod.rs
@@ -0,0 +1,3 @@
+//! The tests of the upstream side, by concern.
+mod connections;
+mod outcomes;
