--- a/crates/gateway/src/discovery/error.rs
+++ b/crates/gateway/src/discovery/error.rs
@@ -53,7 +53,7 @@
     /// The response's body is not a list.
     #[error("cannot read the list")]
     MalformedList(#[from] serde_json::Error),
-    /// The revision is older than the one known.
+    /// The revision is older than the cached one.
     #[error("the list is older than the one known")]
     RevisionWentBack,
 }
--- a/crates/gateway/src/discovery/mod.rs
+++ b/crates/gateway/src/discovery/mod.rs
@@ -7,6 +7,7 @@
 //! - [`watch`]: the loop that calls discovery over one connection after another.
 //! - [`refresh_schedule`]: when the next call is due and how long it may take, by the times of the
 //!   [`refresh_policy`], the [`list_lease`] and a [`backoff`] with jitter.
+//! - [`list_revision`]: what to request next, and which responses may be applied.
 //! - [`lease_expiry`]: reports when the lease runs out.
 //! - [`error`]: why a call brought no list, by what it shows of discovery.
 mod backoff;
@@ -14,6 +15,7 @@
 mod error;
 mod lease_expiry;
 mod list_lease;
+mod list_revision;
 mod observer;
 mod refresh_policy;
 mod refresh_schedule;
--- a/crates/gateway/src/discovery/tests/mod.rs
+++ b/crates/gateway/src/discovery/tests/mod.rs
@@ -4,6 +4,7 @@
 mod fleet_recovery;
 mod lease_expiry;
 mod list_lease;
+mod list_revision;
 mod refresh_policy;
 mod refresh_schedule;
 
--- a/crates/gateway/src/discovery/watch.rs
+++ b/crates/gateway/src/discovery/watch.rs
@@ -3,6 +3,7 @@
 use super::endpoint_list::EndpointList;
 use super::error::{CallError, DiscoveryError};
 use super::lease_expiry::report_lease_expiry;
+use super::list_revision::{ListCall, ListRevision};
 use super::observer::EndpointListObserver;
 use super::refresh_policy::RefreshPolicy;
 use super::refresh_schedule::{CallPosition, RefreshSchedule};
@@ -40,8 +41,8 @@
 ) {
     let schedule = RefreshSchedule::new(policy, seed, Instant::now());
     let (lease_end, lease_ends) = watch::channel(Instant::now());
-    let mut list_watch =
-        EndpointListWatch { observer, revision: known_revision, schedule, lease_end, is_healthy: true };
+    let revision = ListRevision(known_revision);
+    let mut list_watch = EndpointListWatch { observer, revision, schedule, lease_end, is_healthy: true };
     list_watch.publish_lease();
     if policy.lease_duration.is_some() {
         let observer = list_watch.observer.clone();
@@ -51,8 +52,8 @@
         let current = *addr.borrow_and_update();
         // A new address ends a call and a pause alike, because the old discovery may never respond again.
         // What is lost with them: the connection, and a list that was only partly read. The new address
-        // starts with the complete list, and the lease was published before each wait, so neither is
-        // missed.
+        // starts with the complete list, and each change of the lease is published before the next wait, so
+        // neither is missed.
         let address_changed = tokio::select! {
             () = list_watch.follow_until_error(current) => false,
             Ok(()) = addr.changed() => true,
@@ -74,8 +75,8 @@
 /// The state of the watch.
 struct EndpointListWatch<O> {
     observer: O,
-    /// The revision since which changes are requested; `None` requests the complete list.
-    revision: Option<u64>,
+    /// The revision of the cached list.
+    revision: ListRevision,
     schedule: RefreshSchedule,
     /// When the lease runs out, for the task that reports it.
     lease_end: watch::Sender<Instant>,
@@ -94,11 +95,7 @@
     /// Follows discovery at one address until that fails, then pauses.
     async fn follow_until_error(&mut self, addr: SocketAddr) {
         let Err::<Infallible, DiscoveryError>(error) = self.follow(addr).await;
-        // Discovery that rejects calls may be overloaded. Changes cost it less to write than the complete
-        // list, so the revision stays.
-        if !matches!(error, DiscoveryError::Rejected) {
-            self.revision = None;
-        }
+        self.revision.reset_after(&error);
         if std::mem::take(&mut self.is_healthy) {
             tracing::warn!(
                 target: target::DISCOVERY,
@@ -113,7 +110,7 @@
     }
 
     fn on_address_change(&mut self) {
-        self.revision = None;
+        self.revision.reset();
         self.schedule.on_address_change(Instant::now());
         self.publish_lease();
     }
@@ -129,12 +126,13 @@
     async fn follow(&mut self, addr: SocketAddr) -> Result<Infallible, DiscoveryError> {
         let complete_list_first = self.schedule.policy().complete_list_first;
         if complete_list_first {
-            self.revision = None;
+            self.revision.reset();
         }
         let started = Instant::now();
         let mut connection = self.connect(addr, started).await?;
         // Where lists are pushed, the connection and the first call over it have one timeout together.
         let called = if complete_list_first { started } else { Instant::now() };
+        // A first call that fails shows that something was reached, which an interrupted watch does not.
         let first = self.call(&mut connection, addr, CallPosition::First, called).await;
         let mut response = first.map_err(|error| match error {
             DiscoveryError::WatchInterrupted(cause) => DiscoveryError::NoList(cause),
@@ -157,13 +155,7 @@
     /// Renews the lease by a list and passes the list to the observer.
     fn accept(&mut self, response: ListResponse, addr: SocketAddr) -> Result<(), DiscoveryError> {
         let ListResponse { list, delay } = response;
-        // An older revision than the requested one is a response that was overtaken, or discovery has
-        // restarted its count. Applied, it could undo a drain. Its changes may be to another list than the
-        // cached one, so the complete list is fetched.
-        if self.revision.is_some_and(|known| list.revision < known) {
-            return Err(DiscoveryError::WatchInterrupted(CallError::RevisionWentBack));
-        }
-        self.revision = Some(list.revision);
+        self.revision.advance(list.revision)?;
         self.schedule.on_list(delay, Instant::now());
         self.publish_lease();
         if !std::mem::replace(&mut self.is_healthy, true) {
@@ -188,12 +180,7 @@
         started: Instant,
     ) -> Result<ListResponse, DiscoveryError> {
         let times = self.schedule.call_times(position, started);
-        let (path, wait) = match self.revision {
-            Some(revision) => {
-                (format!("/v1/servers?after={revision}&wait_ms={}", times.wait.as_millis()), times.wait)
-            }
-            None => ("/v1/servers".to_string(), Duration::ZERO),
-        };
+        let ListCall { path, wait } = self.revision.next_call(times.wait);
         let request = Request::get(path).header(HOST, addr.to_string()).body(Full::new(Bytes::new()));
         let request = request.map_err(|error| DiscoveryError::WatchInterrupted(error.into()))?;
         let deadline = started + wait + times.response_timeout;
