--- a/crates/gateway/src/quota_counter.rs
+++ b/crates/gateway/src/quota_counter.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::header::HOST;
-use hyper::{Request, Response, StatusCode};
+use hyper::{Request, StatusCode};
 use irishinge_admission::CounterOutcome;
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -63,12 +63,9 @@
         let write_status = pooled.connection.write_status();
         let response = timeout_at(deadline, pooled.connection.exchange(request, MAX_BODY_BYTES)).await;
         let Ok(Ok(response)) = response else {
-            // One byte is enough for the counter to have received the request: the kernel may have sent the
-            // rest. If this counted as rejected, units that were added would count as free.
-            let written = write_status.any_written();
-            return if written { CounterOutcome::Unanswered } else { CounterOutcome::Rejected };
+            return outcome_without_response(write_status.any_written());
         };
-        let outcome = outcome_of(&response);
+        let outcome = response_outcome(response.status(), response.body());
         // What follows a response that cannot be understood may be the rest of it, and would be read as the
         // response to the next call. So such a connection is closed.
         if !matches!(outcome, CounterOutcome::Unanswered) {
@@ -99,10 +96,12 @@
     }
 }
 
-fn outcome_of(response: &Response<Bytes>) -> CounterOutcome {
-    let text = std::str::from_utf8(response.body()).ok();
+/// The outcome of a call that was answered with this status and body. A total that cannot be read leaves
+/// open what the counter has; a status by which it rejects says that nothing was added.
+fn response_outcome(status: StatusCode, body: &[u8]) -> CounterOutcome {
+    let text = std::str::from_utf8(body).ok();
     let total = text.and_then(|text| text.trim().parse::<f64>().ok()).filter(|total| total.is_finite());
-    match (response.status(), total) {
+    match (status, total) {
         (StatusCode::OK, Some(total)) => CounterOutcome::Total(total),
         // The amount was added, but the new total is unknown.
         (StatusCode::OK, None) => CounterOutcome::Unanswered,
@@ -112,3 +111,19 @@
         _ => CounterOutcome::Unanswered,
     }
 }
+
+/// The outcome of a call that brought no response. `any_written`: at least one byte of the request was
+/// written.
+///
+/// One byte is enough for the counter to have received the request, since the kernel may have sent the
+/// rest. If this counted as rejected, units that were added would count as free.
+fn outcome_without_response(any_written: bool) -> CounterOutcome {
+    if any_written {
+        CounterOutcome::Unanswered
+    } else {
+        CounterOutcome::Rejected
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/gateway/tests/it/common/gateway_process.rs
+++ b/crates/gateway/tests/it/common/gateway_process.rs
@@ -99,8 +99,8 @@
     }
 
     /// Waits until the gateway has closed one of its sockets. That a client has closed its end does not
-    /// show that the gateway was notified: while another test starts a process, that process holds the client's
-    /// end open too.
+    /// show that the gateway was notified: while another test starts a process, that process holds the
+    /// client's end open too.
     pub(crate) fn wait_until_closed(&self, socket: &str, what: &str) {
         let start = Instant::now();
         while self.has_descriptor(socket) {
