--- a/crates/gateway/src/discovery/endpoint_list.rs
+++ b/crates/gateway/src/discovery/endpoint_list.rs
@@ -102,10 +102,10 @@
             id: endpoint_id(&self.uid),
             // All zones and kinds that the settings do not name get the same index, the one after the last
             // name.
-            zone: ZoneIndex(names.zone_index(&self.zone).unwrap_or(names.zones.len())),
-            kind: MachineKindIndex(
-                names.machine_kind_index(&self.machine_kind).unwrap_or(names.machine_kinds.len()),
-            ),
+            zone: names.zone_index(&self.zone).unwrap_or(ZoneIndex(names.zones.len())),
+            kind: names
+                .machine_kind_index(&self.machine_kind)
+                .unwrap_or(MachineKindIndex(names.machine_kinds.len())),
             cell: self.cell,
             state,
             // Discovery's clock may be ahead of ours. With a start in the future, slow start would compute a
--- a/crates/gateway/src/downstream/request.rs
+++ b/crates/gateway/src/downstream/request.rs
@@ -7,9 +7,7 @@
 use hyper::header::{HeaderMap, HeaderName, CONTENT_TYPE, HOST, TRANSFER_ENCODING};
 use hyper::http::request::Parts;
 use hyper::Method;
-use irishinge_admission::{
-    ClassIndex, CustomerId, GatewayIndex, Idempotency, PlanIndex, Request, RequestId, Settings,
-};
+use irishinge_admission::{CustomerId, GatewayIndex, Idempotency, Request, RequestId, Settings};
 use irishinge_settings::Names;
 
 /// Headers of which one value is allowed. Which of two values counted would be a guess, and an endpoint may
@@ -37,15 +35,15 @@
     let class = names.class_index(class).map_err(|_| RequestError::UnknownClass)?;
     let plan = header(headers, CONTRACT).ok_or(RequestError::MissingPlan)?;
     let plan = names.plan_index(plan).map_err(|_| RequestError::UnknownPlan)?;
-    let class_settings = &settings.classes[class];
+    let class_settings = &settings.classes[class.0];
     check_idempotency(head, class_settings.idempotency)?;
     let budget_s = parse_budget_s(headers)?;
     let metering = header(headers, METERING).and_then(|text| Metering::parse(text, settings));
     let metering = metering.ok_or(RequestError::InvalidMetering)?;
     Ok(Request {
         id: RequestId(id),
-        class: ClassIndex(class),
-        plan: PlanIndex(plan),
+        class,
+        plan,
         customer,
         time_left_ms: (budget_s * 1000.0).min(class_settings.deadline_ms),
         units: metering.units,
--- a/crates/settings/src/names.rs
+++ b/crates/settings/src/names.rs
@@ -1,5 +1,6 @@
 //! The names behind the indexes that the admission library works with.
 
+use irishinge_admission::{ClassIndex, MachineKindIndex, PlanIndex, ZoneIndex};
 use std::fmt;
 
 /// The names that the settings give to request classes, plans, zones and machine kinds, each by its index.
@@ -53,33 +54,37 @@
     /// The index of the request class called `name`.
     ///
     /// # Errors
-    /// [`UnknownName`] where the settings have no such class.
-    pub fn class_index(&self, name: &str) -> Result<usize, UnknownName> {
-        index_of(&self.classes, name, NameKind::Class)
+    ///
+    /// Fails with [`UnknownName`] if the settings have no such class.
+    pub fn class_index(&self, name: &str) -> Result<ClassIndex, UnknownName> {
+        index_of(&self.classes, name, NameKind::Class).map(ClassIndex)
     }
 
     /// The index of the plan called `name`.
     ///
     /// # Errors
-    /// [`UnknownName`] where the settings have no such plan.
-    pub fn plan_index(&self, name: &str) -> Result<usize, UnknownName> {
-        index_of(&self.plans, name, NameKind::Plan)
+    ///
+    /// Fails with [`UnknownName`] if the settings have no such plan.
+    pub fn plan_index(&self, name: &str) -> Result<PlanIndex, UnknownName> {
+        index_of(&self.plans, name, NameKind::Plan).map(PlanIndex)
     }
 
     /// The index of the zone called `name`.
     ///
     /// # Errors
-    /// [`UnknownName`] where the settings have no such zone.
-    pub fn zone_index(&self, name: &str) -> Result<usize, UnknownName> {
-        index_of(&self.zones, name, NameKind::Zone)
+    ///
+    /// Fails with [`UnknownName`] if the settings have no such zone.
+    pub fn zone_index(&self, name: &str) -> Result<ZoneIndex, UnknownName> {
+        index_of(&self.zones, name, NameKind::Zone).map(ZoneIndex)
     }
 
     /// The index of the machine kind called `name`.
     ///
     /// # Errors
-    /// [`UnknownName`] where the settings have no such machine kind.
-    pub fn machine_kind_index(&self, name: &str) -> Result<usize, UnknownName> {
-        index_of(&self.machine_kinds, name, NameKind::MachineKind)
+    ///
+    /// Fails with [`UnknownName`] if the settings have no such machine kind.
+    pub fn machine_kind_index(&self, name: &str) -> Result<MachineKindIndex, UnknownName> {
+        index_of(&self.machine_kinds, name, NameKind::MachineKind).map(MachineKindIndex)
     }
 }
 
--- a/crates/settings/src/translate.rs
+++ b/crates/settings/src/translate.rs
@@ -3,9 +3,7 @@
 use crate::document::{PlanSection, RequestClassSection, SettingsDocument};
 use crate::error::SettingsDocumentError;
 use crate::names::Names;
-use irishinge_admission::{
-    ClassSettings, DedupGroup, GatewayIndex, Idempotency, PlanSettings, Settings, ZoneIndex,
-};
+use irishinge_admission::{ClassSettings, DedupGroup, GatewayIndex, Idempotency, PlanSettings, Settings};
 
 /// What a settings object says in the admission library's terms.
 #[derive(Debug)]
@@ -41,7 +39,7 @@
             me: GatewayIndex(self.gateway_number),
             gateways: self.gateways,
             tick_ms: self.tick_ms,
-            zone: ZoneIndex(zone),
+            zone,
             classes,
             plans: self.plans.into_iter().map(PlanSection::translate).collect(),
             max_attempts: self.site_limits.max_attempts,
--- a/crates/settings/tests/settings_document.rs
+++ b/crates/settings/tests/settings_document.rs
@@ -1,6 +1,8 @@
-//! What a settings object is read as, and how one that cannot be used is refused.
+//! What a settings object is read as, and how one that cannot be used is rejected.
 
-use irishinge_admission::{DedupGroup, GatewayIndex, Idempotency, ZoneIndex};
+use irishinge_admission::{
+    ClassIndex, DedupGroup, GatewayIndex, Idempotency, MachineKindIndex, PlanIndex, ZoneIndex,
+};
 use irishinge_settings::{
     DiscoveryMode, NameKind, SettingsDocument, SettingsDocumentError, SocketSettings, TranslatedSettings,
     UnknownName,
@@ -64,8 +66,14 @@
         (11.0, 12.0, 13.0)
     );
     assert_eq!(settings.check(), Ok(()));
-    assert_eq!((names.class_index("order"), names.plan_index("basic")), (Ok(1), Ok(0)));
-    assert_eq!((names.zone_index("south"), names.machine_kind_index("big")), (Ok(1), Ok(1)));
+    assert_eq!(
+        (names.class_index("order"), names.plan_index("basic")),
+        (Ok(ClassIndex(1)), Ok(PlanIndex(0)))
+    );
+    assert_eq!(
+        (names.zone_index("south"), names.machine_kind_index("big")),
+        (Ok(ZoneIndex(1)), Ok(MachineKindIndex(1)))
+    );
 }
 
 #[test]
--- a/crates/simulator-adapter/src/wire/event.rs
+++ b/crates/simulator-adapter/src/wire/event.rs
@@ -5,8 +5,8 @@
     EndpointListMessage, EndpointStateMessage, EventMessage, LoadReport, OutcomeMessage, RequestMessage,
 };
 use irishinge_admission::{
-    AttemptEnd, ClassIndex, CounterOutcome, CustomerId, EndpointEntry, EndpointState, Event, GatewayIndex,
-    ListKind, MachineKindIndex, Outcome, PlanIndex, Request, RequestId, ZoneIndex,
+    AttemptEnd, CounterOutcome, CustomerId, EndpointEntry, EndpointState, Event, GatewayIndex, ListKind,
+    Outcome, Request, RequestId,
 };
 use irishinge_settings::{Names, UnknownName};
 
@@ -64,8 +64,8 @@
     fn into_entry(self, names: &Names) -> Result<EndpointEntry, UnknownName> {
         Ok(EndpointEntry {
             id: self.endpoint.0,
-            zone: ZoneIndex(names.zone_index(&self.zone)?),
-            kind: MachineKindIndex(names.machine_kind_index(&self.machine_kind)?),
+            zone: names.zone_index(&self.zone)?,
+            kind: names.machine_kind_index(&self.machine_kind)?,
             cell: self.cell,
             state: self.state.into(),
             started_at_ms: positive(self.started_at_ms),
@@ -87,8 +87,8 @@
     fn into_request(self, names: &Names) -> Result<Request, UnknownName> {
         Ok(Request {
             id: RequestId(self.request.0),
-            class: ClassIndex(names.class_index(&self.class)?),
-            plan: PlanIndex(names.plan_index(&self.plan)?),
+            class: names.class_index(&self.class)?,
+            plan: names.plan_index(&self.plan)?,
             customer: CustomerId(self.customer.0),
             time_left_ms: self.time_left_ms,
             units: self.units,
