--- a/crates/gateway/src/connection_budget.rs
+++ b/crates/gateway/src/connection_budget.rs
@@ -1,7 +1,9 @@
 //! A bound on how many connections of one kind are open at once: each takes a file descriptor.
 use crate::http_connection::HttpConnection;
 use std::cell::Cell;
+use std::net::SocketAddr;
 use std::rc::Rc;
+use tokio::time::{timeout_at, Instant};
 
 /// Counts the open connections of one kind against a limit.
 pub(crate) struct ConnectionBudget {
@@ -47,9 +49,15 @@
 }
 
 impl PooledConnection {
-    /// Ties a connection to its permit.
-    pub(crate) fn new(connection: HttpConnection, permit: ConnectionPermit) -> Self {
-        PooledConnection { connection, _permit: permit }
+    /// Establishes a connection under `permit`, or returns `None` and the permit to its budget if that fails or is
+    /// not done by `deadline`. Dropping the future does the same.
+    pub(crate) async fn connect(
+        addr: SocketAddr,
+        permit: ConnectionPermit,
+        deadline: Instant,
+    ) -> Option<Self> {
+        let connection = timeout_at(deadline, HttpConnection::connect(addr)).await.ok()?.ok()?;
+        Some(PooledConnection { connection, _permit: permit })
     }
 }
 
--- a/crates/gateway/src/idle_connections/tests.rs
+++ b/crates/gateway/src/idle_connections/tests.rs
@@ -15,9 +15,10 @@
     let addr = listener.local_addr().expect("bound");
     let mut far_ends = Vec::new();
     for _ in 0..count {
-        let (connection, accepted) = tokio::join!(HttpConnection::connect(addr), listener.accept());
         let permit = budget.try_acquire().expect("a permit");
-        idle.put(PooledConnection::new(connection.expect("a connection"), permit));
+        let connecting = PooledConnection::connect(addr, permit, Instant::now() + TIMEOUT);
+        let (connection, accepted) = tokio::join!(connecting, listener.accept());
+        idle.put(connection.expect("a connection"));
         let far_end = accepted.expect("a connection").0.into_std().expect("a socket");
         far_end.set_nonblocking(false).expect("a socket");
         far_end.set_read_timeout(Some(Duration::from_secs(1))).expect("a socket");
--- a/crates/gateway/src/quota_counter.rs
+++ b/crates/gateway/src/quota_counter.rs
@@ -74,14 +74,14 @@
         outcome
     }
 
-    /// Returns a free connection, or `None` if none comes up by `deadline` or too many are open.
+    /// Returns an idle connection or else a new one, or `None` if none comes up by `deadline` or too many are
+    /// open.
     async fn acquire(&self, addr: SocketAddr, deadline: Instant) -> Option<PooledConnection> {
         if let Some(pooled) = self.take_idle() {
             return Some(pooled);
         }
         let permit = self.budget.try_acquire()?;
-        let connection = timeout_at(deadline, HttpConnection::connect(addr)).await.ok()?.ok()?;
-        Some(PooledConnection::new(connection, permit))
+        PooledConnection::connect(addr, permit, deadline).await
     }
 
     fn take_idle(&self) -> Option<PooledConnection> {
--- a/crates/gateway/src/upstream/pool.rs
+++ b/crates/gateway/src/upstream/pool.rs
@@ -11,7 +11,7 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::time::Duration;
-use tokio::time::{timeout, Instant};
+use tokio::time::Instant;
 
 /// Idle connections are closed after this fraction of the endpoint's own idle timeout.
 ///
@@ -110,8 +110,7 @@
             return Some(pooled);
         }
         let permit = self.acquire_permit()?;
-        let connection = timeout(self.connect_timeout, HttpConnection::connect(addr)).await.ok()?.ok()?;
-        Some(PooledConnection::new(connection, permit))
+        PooledConnection::connect(addr, permit, Instant::now() + self.connect_timeout).await
     }
 
     /// Takes the most recently used idle connection that may be reused.
