--- a/crates/settings/tests/settings_document.rs
+++ b/crates/settings/tests/settings_document.rs
@@ -1,6 +1,8 @@
-//! What a settings object is read as, and how one that cannot be used is refused.
+//! What a settings object is read as, and how one that cannot be used is rejected.
 
-use irishinge_admission::{DedupGroup, GatewayIndex, Idempotency, ZoneIndex};
+use irishinge_admission::{
+    ClassIndex, DedupGroup, GatewayIndex, Idempotency, MachineKindIndex, PlanIndex, ZoneIndex,
+};
 use irishinge_settings::{
     DiscoveryMode, NameKind, SettingsDocument, SettingsDocumentError, SocketSettings, TranslatedSettings,
     UnknownName,
@@ -58,8 +60,14 @@
     assert_eq!((plan.plan_weight, plan.over_quota_value, plan.over_quota_cost), (1.25, 0.125, 0.75));
     assert_eq!((plan.ceiling_rate_per_second, plan.ceiling_burst_units), (11.0, 12.0));
     assert_eq!(settings.check(), Ok(()));
-    assert_eq!((names.class_index("order"), names.plan_index("basic")), (Ok(1), Ok(0)));
-    assert_eq!((names.zone_index("south"), names.machine_kind_index("big")), (Ok(1), Ok(1)));
+    assert_eq!(
+        (names.class_index("order"), names.plan_index("basic")),
+        (Ok(ClassIndex(1)), Ok(PlanIndex(0)))
+    );
+    assert_eq!(
+        (names.zone_index("south"), names.machine_kind_index("big")),
+        (Ok(ZoneIndex(1)), Ok(MachineKindIndex(1)))
+    );
 }
 
 /// `lateShare` and `hardSlack` belong to the settings of every deployment, but no rule reads them. They may have any
@@ -130,7 +138,7 @@
     }
 }
 
-/// A negative drain grace would be taken for none, and endpoints that drain would be sent requests too long.
+/// A negative drain grace would be taken for 0, which is not what the deployment means.
 #[test]
 fn a_negative_drain_grace_is_rejected() {
     let mut document = complete();
