--- a/crates/admission/src/event.rs
+++ b/crates/admission/src/event.rs
@@ -6,11 +6,11 @@
 /// What the list says of an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EndpointState {
-    /// Takes requests.
+    /// Accepts requests.
     Ready,
-    /// Finishes the requests it has; must be sent no new ones.
+    /// Finishes the requests that it has in flight, and must be sent no new ones.
     Draining,
-    /// Removed.
+    /// Removed from the list: nothing is sent to it.
     Gone,
 }
 
@@ -19,15 +19,15 @@
 pub struct EndpointEntry {
     /// The endpoint.
     pub id: EndpointId,
-    /// Its zone, as an index.
+    /// Its zone.
     pub zone: ZoneIndex,
-    /// Its machine kind, as an index.
+    /// The kind of machine that it runs on.
     pub kind: MachineKindIndex,
-    /// Its cell.
+    /// Its cell: a group of endpoints that may share their memory of idempotency keys.
     pub cell: u64,
     /// Its state.
     pub state: EndpointState,
-    /// When its process last started, in milliseconds; `None`: long ago.
+    /// When its process last started, in milliseconds on the clock of the events; `None`: long ago.
     pub started_at_ms: Option<f64>,
 }
 
@@ -38,32 +38,32 @@
     Changes,
     /// All entries; an endpoint not among them is gone.
     Whole,
-    /// All entries, as last stored before a restart.
+    /// All entries, as last cached before a restart of the gateway; they may be old.
     Remembered,
-    /// A call for the list failed; the entries known stay.
+    /// A poll of the list failed; the entries known stay.
     Failed,
 }
 
-/// A request that has come in. It gets exactly one final answer.
+/// A client's request. It gets exactly one final response.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Request {
-    /// Its id.
+    /// Its id, by which actions and later events name it.
     pub id: RequestId,
-    /// Its class, an index into the settings.
+    /// Its class.
     pub class: ClassIndex,
-    /// Its customer's plan, an index into the settings.
+    /// Its customer's plan.
     pub plan: PlanIndex,
     /// Its customer.
     pub customer: CustomerId,
-    /// Time until the client gives this try up, in milliseconds.
+    /// Time until its deadline, in milliseconds: how long the client still waits.
     pub time_left_ms: f64,
-    /// Units that it counts; an estimate where the true units come with the response.
+    /// Units of the quota that it counts; an estimate where the true units come with the response.
     pub units: f64,
     /// The number of gateways that the customer's requests come through.
     pub gateway_count: usize,
-    /// Number of the first of these gateways; the others follow it, from the last gateway on to number 0.
+    /// The first of these gateways. The others follow it by number, and number 0 follows the last gateway.
     pub first_gateway: GatewayIndex,
-    /// The client marked it as a repeat.
+    /// The client marked it as its own retry of a rejected or failed request.
     pub repeat: bool,
     /// It is a write.
     pub write: bool,
@@ -72,21 +72,22 @@
 /// How an attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served.
+    /// A good response.
     Ok,
-    /// The endpoint failed; the request may have run.
+    /// The endpoint responded with an error; the request may have run.
     Error,
-    /// Turned away before it ran: the endpoint is full or draining.
+    /// Rejected without execution: the endpoint is full or draining.
     Overloaded,
     /// No response in time; it may have run or be running.
     TimedOut,
-    /// No connection; it never ran.
+    /// Nothing was written: no connection was established, or the request was not wanted any more by then. It
+    /// never ran.
     ConnectFailed,
     /// The connection broke; it may have run.
     Reset,
     /// Cancelled; it may have run.
     Cancelled,
-    /// Not sent: its time or its request had ended.
+    /// Never sent, for no fault of the endpoint: its time was over, or the endpoint list had expired.
     TooLate,
 }
 
@@ -95,7 +96,7 @@
 pub struct AttemptEnd {
     /// Its request.
     pub request: RequestId,
-    /// Its number.
+    /// Its number among those of its request, from 0.
     pub attempt: u32,
     /// Its endpoint.
     pub endpoint: EndpointId,
@@ -103,9 +104,9 @@
     pub outcome: Outcome,
     /// Time since it was sent, in milliseconds.
     pub took_ms: f64,
-    /// The request has its final answer.
+    /// The request has its final response, or its client has gone.
     pub closed: bool,
-    /// True units of the request, where they come with the response.
+    /// Units that the request really counted, where they come with the response.
     pub true_units: Option<f64>,
     /// The customer's use over all gateways in the meter's last period, in percent of its quota.
     pub metered_percent: Option<f64>,
@@ -116,7 +117,7 @@
 /// How a call to the quota counter ended.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum CounterOutcome {
-    /// The total after the call.
+    /// The total after the call, in units.
     Total(f64),
     /// Nothing was added.
     Rejected,
--- a/crates/admission/src/id.rs
+++ b/crates/admission/src/id.rs
@@ -8,7 +8,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CustomerId(pub u64);
 
-/// The key of a customer in a gateway's records. In a large fleet it is the whole id. In a small fleet it is
+/// The key of a customer in a gateway's records. In a large fleet it is the whole id. In broadcast mode it is
 /// the short tag that the messages between gateways name the customer by.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct CustomerTag(pub(crate) u64);
--- a/crates/admission/src/policy/request_end/final_response.rs
+++ b/crates/admission/src/policy/request_end/final_response.rs
@@ -12,7 +12,7 @@
 
 /// The final response, by whether some endpoint may have run the request and what its class allows then.
 pub(crate) fn final_response(may_have_run: bool, idempotency: Idempotency) -> FinalResponse {
-    if !may_have_run || idempotency.allows_new_try() {
+    if !may_have_run || idempotency.allows_client_retry() {
         FinalResponse::Reject
     } else {
         FinalResponse::Fail
--- a/crates/admission/src/settings.rs
+++ b/crates/admission/src/settings.rs
@@ -6,12 +6,11 @@
 pub enum Idempotency {
     /// Running it again does no harm.
     Idempotent,
-    /// It carries an idempotency key: endpoints of the group drop a repeat of a key for a time after its
-    /// first use.
+    /// It has an idempotency key: endpoints of the group do not run a key again for a time after its first use.
     IdempotencyKey {
-        /// The endpoints among which repeats are dropped.
+        /// The endpoints that deduplicate together.
         group: DedupGroup,
-        /// How long they remember a key, in milliseconds.
+        /// How long they remember a key after its first use, in milliseconds.
         window_ms: f64,
     },
     /// It must not run twice.
@@ -19,8 +18,8 @@
 }
 
 impl Idempotency {
-    /// Whether a client's new try does no harm, to whichever endpoint it goes, once an attempt may have run.
-    pub(crate) fn allows_new_try(&self) -> bool {
+    /// Whether a client's retry does no harm, to whichever endpoint it goes, once an attempt may have run.
+    pub(crate) fn allows_client_retry(&self) -> bool {
         match self {
             Idempotency::Idempotent => true,
             Idempotency::IdempotencyKey { group, .. } => *group == DedupGroup::All,
@@ -45,11 +44,11 @@
 pub struct ClassSettings {
     /// Latency objective: a response within this time has its full value. In milliseconds, above 0.
     pub latency_objective_ms: f64,
-    /// The client's whole wait, in milliseconds, above 0.
+    /// How long a client waits for its response from its first attempt on, in milliseconds, above 0.
     pub deadline_ms: f64,
     /// Value of a request against that of other classes.
     pub priority_weight: f64,
-    /// What a further attempt may do.
+    /// What a retry may do once an attempt may have run.
     pub idempotency: Idempotency,
 }
 
@@ -60,13 +59,13 @@
     pub rate_per_second: f64,
     /// Units that the bucket holds at most; it starts full.
     pub burst_units: f64,
-    /// Attempts that a customer may have in flight within its quota; 0: no such limit.
+    /// Attempts that a customer may have in flight over all gateways; 0: no such limit.
     pub open_limit: u32,
     /// Factor on the value of a customer's requests.
     pub plan_weight: f64,
-    /// Part of its value that a request sent beyond the quota has.
+    /// Fraction of its value that a request over the quota has.
     pub over_quota_value: f64,
-    /// Part of its value that an attempt sent beyond the quota costs.
+    /// Fraction of its value that a request over the quota costs.
     pub over_quota_cost: f64,
     /// Hard ceiling: units per second at which its bucket fills; 0: no ceiling.
     pub ceiling_rate_per_second: f64,
@@ -81,7 +80,7 @@
         time_ms.is_finite().then_some(time_ms)
     }
 
-    /// Whether use beyond the quota earns more than it costs. Plans with a limit on open requests allow none.
+    /// Whether use beyond the quota earns more than it costs. Plans with an open limit permit none.
     pub(crate) fn pays_over_quota(&self) -> bool {
         self.over_quota_value > self.over_quota_cost && self.open_limit == 0
     }
@@ -102,7 +101,7 @@
     }
 }
 
-/// What a gateway is started with.
+/// What a gateway is started with, from the `settings` object of its configuration.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Settings {
     /// This gateway's number, from 0.
@@ -111,7 +110,7 @@
     pub gateways: usize,
     /// Shortest time between two rounds of events, in milliseconds.
     pub tick_ms: f64,
-    /// This gateway's zone, as an index.
+    /// This gateway's zone.
     pub zone: ZoneIndex,
     /// The request classes.
     pub classes: Vec<ClassSettings>,
@@ -127,29 +126,30 @@
     pub peer_messages_allowed: bool,
     /// The quota counter may be called.
     pub counter_allowed: bool,
-    /// Messages per second that a gateway takes in.
+    /// Messages a second that a gateway accepts from its peers.
     pub peer_messages_per_second: f64,
     /// Longest `Retry-After` that clients honour, in milliseconds; 0: none.
     pub max_retry_after_ms: f64,
-    /// Most units that one request counts.
+    /// Units that one request counts at most.
     pub max_units: f64,
-    /// Part of its capacity that an endpoint has at its start, at least; 0 to 1.
+    /// Fraction of its full capacity that an endpoint has at its start, at least; 0 to 1.
     pub cold_start_fraction: f64,
     /// An endpoint is warm this long after its start at the latest, in milliseconds.
     pub warm_up_ms: f64,
-    /// A warming endpoint that is sent more than this multiple of its present capacity fails ...
+    /// Multiple of its present capacity from which an endpoint that is warming up is overloaded and fails, where
+    /// it is sent that much throughout `overload_window_ms`.
     pub overload_multiple: f64,
-    /// ... when that lasts for this long, in milliseconds.
+    /// How long such an overload lasts until the endpoint fails, in milliseconds.
     pub overload_window_ms: f64,
 }
 
 impl Settings {
-    /// A class of requests. The index must be one of the settings, as a gateway checks when a request comes in.
+    /// A class of requests. The index must be one of the settings; a gateway checks that for each request.
     pub(crate) fn class(&self, class: ClassIndex) -> &ClassSettings {
         &self.classes[class.0]
     }
 
-    /// A plan. The index must be one of the settings, as a gateway checks when a request comes in.
+    /// A plan. The index must be one of the settings; a gateway checks that for each request.
     pub(crate) fn plan(&self, plan: PlanIndex) -> &PlanSettings {
         &self.plans[plan.0]
     }
@@ -237,7 +237,7 @@
     }
 }
 
-/// Why a gateway refused its settings.
+/// Why a gateway cannot use its settings.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsError {
     /// No request class is given.
