--- a/crates/admission/src/tests/endpoint_rules/mod.rs
+++ b/crates/admission/src/tests/endpoint_rules/mod.rs
@@ -5,7 +5,4 @@
 mod selection_rules;
 mod slow_start_rules;
 
-/// Whether two figures agree but for rounding.
-fn is_close(left: f64, right: f64) -> bool {
-    (left - right).abs() < 1e-9
-}
+use super::is_close;
--- a/crates/admission/src/tests/load_rules/mod.rs
+++ b/crates/admission/src/tests/load_rules/mod.rs
@@ -10,19 +10,10 @@
 mod upkeep_rules;
 mod watermark_rules;
 
+use super::quota_plan;
 use crate::settings::PlanSettings;
 
-/// A plan of 10 units a second and bursts of 40, without open limit or ceiling, that does not pay beyond its
-/// quota.
+/// A plan of 10 units a second and bursts of 40, without slots, ceiling or use beyond the quota.
 fn plan() -> PlanSettings {
-    PlanSettings {
-        rate_per_second: 10.0,
-        burst_units: 40.0,
-        open_limit: 0,
-        plan_weight: 1.0,
-        over_quota_value: 0.0,
-        over_quota_cost: 1.0,
-        ceiling_rate_per_second: 0.0,
-        ceiling_burst_units: 0.0,
-    }
+    quota_plan(10.0, 40.0)
 }
