--- a/crates/admission/src/coordination/gossip_exchange.rs
+++ b/crates/admission/src/coordination/gossip_exchange.rs
@@ -3,7 +3,7 @@
 use crate::gateway::Gateway;
 use crate::id::GatewayIndex;
 use crate::messages::gossip_message::{GossipMessage, MeansOnWire};
-use crate::policy::band::watermark::MAX_WATERMARK;
+use crate::policy::band::watermark::bounded_watermark;
 use crate::policy::peer_messages::fleet_mean_rules::{
     mean_attempt_age_ms, MEAN_GAIN, MEAN_GAIN_PER_SECOND, RECEIVED_MEAN_GAIN,
 };
@@ -30,7 +30,7 @@
 
     /// Moves this gateway's means towards those of a peer.
     fn apply_means(&mut self, means: &MeansOnWire) {
-        let watermark = means.watermark().clamp(self.watermark_floor(), MAX_WATERMARK);
+        let watermark = bounded_watermark(means.watermark(), self.watermark_floor());
         self.band.follow_watermark(watermark, MEAN_GAIN);
         let means = GatewayMeans { stock: means.stock(), responses_per_second: means.responses_per_second() };
         self.fleet_means.apply(means, MEAN_GAIN, RECEIVED_MEAN_GAIN);
--- a/crates/admission/src/lifecycle/attempts.rs
+++ b/crates/admission/src/lifecycle/attempts.rs
@@ -3,7 +3,6 @@
 use crate::event::AttemptEnd;
 use crate::gateway::Gateway;
 use crate::id::{EndpointId, RequestId};
-use crate::policy::band::dispatch_credit::MAX_CREDIT_OVERDRAFT;
 use crate::policy::peer_messages::report_schedule::REPORT_ROUNDS;
 use crate::policy::retry::{
     after_attempt, attempt_timeout_ms, AfterAttempt, EndedAttempt, MAX_RETRY_TOKENS, RETRY_TOKENS_PER_REQUEST,
@@ -21,7 +20,7 @@
         let time_left_ms = active.deadline_ms - self.clock.now_ms();
         let timeout_ms = attempt_timeout_ms(objective_ms, time_left_ms);
         let is_first = active.is_unsent();
-        self.band.spend_dispatch_credit(MAX_CREDIT_OVERDRAFT);
+        self.spend_dispatch_credit();
         if is_first {
             self.retries.earn(RETRY_TOKENS_PER_REQUEST, MAX_RETRY_TOKENS);
         }
@@ -43,8 +42,8 @@
         endpoint.record_sent(InFlightAttempt { sent_ms: now, request, attempt });
     }
 
-    /// Counts a new attempt to its customer, unless another gateway owns the quota: its slot, and with the first
-    /// attempt the request's units.
+    /// Counts a new attempt to its customer, unless another gateway owns the quota: its slot, and with the
+    /// first attempt the request's units.
     fn count_attempt(&mut self, id: RequestId) {
         let Some(active) = self.requests.get(id).filter(|a| a.quota().holds_slot_here()) else {
             return;
--- a/crates/admission/src/lifecycle/band_control.rs
+++ b/crates/admission/src/lifecycle/band_control.rs
@@ -8,11 +8,11 @@
     EndpointCondition,
 };
 use crate::policy::band::dispatch_credit::{
-    credit_refill, credit_required, position_in_large_fleet, LargeFleetBand,
+    credit_after_refill, credit_after_send, credit_required, position_in_large_fleet, LargeFleetBand,
 };
 use crate::policy::band::watermark::{
-    watermark_floor_in_broadcast_mode, watermark_floor_in_large_fleet, watermark_step_in_broadcast_mode,
-    watermark_step_in_large_fleet, watermark_step_is_due, WatermarkInput, MAX_WATERMARK,
+    watermark_after_step, watermark_floor_in_broadcast_mode, watermark_floor_in_large_fleet,
+    watermark_step_in_broadcast_mode, watermark_step_in_large_fleet, watermark_step_is_due, WatermarkInput,
 };
 use crate::policy::peer_messages::message_capacity::PEER_TIMEOUT_MS;
 use crate::state::{Band, BandLoad, BandPosition, Endpoint, FleetMode};
@@ -100,8 +100,15 @@
 
     /// Adds the dispatch credit of some seconds.
     pub(crate) fn refill_dispatch_credit(&mut self, seconds: f64) {
-        let refill = credit_refill(&self.gossip_band(), self.latency.mean_response_ms(), seconds);
-        self.band.add_dispatch_credit(refill.amount, refill.limit);
+        let band = self.gossip_band();
+        let mean_response_ms = self.latency.mean_response_ms();
+        let credit = credit_after_refill(self.band.dispatch_credit(), &band, mean_response_ms, seconds);
+        self.band.set_dispatch_credit(credit);
+    }
+
+    /// Spends the dispatch credit of one request.
+    pub(crate) fn spend_dispatch_credit(&mut self) {
+        self.band.set_dispatch_credit(credit_after_send(self.band.dispatch_credit()));
     }
 
     /// Records whether the endpoints are saturated.
@@ -130,8 +137,7 @@
             FleetMode::Broadcast => watermark_step_in_broadcast_mode(&input),
             FleetMode::LargeFleet => watermark_step_in_large_fleet(&input, &self.gossip_band()),
         };
-        if let Some(factor) = step.factor() {
-            self.band.scale_watermark(factor, self.watermark_floor(), MAX_WATERMARK);
-        }
+        let watermark = watermark_after_step(self.band.watermark(), step, self.watermark_floor());
+        self.band.set_watermark(watermark);
     }
 }
--- a/crates/admission/src/policy/band/dispatch_credit.rs
+++ b/crates/admission/src/policy/band/dispatch_credit.rs
@@ -27,7 +27,7 @@
 const CREDIT_OVERDRAFT: f64 = 1.5;
 
 /// Largest overdraft of dispatch credit of all requests together, in requests.
-pub(crate) const MAX_CREDIT_OVERDRAFT: f64 = 1.0;
+const MAX_CREDIT_OVERDRAFT: f64 = 1.0;
 
 /// A priority weight counts as this at least where it divides.
 const MIN_WEIGHT_DIVISOR: f64 = 1e-9;
@@ -102,24 +102,24 @@
     FULL_CREDIT - CREDIT_OVERDRAFT * (1.0 - relative).max(0.0)
 }
 
-/// Dispatch credit that a gateway earns, in requests.
-#[derive(Debug, Clone, Copy, PartialEq)]
-pub(crate) struct CreditRefill {
-    /// Credit to add.
-    pub(crate) amount: f64,
-    /// Most credit that is saved up.
-    pub(crate) limit: f64,
-}
-
-/// The dispatch credit of some seconds: the gateway's even quota of the band per mean response time, more
-/// while the stock is low and less while it is high.
-pub(crate) fn credit_refill(band: &LargeFleetBand, mean_response_ms: f64, seconds: f64) -> CreditRefill {
+/// The dispatch credit after some seconds of refill, in requests. A gateway earns its even quota of the band
+/// per mean response time, more while the stock is low and less while it is high, and saves up its even
+/// quota at most.
+pub(crate) fn credit_after_refill(
+    dispatch_credit: f64,
+    band: &LargeFleetBand,
+    mean_response_ms: f64,
+    seconds: f64,
+) -> f64 {
     let mean_response_s = mean_response_ms / 1000.0;
     let even_quota = band.even_quota();
     let factor = (MAX_REFILL_FACTOR - (MAX_REFILL_FACTOR - 1.0) * band.fill())
         .clamp(MIN_REFILL_FACTOR, MAX_REFILL_FACTOR);
-    CreditRefill {
-        amount: factor * even_quota / mean_response_s * seconds,
-        limit: MIN_CREDIT_LIMIT.max(even_quota),
-    }
+    let earned = factor * even_quota / mean_response_s * seconds;
+    (dispatch_credit + earned).min(MIN_CREDIT_LIMIT.max(even_quota))
+}
+
+/// The dispatch credit after a request was sent, in requests.
+pub(crate) fn credit_after_send(dispatch_credit: f64) -> f64 {
+    (dispatch_credit - FULL_CREDIT).max(-MAX_CREDIT_OVERDRAFT)
 }
--- a/crates/admission/src/policy/band/watermark.rs
+++ b/crates/admission/src/policy/band/watermark.rs
@@ -10,7 +10,7 @@
 const LARGE_FLEET_FACTOR: f64 = 2.0;
 
 /// Highest watermark, in attempts in flight per ready endpoint.
-pub(crate) const MAX_WATERMARK: f64 = 64.0;
+const MAX_WATERMARK: f64 = 64.0;
 
 /// Time between two steps of the watermark, in latency objectives: responses must show the last step's
 /// effect.
@@ -79,16 +79,21 @@
     Stay,
 }
 
-impl WatermarkStep {
-    /// What the watermark is multiplied by; `None` where it stays.
-    pub(crate) fn factor(self) -> Option<f64> {
-        match self {
-            WatermarkStep::Lower { factor } | WatermarkStep::Raise { factor } => Some(factor),
-            WatermarkStep::Stay => None,
+/// The watermark after a step.
+pub(crate) fn watermark_after_step(watermark: f64, step: WatermarkStep, floor: f64) -> f64 {
+    match step {
+        WatermarkStep::Lower { factor } | WatermarkStep::Raise { factor } => {
+            (watermark * factor).max(floor).min(MAX_WATERMARK)
         }
+        WatermarkStep::Stay => watermark,
     }
 }
 
+/// A watermark that a peer reported, within the bounds of this gateway's own.
+pub(crate) fn bounded_watermark(reported: f64, floor: f64) -> f64 {
+    reported.clamp(floor, MAX_WATERMARK)
+}
+
 /// The watermark's step in broadcast mode. It rises only where requests waited for the band.
 pub(crate) fn watermark_step_in_broadcast_mode(input: &WatermarkInput) -> WatermarkStep {
     let age_fraction = AGE_WEIGHT * input.typical_age_ms / input.shortest_objective_ms;
--- a/crates/admission/src/state/fleet/band_state.rs
+++ b/crates/admission/src/state/fleet/band_state.rs
@@ -121,9 +121,9 @@
         self.watermark += weight * (reported - self.watermark);
     }
 
-    /// Multiplies the watermark, within `floor` and `limit`.
-    pub(crate) fn scale_watermark(&mut self, factor: f64, floor: f64, limit: f64) {
-        self.watermark = (self.watermark * factor).max(floor).min(limit);
+    /// Sets the watermark.
+    pub(crate) fn set_watermark(&mut self, watermark: f64) {
+        self.watermark = watermark;
     }
 
     /// Time since the watermark's last step, in milliseconds.
@@ -185,14 +185,9 @@
         self.dispatch_credit
     }
 
-    /// Spends the credit of one request, down to `max_overdraft` below 0.
-    pub(crate) fn spend_dispatch_credit(&mut self, max_overdraft: f64) {
-        self.dispatch_credit = (self.dispatch_credit - 1.0).max(-max_overdraft);
-    }
-
-    /// Adds dispatch credit up to `limit`.
-    pub(crate) fn add_dispatch_credit(&mut self, amount: f64, limit: f64) {
-        self.dispatch_credit = (self.dispatch_credit + amount).min(limit);
+    /// Sets the requests that this gateway may send.
+    pub(crate) fn set_dispatch_credit(&mut self, dispatch_credit: f64) {
+        self.dispatch_credit = dispatch_credit;
     }
 
     /// Begins a refill, and returns the seconds since the last one.
--- a/crates/admission/src/tests/load_rules/band_position_rules.rs
+++ b/crates/admission/src/tests/load_rules/band_position_rules.rs
@@ -1,7 +1,8 @@
 //! Where the stock lies against the band, in both modes.
+use super::is_close;
 use crate::policy::band::band_bounds::{is_saturated_in_broadcast_mode, position_in_broadcast_mode};
 use crate::policy::band::dispatch_credit::{
-    credit_refill, credit_required, position_in_large_fleet, CreditRefill, LargeFleetBand,
+    credit_after_refill, credit_after_send, credit_required, position_in_large_fleet, LargeFleetBand,
 };
 use crate::state::{Band, BandPosition};
 
@@ -62,20 +63,25 @@
 #[test]
 fn credit_required_falls_with_the_priority_weight() {
     for (weight, required) in [(1.0, 1.0), (3.0, 0.0), (0.0, 1.0)] {
-        let credit = credit_required(weight, 1.0);
-        assert!((credit - required).abs() < 1e-9, "{credit} for weight {weight}");
+        assert!(is_close(credit_required(weight, 1.0), required), "weight {weight}");
     }
-    assert!((credit_required(1e12, 1.0) + 0.5).abs() < 1e-9, "half a credit may be overdrawn at most");
+    assert!(is_close(credit_required(1e12, 1.0), -0.5), "half a credit may be overdrawn at most");
+    assert_eq!(credit_required(0.0, 0.0), -0.5, "no division by 0 where no class has a weight");
 }
 
 #[test]
 fn credit_refills_by_the_even_quota_faster_while_the_stock_is_low() {
     // 10 attempts at a mean response time of 500 ms are 20 requests a second.
-    for (stock, requests_per_second) in [(0.0, 60.0), (100.0, 20.0), (120.0, 12.0), (1000.0, 6.0)] {
-        let refill = credit_refill(&gossip_band(stock), 500.0, 2.0);
-        assert!((refill.amount - 2.0 * requests_per_second).abs() < 1e-9, "{refill:?} at {stock}");
-        assert_eq!(refill.limit, 10.0);
+    for (stock, earned) in [(0.0, 6.0), (100.0, 2.0), (120.0, 1.2), (1000.0, 0.6)] {
+        let credit = credit_after_refill(-1.0, &gossip_band(stock), 500.0, 0.1);
+        assert!(is_close(credit, earned - 1.0), "{credit} at {stock}");
     }
-    let band = LargeFleetBand { ready_capacity: 1.0, ..gossip_band(4.0) };
-    assert_eq!(credit_refill(&band, 400.0, 1.0), CreditRefill { amount: 1.0, limit: 1.0 });
+    assert_eq!(credit_after_refill(9.0, &gossip_band(0.0), 500.0, 1.0), 10.0, "the even quota is the limit");
+    let band = LargeFleetBand { ready_capacity: 1.0, ..gossip_band(0.0) };
+    assert_eq!(credit_after_refill(0.9, &band, 500.0, 1.0), 1.0, "an even quota of 0.4 allows one request");
+}
+
+#[test]
+fn each_request_spends_a_credit_down_to_an_overdraft_of_one() {
+    assert_eq!([2.0, 0.5, -0.5].map(credit_after_send), [1.0, -0.5, -1.0]);
 }
--- a/crates/admission/src/tests/load_rules/dispatch_order_rules.rs
+++ b/crates/admission/src/tests/load_rules/dispatch_order_rules.rs
@@ -1,5 +1,5 @@
 //! Which queued request is dispatched next, and how flows are weighted.
-use super::plan;
+use super::{is_close, plan};
 use crate::id::{CustomerTag, RequestId};
 use crate::mechanism::virtual_finish_queue::FlowHead;
 use crate::policy::queue::dispatch_order::{
@@ -66,7 +66,7 @@
         (PlanSettings { rate_per_second: 0.0, ..plan() }, 5.0),
     ];
     for (plan, weight) in cases {
-        assert!((flow_weight(&plan, 200.0) - weight).abs() < 1e-9, "{plan:?}");
+        assert!(is_close(flow_weight(&plan, 200.0), weight), "{plan:?}");
     }
 }
 
--- a/crates/admission/src/tests/load_rules/mod.rs
+++ b/crates/admission/src/tests/load_rules/mod.rs
@@ -10,7 +10,7 @@
 mod upkeep_rules;
 mod watermark_rules;
 
-use super::quota_plan;
+use super::{is_close, quota_plan};
 use crate::settings::PlanSettings;
 
 /// A plan of 10 units a second and bursts of 40, without slots, ceiling or use beyond the quota.
--- a/crates/admission/src/tests/load_rules/watermark_rules.rs
+++ b/crates/admission/src/tests/load_rules/watermark_rules.rs
@@ -1,8 +1,10 @@
 //! When the watermark rises and falls.
+use super::is_close;
 use crate::policy::band::dispatch_credit::LargeFleetBand;
 use crate::policy::band::watermark::{
-    watermark_floor_in_broadcast_mode, watermark_floor_in_large_fleet, watermark_step_in_broadcast_mode,
-    watermark_step_in_large_fleet, watermark_step_is_due, WatermarkInput, WatermarkStep,
+    bounded_watermark, watermark_after_step, watermark_floor_in_broadcast_mode,
+    watermark_floor_in_large_fleet, watermark_step_in_broadcast_mode, watermark_step_in_large_fleet,
+    watermark_step_is_due, WatermarkInput, WatermarkStep,
 };
 
 const LOWER: WatermarkStep = WatermarkStep::Lower { factor: 0.93 };
@@ -19,7 +21,7 @@
 
 /// Whether a step raises the watermark by this factor.
 fn raises_by(step: WatermarkStep, expected: f64) -> bool {
-    matches!(step, WatermarkStep::Raise { factor } if (factor - expected).abs() < 1e-9)
+    matches!(step, WatermarkStep::Raise { factor } if is_close(factor, expected))
 }
 
 #[test]
@@ -55,3 +57,14 @@
     assert!(raises_by(step(unblocked, 0.61), 1.2));
     assert_eq!(step(unblocked, 0.59), WatermarkStep::Stay);
 }
+
+#[test]
+fn watermark_stays_between_the_floor_and_64() {
+    let raise = WatermarkStep::Raise { factor: 1.4 };
+    let cases =
+        [(10.0, raise, 14.0), (60.0, raise, 64.0), (2.1, LOWER, 2.0), (1.0, WatermarkStep::Stay, 1.0)];
+    for (watermark, step, expected) in cases {
+        assert_eq!(watermark_after_step(watermark, step, 2.0), expected, "{watermark}, {step:?}");
+    }
+    assert_eq!([1.0, 30.0, 70.0].map(|reported| bounded_watermark(reported, 4.0)), [4.0, 30.0, 64.0]);
+}
