--- a/crates/admission/src/coordination/observations.rs
+++ b/crates/admission/src/coordination/observations.rs
@@ -86,8 +86,8 @@
         }
     }
 
-    /// Factor on the length of an ejection for a class or plan. It is a hash and takes no random number, so that
-    /// messages do not change what is drawn next.
+    /// Factor on the length of an ejection for a class or plan. It is a hash and takes no random number, so
+    /// that messages do not change what is drawn next.
     fn observation_jitter(&self, tag: u32) -> f64 {
         ejection_jitter((self.random.hash(u64::from(tag)) % 1000) as f64 / 1000.0)
     }
--- a/crates/admission/src/lifecycle/attempts.rs
+++ b/crates/admission/src/lifecycle/attempts.rs
@@ -43,8 +43,8 @@
         endpoint.record_sent(InFlightAttempt { sent_ms: now, request, attempt });
     }
 
-    /// Counts a new attempt to its customer, unless another gateway owns the quota: its slot, and with the first
-    /// attempt the request's units.
+    /// Counts a new attempt to its customer, unless another gateway owns the quota: its slot, and with the
+    /// first attempt the request's units.
     fn count_attempt(&mut self, id: RequestId) {
         let Some(active) = self.requests.get(id).filter(|a| a.quota().holds_slot_here()) else {
             return;
--- a/crates/admission/src/lifecycle/endpoint_choice.rs
+++ b/crates/admission/src/lifecycle/endpoint_choice.rs
@@ -3,8 +3,8 @@
 use crate::id::{EndpointId, RequestId};
 use crate::policy::selection;
 use crate::policy::selection::{
-    BroadcastConditionInput, BroadcastCostInput, CostCandidate, DrawCandidate, DrawContext,
-    LargeFleetConditionInput, LargeFleetCostInput, WarmUpAllowance,
+    BroadcastCostInput, BroadcastFitnessInput, CostCandidate, DrawCandidate, DrawContext,
+    LargeFleetCostInput, LargeFleetFitnessInput, WarmUpAllowance,
 };
 use crate::state::{ActiveRequest, Endpoint, FleetMode};
 
@@ -69,7 +69,7 @@
             relative_response_time: endpoint.response_time.own(since_response_ms),
             warm_up,
         })?;
-        let is_unfit = selection::is_unfit_in_broadcast_mode(&BroadcastConditionInput {
+        let is_unfit = selection::is_unfit_in_broadcast_mode(&BroadcastFitnessInput {
             is_outlier: self.is_outlier(endpoint),
             consecutive_failures: endpoint.health.consecutive_failures(),
             in_flight,
@@ -77,7 +77,7 @@
         Some(CostCandidate { endpoint: endpoint.id(), cost, is_unfit })
     }
 
-    /// Large fleets: an endpoint with what it costs and what speaks against it.
+    /// Large fleets: an endpoint with what it costs and whether it is fit.
     fn draw_candidate(
         &self,
         active: &ActiveRequest,
@@ -87,7 +87,7 @@
         let request = &active.request;
         let now_ms = self.clock.now_ms();
         let warm_fraction = self.warm_fraction(endpoint);
-        let condition = selection::condition_in_large_fleet(&LargeFleetConditionInput {
+        let fitness = selection::fitness_in_large_fleet(&LargeFleetFitnessInput {
             is_outlier: self.is_outlier(endpoint),
             is_ejected_for_request: endpoint.observed.is_ejected_for(request.class, request.plan, now_ms),
             is_unresponsive: self.is_unresponsive(endpoint),
@@ -100,8 +100,8 @@
             warm_fraction,
             was_attempted: active.was_sent_to(endpoint.id()),
             kind: self.kind_deviation(endpoint),
-            is_unresponsive: condition.is_unresponsive,
+            is_unresponsive: fitness.is_unresponsive,
         });
-        DrawCandidate { endpoint: endpoint.id(), zone: endpoint.zone(), warm_fraction, cost, condition }
+        DrawCandidate { endpoint: endpoint.id(), zone: endpoint.zone(), warm_fraction, cost, fitness }
     }
 }
--- a/crates/admission/src/lifecycle/endpoints.rs
+++ b/crates/admission/src/lifecycle/endpoints.rs
@@ -6,7 +6,8 @@
 use crate::state::FleetMode;
 
 impl Gateway {
-    /// Learns an endpoint's response time and health from how an attempt ended.
+    /// Records how an attempt ended in its endpoint's response time and health, and ejects the endpoint if
+    /// need be.
     pub(crate) fn record_attempt_end(&mut self, end: &AttemptEnd, class: ClassIndex, plan: PlanIndex) {
         match self.coordination.fleet_mode() {
             FleetMode::Broadcast => self.learn_response_time(end, class),
--- a/crates/admission/src/lifecycle/outlier_checks.rs
+++ b/crates/admission/src/lifecycle/outlier_checks.rs
@@ -24,8 +24,8 @@
         })
     }
 
-    /// Time without any response while attempts are in flight, in multiples of what counts as a stall; 0 where
-    /// none is in flight.
+    /// Time without any response while attempts are in flight, in multiples of what counts as a stall; 0
+    /// where none is in flight.
     pub(crate) fn stall_ratio(&self, endpoint: &Endpoint) -> f64 {
         let Some(oldest_sent_ms) = endpoint.oldest_sent_ms() else { return 0.0 };
         outlier::stall_ratio(&StallInput {
--- a/crates/admission/src/lifecycle/retries.rs
+++ b/crates/admission/src/lifecycle/retries.rs
@@ -9,7 +9,8 @@
 use crate::state::{ActiveRequest, AttemptRef, EjectionScope, FleetMode, PendingAttempt};
 
 impl Gateway {
-    /// The endpoints at which a request may have another attempt, by what its class and earlier attempts allow.
+    /// The endpoints at which a request may have another attempt, by what its class and earlier attempts
+    /// allow.
     pub(crate) fn repeat_scope(&self, active: &ActiveRequest) -> RepeatScope {
         let now_ms = self.clock.now_ms();
         retry::repeat_scope(&RepeatInput {
@@ -39,7 +40,8 @@
         true
     }
 
-    /// Hedges or cancels stalled attempts. In a correlated failure there is no better endpoint to send them to.
+    /// Hedges or cancels stalled attempts. In a correlated failure there is no better endpoint to send them
+    /// to.
     pub(crate) fn rescue_stalled(&mut self, actions: &mut Vec<Action>) {
         if self.outliers.is_correlated_failure() {
             return;
@@ -80,7 +82,8 @@
         }
     }
 
-    /// Broadcast mode: own attempts at outliers. There each endpoint gets enough attempts to be judged by them.
+    /// Broadcast mode: own attempts at outliers. There each endpoint gets enough attempts to be judged by
+    /// them.
     fn attempts_at_outliers(&self) -> Vec<AttemptRef> {
         let outliers = self.endpoints.iter().filter(|endpoint| self.is_outlier(endpoint));
         let in_flight = outliers.flat_map(|endpoint| endpoint.in_flight());
--- a/crates/admission/src/mechanism/backoff.rs
+++ b/crates/admission/src/mechanism/backoff.rs
@@ -1,11 +1,11 @@
-//! Exponential back-off.
+//! Exponential back-off, and the jitter on its delays.
 
 /// The first delay of a back-off and the longest one; each failure in a row doubles the delay.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct BackoffLimits {
-    /// Delay after the first failure.
+    /// Delay after the first failure, in ms.
     pub base_ms: f64,
-    /// Longest delay.
+    /// Longest delay, in ms.
     pub max_ms: f64,
 }
 
@@ -16,20 +16,22 @@
     }
 }
 
-/// Factor on a delay that spreads delays over the part `spread` around their length, by a draw from 0 to 1.
+/// Factor on a delay, from a range of the width `spread` around 1, by a draw from 0 to 1.
 pub(crate) fn jitter_factor(spread: f64, draw: f64) -> f64 {
     1.0 - spread / 2.0 + spread * draw
 }
 
-/// A time during which something is left alone after failures.
+/// A delay after failures during which nothing is sent to what failed.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct Backoff {
+    /// When the present delay ends, in ms.
     until_ms: f64,
+    /// Failures counted in a row.
     failures: u32,
 }
 
 impl Backoff {
-    /// Whether the delay still runs.
+    /// Whether the delay has not ended.
     pub(crate) fn is_active(&self, now_ms: f64) -> bool {
         now_ms < self.until_ms
     }
@@ -39,8 +41,8 @@
         self.failures
     }
 
-    /// Counts a failure and starts its delay, times `jitter`. A failure while a delay runs counts for
-    /// nothing: it belongs to the same trouble.
+    /// Counts a failure and starts its delay, times `jitter`. A failure during a delay is not counted: it
+    /// comes from an attempt sent before, and shows the same fault.
     pub(crate) fn record_failure(&mut self, now_ms: f64, limits: BackoffLimits, jitter: f64) {
         if self.is_active(now_ms) {
             return;
@@ -54,12 +56,12 @@
         self.until_ms = until_ms;
     }
 
-    /// Forgets the failures counted; a delay that runs goes on.
+    /// Resets the count of failures; the present delay stays as it is.
     pub(crate) fn reset_failures(&mut self) {
         self.failures = 0;
     }
 
-    /// Takes one failure off the count; a delay that runs goes on.
+    /// Takes one failure off the count; the present delay stays as it is.
     pub(crate) fn forgive_failure(&mut self) {
         self.failures = self.failures.saturating_sub(1);
     }
--- a/crates/admission/src/mechanism/smoothing.rs
+++ b/crates/admission/src/mechanism/smoothing.rs
@@ -1,11 +1,11 @@
 //! Exponential smoothing, and decay by half-life.
 
-/// Moves `mean` towards `sample` by the part `gain` of the distance.
+/// Moves `mean` towards `sample` by the fraction `gain` of the distance.
 pub(crate) fn smooth(mean: &mut f64, sample: f64, gain: f64) {
     *mean += gain * (sample - *mean);
 }
 
-/// What is left of `value` after `elapsed_ms` when its distance from `rest` halves every `half_life_ms`.
+/// What `value` has become after `elapsed_ms` when its distance from `rest` halves every `half_life_ms`.
 pub(crate) fn decay_towards(rest: f64, value: f64, elapsed_ms: f64, half_life_ms: f64) -> f64 {
     rest + (value - rest) * 0.5f64.powf(elapsed_ms.max(0.0) / half_life_ms)
 }
--- a/crates/admission/src/mechanism/splitmix64.rs
+++ b/crates/admission/src/mechanism/splitmix64.rs
@@ -12,19 +12,19 @@
         SplitMix64 { state: seed }
     }
 
-    /// The next number of the sequence, evenly spread over 0 to 1 (exclusive).
+    /// The next number of the sequence, uniformly distributed from 0 to 1 (exclusive).
     pub(crate) fn next_fraction(&mut self) -> f64 {
         self.state = mix(self.state);
         fraction(self.state)
     }
 
-    /// A number that depends on `value` and on the place in the sequence, which stays where it is.
+    /// A hash of `value` and the present state. The sequence does not advance.
     pub(crate) fn hash(&self, value: u64) -> u64 {
         mix(self.state ^ value)
     }
 }
 
-/// Spreads a number's bits evenly: a hash of 64 bits.
+/// The mixing function of splitmix64: a hash of 64 bits.
 pub(crate) fn mix(value: u64) -> u64 {
     let mut z = value.wrapping_add(0x9e37_79b9_7f4a_7c15);
     z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -32,12 +32,13 @@
     z ^ (z >> 31)
 }
 
-/// The upper 53 bits of a hash as a fraction between 0 and 1 (exclusive): as many as an `f64` holds.
+/// The upper 53 bits of a hash as a fraction between 0 and 1 (exclusive): as many as the mantissa of an `f64`
+/// has.
 pub(crate) fn fraction(hash: u64) -> f64 {
     (hash >> 11) as f64 / (1u64 << 53) as f64
 }
 
-/// The short name, of 24 bits, of anything with an id.
+/// A hash of an id, of 24 bits, that names it in messages.
 pub(crate) fn short_tag(id: u64) -> u32 {
     (mix(id) & 0xff_ffff) as u32
 }
--- a/crates/admission/src/mechanism/weighted_choice.rs
+++ b/crates/admission/src/mechanism/weighted_choice.rs
@@ -1,18 +1,19 @@
 //! Choice by weights.
 
-/// Index of the item that `draw`, from 0 to 1, falls on when each item covers a part of that range in
-/// proportion to its weight. The last item takes what rounding leaves over; `None` where there is no item.
+/// Index of the item that `draw`, from 0 to 1, falls on when each item covers a range in proportion to its
+/// weight. A draw beyond all ranges, which rounding can bring, falls on the last item. `None` where there is
+/// no item.
 pub(crate) fn weighted_choice(draw: f64, weights: &[f64]) -> Option<usize> {
-    let mut left = draw * weights.iter().sum::<f64>();
+    let mut remaining = draw * weights.iter().sum::<f64>();
     let chosen = weights.iter().position(|weight| {
-        left -= weight;
-        left <= 0.0
+        remaining -= weight;
+        remaining <= 0.0
     });
     chosen.or(weights.len().checked_sub(1))
 }
 
-/// Weights in inverse proportion to cost. The items of the first group get the part `first_fraction` of the
-/// sum, those of the second group the rest; where one group has no item, the other gets everything.
+/// Weights in inverse proportion to cost. The items of the first group get the fraction `first_fraction` of
+/// the sum, those of the second group the rest. Where one group has no item, the other gets all.
 pub(crate) fn inverse_cost_weights<T>(
     items: &[T],
     cost: impl Fn(&T) -> f64,
--- a/crates/admission/src/policy/observation/attempt_observation.rs
+++ b/crates/admission/src/policy/observation/attempt_observation.rs
@@ -9,8 +9,8 @@
 /// Span over which the rate of observed responses is smoothed, in seconds.
 pub(crate) const OBSERVATION_SPAN_S: f64 = 3.0;
 
-/// What the end of an attempt shows of its endpoint; `None` where it shows nothing. `objective_fraction` is the
-/// time it took as a fraction of the latency objective.
+/// What the end of an attempt shows of its endpoint; `None` where it shows nothing. `objective_fraction` is
+/// the time it took as a fraction of the latency objective.
 pub(crate) fn observation_of_attempt(
     outcome: Outcome,
     class: ClassIndex,
@@ -23,8 +23,8 @@
             Some(ObservationKind::Responded { class, response_time })
         }
         Outcome::Overloaded => Some(ObservationKind::Rejected { plan }),
-        // A time-out is a failure and not a slow response: it shows a fault of this endpoint, not how slow the
-        // fleet is.
+        // A time-out is a failure and not a slow response: it shows a fault of this endpoint, not how slow
+        // the fleet is.
         Outcome::Error | Outcome::Reset | Outcome::ConnectFailed | Outcome::TimedOut => {
             Some(ObservationKind::Failed { class })
         }
--- a/crates/admission/src/policy/outlier/attempt_failure.rs
+++ b/crates/admission/src/policy/outlier/attempt_failure.rs
@@ -9,8 +9,8 @@
 /// Error fraction above which an error is a failure of the endpoint.
 const MAX_ERROR_FRACTION: f64 = 0.3;
 
-/// Error fraction above which a broken connection is a failure of the endpoint. It is higher because an endpoint
-/// may respond over its other connections.
+/// Error fraction above which a broken connection is a failure of the endpoint. It is higher because an
+/// endpoint may respond over its other connections.
 const MAX_BROKEN_FRACTION: f64 = 0.5;
 
 /// Response times after which an abandoned attempt is a failure of the endpoint.
@@ -52,8 +52,8 @@
     Eject,
 }
 
-/// Broadcast mode: what follows for the endpoint. A long time without a response is the endpoint's own fault only
-/// where attempts elsewhere are not as old.
+/// Broadcast mode: what follows for the endpoint. A long time without a response is the endpoint's own fault
+/// only where attempts elsewhere are not as old.
 pub(crate) fn verdict_in_broadcast_mode(input: &AttemptFailureInput) -> HealthVerdict {
     match input.outcome {
         Outcome::Overloaded => {
--- a/crates/admission/src/policy/outlier/ejection.rs
+++ b/crates/admission/src/policy/outlier/ejection.rs
@@ -7,8 +7,8 @@
 /// How long an endpoint is ejected for one class or plan, in ms.
 pub(crate) const SCOPED_EJECTION: BackoffLimits = BackoffLimits { base_ms: 1000.0, max_ms: 6400.0 };
 
-/// Width of the range of random factors on the length of an ejection, around 1. It keeps gateways from
-/// returning to an endpoint all at once.
+/// Width of the range of random factors on the length of an ejection, around 1. Without it all
+/// gateways would return to an endpoint at once.
 const EJECTION_JITTER: f64 = 0.5;
 
 /// Stall ratio above which an endpoint is an outlier.
--- a/crates/admission/src/policy/outlier/stall.rs
+++ b/crates/admission/src/policy/outlier/stall.rs
@@ -8,12 +8,12 @@
 /// slow by itself.
 const SINGLE_STALL_RESPONSE_TIMES: f64 = 5.0;
 
-/// Typical ages of attempts in flight that count as a response time: where all endpoints slow down, attempts in
-/// flight show it before responses do.
+/// Typical ages of attempts in flight that count as a response time: where all endpoints slow down, attempts
+/// in flight show it before responses do.
 const TYPICAL_AGE_FACTOR: f64 = 1.5;
 
-/// Percentile, over the endpoints, of the age of attempts in flight that is taken as typical. It lies below the
-/// median because a zone of two may be lost with its work in flight.
+/// Percentile, over the endpoints, of the age of attempts in flight that is taken as typical. It lies below
+/// the median because a zone of two may be lost with its work in flight.
 const TYPICAL_AGE_PERCENTILE: usize = 40;
 
 /// Age at which an endpoint without attempts in flight counts, in mean response times.
@@ -40,8 +40,8 @@
 
 /// Time without any response while attempts are in flight, in multiples of what counts as a stall.
 ///
-/// It is measured against the age of this gateway's attempts at all endpoints, so that none is stalled where all
-/// slow down.
+/// It is measured against the age of this gateway's attempts at all endpoints, so that none is stalled where
+/// all slow down.
 pub(crate) fn stall_ratio(input: &StallInput) -> f64 {
     let stalled_ms = input.now_ms - input.oldest_sent_ms.max(input.last_response_ms);
     let relative = input.relative_response_time.max(1.0);
--- a/crates/admission/src/policy/outlier/unresponsive.rs
+++ b/crates/admission/src/policy/outlier/unresponsive.rs
@@ -1,4 +1,4 @@
-//! Large fleets: which endpoints leave all gateways without a response. A gateway there sends to an endpoint too
+//! Large fleets: from which endpoints no gateway gets responses. A gateway there sends to an endpoint too
 //! seldom to judge it alone.
 
 /// Attempts known to have got no response since the last response; fewer may be chance.
--- a/crates/admission/src/policy/response_time/kind_deviation.rs
+++ b/crates/admission/src/policy/response_time/kind_deviation.rs
@@ -1,8 +1,8 @@
 //! How slow an endpoint is for its machine kind.
 use crate::state::RelativeResponseTime;
 
-/// Relative response time, over that of its kind, above which an endpoint gets less work. Small differences are
-/// ignored, because all gateways learn the same and would all send to the same few endpoints.
+/// Relative response time, over that of its kind, above which an endpoint gets less work. Small differences
+/// are ignored, because all gateways learn the same and would all send to the same few endpoints.
 const CLEARLY_SLOW: f64 = 1.6;
 
 /// Least relative response time that counts as usual of a kind.
--- a/crates/admission/src/policy/response_time/response_samples.rs
+++ b/crates/admission/src/policy/response_time/response_samples.rs
@@ -19,8 +19,8 @@
 pub(crate) const LATENCY_GAINS: LatencyGains =
     LatencyGains { class_mean: 0.03, own_fraction: 0.05, observed_fraction: 0.02, kind_baseline: 0.02 };
 
-/// Largest sample of a class's response time in a large fleet, in mean response times, so that a few very slow
-/// endpoints do not make all look slow.
+/// Largest sample of a class's response time in a large fleet, in mean response times, so that a few very
+/// slow endpoints do not make all look slow.
 const MAX_RESPONSE_SAMPLE: f64 = 2.5;
 
 /// How an own attempt ended, and what its response time is compared with.
@@ -58,8 +58,8 @@
     pub objective_fraction: Option<ResponseTimeSample>,
 }
 
-/// Broadcast mode: all that is learned of response times. An overloaded endpoint counts as one that takes the
-/// whole objective.
+/// Broadcast mode: all that is learned of response times. An overloaded endpoint counts as one that takes as
+/// long as the latency objective.
 pub(crate) fn samples_in_broadcast_mode(input: &OwnAttemptInput) -> OwnAttemptSamples {
     let relative = input.took_ms / input.class_response_ms;
     let objective_fraction = input.took_ms / input.latency_objective_ms;
--- a/crates/admission/src/policy/retry/after_attempt.rs
+++ b/crates/admission/src/policy/retry/after_attempt.rs
@@ -6,7 +6,7 @@
 pub(crate) struct EndedAttempt {
     /// How the attempt ended.
     pub outcome: Outcome,
-    /// The request has its final response, or its client has gone.
+    /// The request has its final response, or its client has disconnected.
     pub is_closed: bool,
     /// Another attempt is in flight.
     pub has_attempt_in_flight: bool,
--- a/crates/admission/src/policy/retry/attempt_timeout.rs
+++ b/crates/admission/src/policy/retry/attempt_timeout.rs
@@ -1,7 +1,7 @@
 //! How long an attempt may take.
 
-/// Time-out of an attempt, in latency objectives. A response after one objective has little value, but until the
-/// time-out the attempt counts as in flight: the endpoint may still work on it.
+/// Time-out of an attempt, in latency objectives. A response after one objective has little value, but until
+/// the time-out the attempt counts as in flight: the endpoint may still work on it.
 pub(crate) const ATTEMPT_TIMEOUT_OBJECTIVES: f64 = 2.0;
 
 /// Shortest time-out of an attempt, in ms: the host needs one above 0.
--- a/crates/admission/src/policy/retry/mod.rs
+++ b/crates/admission/src/policy/retry/mod.rs
@@ -1,4 +1,5 @@
-//! Retries: whether and where a request gets another attempt, what that costs, and when an attempt is stalled.
+//! Retries: whether and where a request gets another attempt, what that costs, and when an attempt is
+//! stalled.
 mod after_attempt;
 mod attempt_timeout;
 mod repeat_scope;
--- a/crates/admission/src/policy/retry/repeat_scope.rs
+++ b/crates/admission/src/policy/retry/repeat_scope.rs
@@ -2,8 +2,8 @@
 use crate::settings::{DedupGroup, Idempotency};
 use crate::state::{Attempt, Endpoint};
 
-/// Fraction of an idempotency key's window that is used. The window counts where the endpoints are, so that the
-/// network takes some of it.
+/// Fraction of an idempotency key's window that is used. The window counts where the endpoints are, so that
+/// the network takes some of it.
 const KEY_WINDOW_FRACTION: f64 = 0.9;
 
 /// Rounds of events that may pass before an attempt reaches the network and before its time is noticed.
--- a/crates/admission/src/policy/retry/rescue.rs
+++ b/crates/admission/src/policy/retry/rescue.rs
@@ -1,14 +1,14 @@
 //! What is done about a stalled attempt.
 //!
-//! It guards against hung machines and lost zones: their attempts fail only by the time-out, which is often too
-//! late for a retry. A stall is noticed earlier, whatever its cause.
+//! It guards against hung machines and lost zones: their attempts fail only by the time-out, which is often
+//! too late for a retry. A stall is noticed earlier, whatever its cause.
 use crate::policy::retry::retry_decision::{has_attempt_left, RISKY_RETRY_COST};
 use crate::settings::Idempotency;
 
 /// What decides about a request with a stalled attempt.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct RescueInput {
-    /// The request has its final response, or its client has gone.
+    /// The request has its final response, or its client has disconnected.
     pub is_closed: bool,
     /// Attempts that it has had.
     pub attempts: usize,
--- a/crates/admission/src/policy/retry/retry_decision.rs
+++ b/crates/admission/src/policy/retry/retry_decision.rs
@@ -18,7 +18,7 @@
 /// What decides whether a request gets another attempt.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct RetryInput {
-    /// It has its final response, or its client has gone.
+    /// It has its final response, or its client has disconnected.
     pub is_closed: bool,
     /// Attempts that it has had.
     pub attempts: usize,
--- a/crates/admission/src/policy/retry/stalled_attempt.rs
+++ b/crates/admission/src/policy/retry/stalled_attempt.rs
@@ -1,5 +1,5 @@
-//! Large fleets: which attempts take long, and which are stalled. A gateway there sends an endpoint too little to
-//! see a stall of the endpoint, and goes by the age of single attempts.
+//! Large fleets: which attempts take long, and which are stalled. A gateway there sends an endpoint too
+//! little to see a stall of the endpoint, and goes by the age of single attempts.
 use crate::policy::upkeep::UPKEEP_MS;
 
 /// Mean response times after which an attempt takes long.
@@ -8,8 +8,8 @@
 /// Least time after which an attempt takes long, in latency objectives.
 const LONG_OBJECTIVE_FRACTION: f64 = 0.25;
 
-/// Factor on the time after which an attempt takes long, from which on it is stalled where nothing else points at
-/// its endpoint.
+/// Factor on the time after which an attempt takes long, from which on it is stalled where nothing else
+/// points at its endpoint.
 const STALLED_FACTOR: f64 = 1.6;
 
 /// What is known of an attempt in flight and of its endpoint.
@@ -23,11 +23,12 @@
     pub is_class_ejected: bool,
     /// The endpoint is an outlier.
     pub is_outlier: bool,
-    /// The endpoint leaves the fleet without responses.
+    /// The fleet gets no responses from the endpoint.
     pub is_unresponsive: bool,
 }
 
-/// The time after which an attempt takes long, by the mean response time and the latency objective of its class.
+/// The time after which an attempt takes long, by the mean response time and the latency objective of its
+/// class.
 pub(crate) fn long_response_ms(class_response_ms: f64, latency_objective_ms: f64) -> f64 {
     let by_mean_ms = class_response_ms * LONG_RESPONSE_TIMES;
     by_mean_ms.max(LONG_OBJECTIVE_FRACTION * latency_objective_ms)
--- a/crates/admission/src/policy/selection/attempt_cost.rs
+++ b/crates/admission/src/policy/selection/attempt_cost.rs
@@ -8,8 +8,8 @@
 /// Factor on the cost of an endpoint of another zone, in broadcast mode.
 const REMOTE_ZONE_COST: f64 = 1.1;
 
-/// Factor on the cost of an unresponsive endpoint. Some gateway still sends to it now and then, which shows when
-/// it is well again.
+/// Factor on the cost of an unresponsive endpoint. Some gateway still sends to it now and then, which shows
+/// when it is healthy again.
 const UNRESPONSIVE_COST: f64 = 20.0;
 
 /// Warm-up tokens of an endpoint that is warming up.
@@ -38,8 +38,8 @@
     pub warm_up: Option<WarmUpAllowance>,
 }
 
-/// Broadcast mode: the cost by own attempts in flight and learned response times; `None` where an endpoint that
-/// is warming up has no token left.
+/// Broadcast mode: the cost by own attempts in flight and learned response times; `None` where an endpoint
+/// that is warming up has no token left.
 pub(crate) fn cost_in_broadcast_mode(input: &BroadcastCostInput) -> Option<f64> {
     let mut cost = (input.in_flight as f64 + 1.0) / input.warm_fraction;
     cost *= if input.was_attempted { REPEAT_COST } else { 1.0 };
@@ -68,7 +68,7 @@
     pub was_attempted: bool,
     /// Its response time beside that of its machine kind.
     pub kind: KindDeviation,
-    /// It leaves the fleet without responses, as far as this request is concerned.
+    /// It counts as unresponsive for this request.
     pub is_unresponsive: bool,
 }
 
--- a/crates/admission/src/policy/selection/least_cost.rs
+++ b/crates/admission/src/policy/selection/least_cost.rs
@@ -12,8 +12,8 @@
     pub is_unfit: bool,
 }
 
-/// The endpoint of least cost, the first of several; `None` where none is fit. In a correlated failure the unfit
-/// count as well.
+/// The endpoint of least cost, the first of several; `None` where none is fit. In a correlated failure the
+/// unfit count as well.
 pub(crate) fn least_cost(
     candidates: impl Iterator<Item = CostCandidate>,
     is_correlated_failure: bool,
--- a/crates/admission/src/policy/selection/local_zone.rs
+++ b/crates/admission/src/policy/selection/local_zone.rs
@@ -10,12 +10,12 @@
 /// Smallest fraction of attempts that stays in the local zone while it has candidates.
 const MIN_LOCAL_FRACTION: f64 = 0.05;
 
-/// Least mean capacity of a zone: it keeps the quotient finite.
+/// Least mean capacity of a zone that divides.
 const MIN_MEAN_CAPACITY: f64 = 1e-9;
 
-/// Fraction of the attempts that stay in the local zone, by the capacity of its candidates against that of the
-/// mean zone: a local candidate gets no more than a remote one of the same capacity. Each capacity comes with
-/// the zone of its candidate, as a fraction of a warm endpoint's.
+/// Fraction of the attempts that stay in the local zone, by the capacity of its candidates against that of
+/// the mean zone: a local candidate gets no more than a remote one of the same capacity. Each capacity comes
+/// with the zone of its candidate, as a fraction of a warm endpoint's.
 pub(crate) fn local_fraction(
     capacities: impl Iterator<Item = (ZoneIndex, f64)>,
     local_zone: ZoneIndex,
--- a/crates/admission/src/policy/selection/weighted_draw.rs
+++ b/crates/admission/src/policy/selection/weighted_draw.rs
@@ -2,7 +2,7 @@
 use crate::id::{EndpointId, ZoneIndex};
 use crate::mechanism::weighted_choice::{inverse_cost_weights, weighted_choice};
 use crate::policy::outlier::is_correlated_failure;
-use crate::policy::selection::condition::EndpointCondition;
+use crate::policy::selection::fitness::EndpointFitness;
 use crate::policy::selection::local_zone::local_fraction;
 use crate::policy::slow_start::{is_warming_up, send_fraction_in_large_fleet, WarmUpAdmission};
 
@@ -17,14 +17,14 @@
     pub warm_fraction: f64,
     /// Its cost.
     pub cost: f64,
-    /// What speaks against it.
-    pub condition: EndpointCondition,
+    /// Whether it is fit for the request.
+    pub fitness: EndpointFitness,
 }
 
 impl DrawCandidate {
-    /// Work that it may be sent, as a fraction of a warm endpoint's: none where anything speaks against it.
+    /// Work that it may be sent, as a fraction of a warm endpoint's: none where it is not fit.
     fn capacity(&self) -> f64 {
-        if self.condition.is_outlier || self.condition.is_unresponsive {
+        if self.fitness.is_outlier || self.fitness.is_unresponsive {
             0.0
         } else {
             send_fraction_in_large_fleet(self.warm_fraction)
@@ -55,16 +55,17 @@
     let capacities = candidates.iter().map(|candidate| (candidate.zone, candidate.capacity()));
     let local_fraction = local_fraction(capacities, context.local_zone);
     apply_warm_up_admission(&mut candidates, context.warm_up);
-    let healthy = candidates.iter().filter(|candidate| !candidate.condition.is_outlier).count();
+    let healthy = candidates.iter().filter(|candidate| !candidate.fitness.is_outlier).count();
     if !context.is_correlated_failure && !is_correlated_failure(healthy, candidates.len()) {
-        candidates.retain(|candidate| !candidate.condition.is_outlier);
+        candidates.retain(|candidate| !candidate.fitness.is_outlier);
     }
     let is_local = |candidate: &DrawCandidate| candidate.zone == context.local_zone;
     let weights = inverse_cost_weights(&candidates, |candidate| candidate.cost, is_local, local_fraction);
     weighted_choice(context.draw, &weights).map(|index| candidates[index].endpoint)
 }
 
-/// Leaves out the candidates that are warming up, or raises their weight where the attempt is admitted to them.
+/// Leaves out the candidates that are warming up, or raises their weight where the attempt is admitted to
+/// them.
 fn apply_warm_up_admission(candidates: &mut Vec<DrawCandidate>, admission: WarmUpAdmission) {
     match admission {
         WarmUpAdmission::WarmOnly => candidates.retain(|candidate| !candidate.is_warming_up()),
--- a/crates/admission/src/policy/slow_start/warm_fraction.rs
+++ b/crates/admission/src/policy/slow_start/warm_fraction.rs
@@ -4,7 +4,8 @@
 /// requests differ in size and endpoints of a kind in speed.
 pub(crate) const WARM_UP_BUDGET_FRACTION: f64 = 0.6;
 
-/// Fraction of a warming endpoint's capacity that counts in a large fleet, where endpoints are drawn by weight.
+/// Fraction of a warming endpoint's capacity that counts in a large fleet, where endpoints are drawn by
+/// weight.
 pub(crate) const WARM_UP_WEIGHT: f64 = 0.5;
 
 /// Fraction of its full capacity that an endpoint has at least: it rises evenly from `initial_fraction`, when
--- a/crates/admission/src/policy/slow_start/warm_up_admission.rs
+++ b/crates/admission/src/policy/slow_start/warm_up_admission.rs
@@ -3,8 +3,8 @@
 use crate::mechanism::splitmix64::{fraction, mix};
 use crate::policy::slow_start::warm_fraction::is_warming_up;
 
-/// Requests admitted to warming endpoints, as a multiple of these endpoints' fraction of the send capacity. The
-/// fraction of endpoints that are warm is added to it, since warm endpoints then take most of the work.
+/// Requests admitted to warming endpoints, as a multiple of these endpoints' fraction of the send capacity.
+/// The fraction of endpoints that are warm is added to it, since warm endpoints then take most of the work.
 const WARM_UP_ADMISSION_FACTOR: f64 = 1.2;
 
 /// Work that the ready endpoints may be sent, in multiples of a warm endpoint's.
@@ -61,8 +61,8 @@
     }
 }
 
-/// The draw for an attempt, from 0 to 1. It is a hash, so that a request that waits for an endpoint does not get
-/// another draw with each poll.
+/// The draw for an attempt, from 0 to 1. It is a hash, so that a request that waits for an endpoint does not
+/// get another draw with each poll.
 pub(crate) fn warm_up_draw(request: RequestId, incarnation: u32, attempt: usize) -> f64 {
     fraction(mix(mix(request.0 ^ u64::from(incarnation)).wrapping_add(attempt as u64)))
 }
--- a/crates/admission/src/policy/slow_start/warm_up_budget.rs
+++ b/crates/admission/src/policy/slow_start/warm_up_budget.rs
@@ -2,11 +2,12 @@
 use crate::policy::slow_start::warm_fraction::WARM_UP_BUDGET_FRACTION;
 use crate::state::WarmUpBudget;
 
-/// Fraction of the rate at which a warm endpoint of the same kind is sent attempts that counts as its capacity.
+/// Fraction of the rate at which a warm endpoint of the same kind is sent attempts that counts as its
+/// capacity.
 const WARM_PEER_FRACTION: f64 = 0.7;
 
-/// Tokens that may be saved up, as a fraction of those of one overload window. At one half, no window sees more
-/// than its own tokens and these.
+/// Tokens that may be saved up, as a fraction of those of one overload window. At one half, no window sees
+/// more than its own tokens and these.
 const SAVED_WINDOW_FRACTION: f64 = 0.5;
 
 /// Span over which the rate of attempts sent to an endpoint is smoothed, in seconds.
--- a/crates/admission/src/state/endpoint/endpoint_record.rs
+++ b/crates/admission/src/state/endpoint/endpoint_record.rs
@@ -7,7 +7,7 @@
 /// One of this gateway's own attempts at an endpoint that has not ended.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct InFlightAttempt {
-    /// When it was sent.
+    /// When it was sent, in ms.
     pub(crate) sent_ms: f64,
     /// Its request.
     pub(crate) request: RequestId,
@@ -18,9 +18,9 @@
 /// How an endpoint's figures are smoothed.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct EndpointSmoothing {
-    /// Half-life with which a relative response time returns to what is usual.
+    /// Half-life with which a relative response time returns to what is usual, in ms.
     pub(crate) response_time_half_life_ms: f64,
-    /// Span over which the rate of attempts sent is smoothed.
+    /// Span over which the rate of attempts sent is smoothed, in seconds.
     pub(crate) send_rate_span_s: f64,
 }
 
@@ -38,7 +38,7 @@
     pub(crate) warm_up_tokens: WarmUpTokens,
     /// Health as own attempts show it.
     pub(crate) health: EndpointHealth,
-    /// Health as the fleet's gateways observe it; small fleets don't.
+    /// Health as the gateways of a large fleet observe it; unused in broadcast mode.
     pub(crate) observed: ObservedHealth,
     /// Response time over what is usual.
     pub(crate) response_time: RelativeResponseTime,
@@ -64,11 +64,11 @@
         }
     }
 
-    /// Takes over a new line of the list. A process that has restarted since owes nothing to what the last
-    /// one did; only the attempts in flight stay.
+    /// Applies a new entry of the list. A process that has restarted gets a new record; only the attempts in
+    /// flight, which were sent to the process before it, stay.
     pub(crate) fn update(&mut self, entry: EndpointEntry, now_ms: f64, warm_up_tokens: f64) {
-        let restarted = entry.started_at_ms != self.entry.started_at_ms && entry.started_at_ms.is_some();
-        if restarted {
+        let has_restarted = entry.started_at_ms != self.entry.started_at_ms && entry.started_at_ms.is_some();
+        if has_restarted {
             let in_flight = std::mem::take(&mut self.in_flight);
             *self = Endpoint { in_flight, ..Endpoint::new(entry, now_ms, warm_up_tokens, self.smoothing) };
             return;
@@ -101,7 +101,7 @@
         self.entry.cell
     }
 
-    /// Whether the list lets it be sent new work.
+    /// Whether the list permits new attempts at it.
     pub(crate) fn is_ready(&self) -> bool {
         self.entry.state == EndpointState::Ready
     }
@@ -111,7 +111,7 @@
         self.entry.state == EndpointState::Gone
     }
 
-    /// Time since its process started; `None`: that was long ago.
+    /// Time since its process started, in ms; `None` where that was long ago.
     pub(crate) fn age_ms(&self, now_ms: f64) -> Option<f64> {
         self.entry.started_at_ms.map(|started_ms| now_ms - started_ms)
     }
@@ -125,7 +125,7 @@
         self.in_flight.push(attempt);
     }
 
-    /// Takes an ended attempt out of those in flight.
+    /// Removes an ended attempt from those in flight.
     pub(crate) fn remove_in_flight(&mut self, request: RequestId, attempt: u32) {
         self.in_flight.retain(|a| (a.request, a.attempt) != (request, attempt));
     }
@@ -135,12 +135,12 @@
         &self.in_flight
     }
 
-    /// When the oldest own attempt in flight was sent.
+    /// When the oldest own attempt in flight was sent, in ms; `None` where there is none.
     pub(crate) fn oldest_sent_ms(&self) -> Option<f64> {
         self.in_flight.iter().map(|a| a.sent_ms).reduce(f64::min)
     }
 
-    /// Mean age of own attempts in flight; `None` where there are none.
+    /// Mean age of own attempts in flight, in ms; `None` where there are none.
     pub(crate) fn mean_in_flight_age_ms(&self, now_ms: f64) -> Option<f64> {
         let count = Some(self.in_flight.len()).filter(|n| *n > 0)?;
         Some(self.in_flight.iter().map(|a| now_ms - a.sent_ms).sum::<f64>() / count as f64)
--- a/crates/admission/src/state/endpoint/endpoint_table.rs
+++ b/crates/admission/src/state/endpoint/endpoint_table.rs
@@ -5,11 +5,11 @@
 use crate::state::{Endpoint, EndpointSmoothing};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The endpoints of the list, and those gone from it that still have own attempts in flight.
+/// The endpoints of the list, and those no longer listed that still have own attempts in flight.
 #[derive(Debug, Default)]
 pub(crate) struct EndpointTable {
     by_id: BTreeMap<EndpointId, Endpoint>,
-    /// The endpoints by the short tag that messages name them by.
+    /// The ids of the endpoints by the tag that names them in messages.
     id_by_tag: BTreeMap<u32, EndpointId>,
     /// The list is too old to send by.
     list_expired: bool,
@@ -22,8 +22,8 @@
         EndpointTable { smoothing, ..EndpointTable::default() }
     }
 
-    /// Takes in an update of the list. The random numbers decide with what part of a token an endpoint starts
-    /// to warm up: else all gateways had their first one at the same time.
+    /// Applies an update of the list. An endpoint starts to warm up with a random fraction of a token.
+    /// Without that all gateways would send it their first attempt at the same time.
     pub(crate) fn apply_list(
         &mut self,
         kind: ListKind,
@@ -56,7 +56,7 @@
         self.list_expired = true;
     }
 
-    /// Marks the endpoints that a whole list does not name as gone.
+    /// Marks the endpoints that a complete list does not name as no longer listed.
     fn mark_unlisted_gone(&mut self, entries: &[EndpointEntry]) {
         let listed: BTreeSet<EndpointId> = entries.iter().map(|entry| entry.id).collect();
         for (id, endpoint) in &mut self.by_id {
@@ -76,7 +76,7 @@
         self.by_id.len()
     }
 
-    /// The endpoints in the order of their ids.
+    /// All endpoints, in the order of their ids.
     pub(crate) fn iter(&self) -> impl Iterator<Item = &Endpoint> {
         self.by_id.values()
     }
@@ -86,7 +86,7 @@
         self.ready().filter(|_| !self.is_list_expired())
     }
 
-    /// The endpoints that the list lets be sent new work.
+    /// The endpoints at which the list permits new attempts.
     pub(crate) fn ready(&self) -> impl Iterator<Item = &Endpoint> {
         self.iter().filter(|endpoint| endpoint.is_ready())
     }
@@ -101,12 +101,12 @@
         self.by_id.get_mut(&id)
     }
 
-    /// An endpoint by the short tag that messages name it by.
+    /// An endpoint by the tag that names it in messages.
     pub(crate) fn get_by_tag_mut(&mut self, tag: u32) -> Option<&mut Endpoint> {
         self.by_id.get_mut(self.id_by_tag.get(&tag)?)
     }
 
-    /// Forgets an endpoint that is gone from the list once it has no own attempt in flight.
+    /// Removes an endpoint that is no longer listed once it has no own attempt in flight.
     pub(crate) fn remove_if_finished(&mut self, id: EndpointId) {
         if self.get(id).is_some_and(|endpoint| endpoint.is_gone() && endpoint.in_flight().is_empty()) {
             self.by_id.remove(&id);
--- a/crates/admission/src/state/endpoint/latency_model.rs
+++ b/crates/admission/src/state/endpoint/latency_model.rs
@@ -4,10 +4,10 @@
 use crate::mechanism::smoothing::smooth;
 use std::collections::BTreeMap;
 
-/// Keeps divisions by the smoothed response time finite.
+/// Least response time, as a fraction of the latency objective, that divides.
 const MIN_OBJECTIVE_FRACTION: f64 = 0.01;
 
-/// Keeps divisions by a class's response time finite.
+/// Least response time that divides, in ms.
 const MIN_RESPONSE_MS: f64 = 1.0;
 
 /// Weights of a new sample in the learned response times.
@@ -27,20 +27,20 @@
 #[derive(Debug, Default)]
 pub(crate) struct LatencyModel {
     gains: LatencyGains,
-    /// Smoothed response time in parts of the latency objective.
+    /// Smoothed response time as a fraction of the latency objective.
     objective_fraction: f64,
-    /// Smoothed response time of each class.
+    /// Smoothed response time of each class, in ms.
     mean_by_class_ms: Vec<f64>,
-    /// The commonest time that clients of each class leave.
+    /// The most common time that clients of each class allow.
     time_budgets: Vec<CommonValue>,
-    /// Age of own attempts in flight at an endpoint that is not among the slowest.
+    /// Age of own attempts in flight at an endpoint that is not among the slowest, in ms.
     typical_age_ms: f64,
     /// Usual relative response time of each machine kind.
     baseline_by_kind: BTreeMap<MachineKindIndex, f64>,
 }
 
 impl LatencyModel {
-    /// A model that takes each class to be answered in the part `objective_fraction` of its objective.
+    /// A model that assumes each class to respond within `objective_fraction` of its latency objective.
     pub(crate) fn new(
         objectives_ms: impl Iterator<Item = f64>,
         objective_fraction: f64,
@@ -57,54 +57,54 @@
         }
     }
 
-    /// Smoothed response time of all classes in parts of their latency objectives.
+    /// Smoothed response time of all classes as a fraction of their latency objectives.
     pub(crate) fn objective_fraction(&self) -> f64 {
         self.objective_fraction
     }
 
-    /// A response time, given in parts of its objective, over the smoothed one.
+    /// A response time over the smoothed one, both as fractions of the latency objective.
     pub(crate) fn relative_to_mean(&self, objective_fraction: f64) -> f64 {
         objective_fraction / self.objective_fraction.max(MIN_OBJECTIVE_FRACTION)
     }
 
-    /// Takes in the response time of an own attempt, in parts of its objective.
+    /// Records the response time of an own attempt, as a fraction of its latency objective.
     pub(crate) fn record_own_fraction(&mut self, sample: f64) {
         smooth(&mut self.objective_fraction, sample, self.gains.own_fraction);
     }
 
-    /// Takes in a response time that can only be too low, in parts of its objective: a lower one than the
-    /// smoothed one says nothing.
+    /// Records a response time that can only be too low, as a fraction of its latency objective. One below
+    /// the smoothed one leaves it as it is.
     pub(crate) fn record_own_fraction_at_least(&mut self, sample: f64) {
         self.record_own_fraction(sample.max(self.objective_fraction));
     }
 
-    /// Takes in a response time that some gateway observed, in parts of its objective.
+    /// Records a response time that some gateway observed, as a fraction of its latency objective.
     pub(crate) fn record_observed_fraction(&mut self, sample: f64) {
         smooth(&mut self.objective_fraction, sample, self.gains.observed_fraction);
     }
 
-    /// Smoothed response time of a class.
+    /// Smoothed response time of a class, in ms.
     pub(crate) fn response_ms(&self, class: ClassIndex) -> f64 {
         self.mean_by_class_ms[class.0]
     }
 
-    /// Smoothed response time of a class, as a divisor: never near 0.
+    /// Smoothed response time of a class, in ms, as a divisor: 1 at least.
     pub(crate) fn expected_ms(&self, class: ClassIndex) -> f64 {
         self.response_ms(class).max(MIN_RESPONSE_MS)
     }
 
-    /// Mean of the classes' response times.
+    /// Mean of the classes' response times, in ms.
     pub(crate) fn mean_response_ms(&self) -> f64 {
         self.mean_by_class_ms.iter().sum::<f64>() / self.mean_by_class_ms.len() as f64
     }
 
-    /// Takes in a response time of a class.
+    /// Records a response time of a class, in ms.
     pub(crate) fn record_response_ms(&mut self, class: ClassIndex, sample_ms: f64) {
         smooth(&mut self.mean_by_class_ms[class.0], sample_ms, self.gains.class_mean);
     }
 
-    /// Takes in the time that a client of a class leaves; gives the votes for the commonest such time, or
-    /// `None` where the time is the commonest itself.
+    /// Records the time that a client of a class allows. Returns the votes for the most common such time, or
+    /// `None` where the time is the most common one itself.
     pub(crate) fn record_time_budget(
         &mut self,
         class: ClassIndex,
@@ -116,7 +116,7 @@
         (!is_common).then_some(common.votes())
     }
 
-    /// Age of own attempts in flight at an endpoint that is not among the slowest.
+    /// Age of own attempts in flight at an endpoint that is not among the slowest, in ms.
     pub(crate) fn typical_age_ms(&self) -> f64 {
         self.typical_age_ms
     }
@@ -131,7 +131,7 @@
         self.baseline_by_kind.get(&kind).copied().unwrap_or(1.0)
     }
 
-    /// Takes in a relative response time of a machine kind.
+    /// Records a relative response time of a machine kind.
     pub(crate) fn record_kind_response_time(&mut self, kind: MachineKindIndex, sample: f64) {
         smooth(self.baseline_by_kind.entry(kind).or_insert(1.0), sample, self.gains.kind_baseline);
     }
--- a/crates/admission/src/state/endpoint/observed_health.rs
+++ b/crates/admission/src/state/endpoint/observed_health.rs
@@ -44,7 +44,8 @@
         smooth(self.class_failure_fraction.entry(class).or_insert(0.0), 0.0, gain);
     }
 
-    /// Records that a request of a class failed or got no response, and gives the failed fraction of the class.
+    /// Records that a request of a class failed or got no response, and gives the failed fraction of the
+    /// class.
     pub(crate) fn record_failure(&mut self, class: ClassIndex, gain: f64) -> f64 {
         self.missed_responses += 1;
         let fraction = self.class_failure_fraction.entry(class).or_insert(0.0);
--- a/crates/admission/src/state/endpoint/relative_response_time.rs
+++ b/crates/admission/src/state/endpoint/relative_response_time.rs
@@ -1,8 +1,8 @@
 //! An endpoint's response time over what is usual.
 use crate::mechanism::smoothing::{decay_towards, smooth};
 
-/// An endpoint's response time over what is usual, smoothed. In broadcast mode it is learned from own attempts,
-/// in large fleets from what their gateways observe.
+/// An endpoint's response time over what is usual, smoothed. In broadcast mode it is learned from own
+/// attempts, in large fleets from what their gateways observe.
 #[derive(Debug)]
 pub(crate) struct RelativeResponseTime {
     /// The value when it was last recorded; it has no unit.
--- a/crates/admission/src/state/endpoint/warm_up_tokens.rs
+++ b/crates/admission/src/state/endpoint/warm_up_tokens.rs
@@ -1,8 +1,8 @@
-//! Records of endpoints that are warming up.
+//! Tokens for attempts at endpoints that are warming up, and the send rates that their budgets go by.
 use crate::id::MachineKindIndex;
 use std::collections::BTreeMap;
 
-/// What a gateway may send an endpoint that is warming up.
+/// The rate at which a gateway may send to an endpoint that is warming up.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct WarmUpBudget {
     /// Tokens a second; each attempt takes one.
@@ -15,19 +15,23 @@
 /// as the endpoint warms up.
 #[derive(Debug)]
 pub(crate) struct WarmUpTokens {
+    /// Tokens at `updated_ms`.
     tokens: f64,
+    /// When the tokens were last refilled, in ms.
     updated_ms: f64,
 }
 
 impl WarmUpTokens {
-    /// Starts with `tokens` at `now_ms`.
+    /// A bucket with `tokens` at `now_ms`.
     pub(crate) fn new(tokens: f64, now_ms: f64) -> Self {
         WarmUpTokens { tokens, updated_ms: now_ms }
     }
 
-    /// Tokens at `now_ms`. Where less than one may be saved up, a whole one comes now and then, at a time of
-    /// the gateway's own, and is lost after so long that the fleet's gateways hold no more at once than one
-    /// gateway in their place would: were it kept, each would have one ready when a burst comes.
+    /// Tokens at `now_ms`.
+    ///
+    /// Where less than one token may be saved up, a full token is there only for a while, at a time of this
+    /// gateway's own, and then expires. Without that every gateway of the fleet would have one ready when a
+    /// burst comes, and together they would overload the endpoint.
     pub(crate) fn available(&self, now_ms: f64, budget: WarmUpBudget) -> f64 {
         let tokens = self.tokens + budget.tokens_per_second * (now_ms - self.updated_ms) / 1000.0;
         if budget.max_tokens >= 1.0 {
@@ -42,14 +46,14 @@
         self.updated_ms = now_ms;
     }
 
-    /// Takes one token.
+    /// Takes one token for an attempt.
     pub(crate) fn take(&mut self, now_ms: f64, budget: WarmUpBudget) {
         self.refill(now_ms, budget);
         self.tokens -= 1.0;
     }
 }
 
-/// What warm endpoints are sent, as the measure for those that are warming up.
+/// The rates at which warm endpoints are sent attempts: the budgets of those that are warming up go by them.
 #[derive(Debug, Default)]
 pub(crate) struct SlowStart {
     /// Own attempts a second at a warm endpoint, by machine kind.
@@ -62,7 +66,8 @@
         self.send_rate_by_kind.get(&kind).copied().unwrap_or(0.0)
     }
 
-    /// Takes the send rates of the warm endpoints, each with its kind, in place of those known.
+    /// Replaces the known rates by the means of these, which are those of single warm endpoints with their
+    /// kinds.
     pub(crate) fn set_warm_send_rates(&mut self, rates: impl Iterator<Item = (MachineKindIndex, f64)>) {
         let mut rates_by_kind: BTreeMap<MachineKindIndex, Vec<f64>> = BTreeMap::new();
         for (kind, rate) in rates {
--- a/crates/admission/src/tests/endpoint_rules/response_time_rules.rs
+++ b/crates/admission/src/tests/endpoint_rules/response_time_rules.rs
@@ -1,4 +1,5 @@
-//! Response times: what an attempt's end teaches, which endpoints are slow, and what the fleet is notified of.
+//! Response times: what an attempt's end teaches, which endpoints are slow, and what the fleet is notified
+//! of.
 use super::is_close;
 use crate::event::Outcome;
 use crate::id::{ClassIndex, PlanIndex};
--- a/crates/admission/src/tests/endpoint_rules/selection_rules.rs
+++ b/crates/admission/src/tests/endpoint_rules/selection_rules.rs
@@ -2,12 +2,12 @@
 use super::is_close;
 use crate::id::{EndpointId, ZoneIndex};
 use crate::policy::response_time::KindDeviation;
-use crate::policy::selection::condition::EndpointCondition;
+use crate::policy::selection::fitness::EndpointFitness;
 use crate::policy::selection::local_zone::local_fraction;
 use crate::policy::selection::{
-    condition_in_large_fleet, cost_in_broadcast_mode, cost_in_large_fleet, is_unfit_in_broadcast_mode,
-    least_cost, mean_in_flight, weighted_draw, BroadcastConditionInput, BroadcastCostInput, CostCandidate,
-    DrawCandidate, DrawContext, LargeFleetConditionInput, LargeFleetCostInput, WarmUpAllowance,
+    cost_in_broadcast_mode, cost_in_large_fleet, fitness_in_large_fleet, is_unfit_in_broadcast_mode,
+    least_cost, mean_in_flight, weighted_draw, BroadcastCostInput, BroadcastFitnessInput, CostCandidate,
+    DrawCandidate, DrawContext, LargeFleetCostInput, LargeFleetFitnessInput, WarmUpAllowance,
 };
 use crate::policy::slow_start::WarmUpAdmission;
 use crate::settings::{DedupGroup, Idempotency};
@@ -74,17 +74,17 @@
 
 #[test]
 fn after_a_failure_one_attempt_at_a_time_is_sent() {
-    let well = BroadcastConditionInput { is_outlier: false, consecutive_failures: 0, in_flight: 2 };
+    let well = BroadcastFitnessInput { is_outlier: false, consecutive_failures: 0, in_flight: 2 };
     assert!(!is_unfit_in_broadcast_mode(&well));
-    assert!(is_unfit_in_broadcast_mode(&BroadcastConditionInput { is_outlier: true, ..well }));
-    let failed = BroadcastConditionInput { consecutive_failures: 1, ..well };
+    assert!(is_unfit_in_broadcast_mode(&BroadcastFitnessInput { is_outlier: true, ..well }));
+    let failed = BroadcastFitnessInput { consecutive_failures: 1, ..well };
     assert!(is_unfit_in_broadcast_mode(&failed));
-    assert!(!is_unfit_in_broadcast_mode(&BroadcastConditionInput { in_flight: 0, ..failed }));
+    assert!(!is_unfit_in_broadcast_mode(&BroadcastFitnessInput { in_flight: 0, ..failed }));
 }
 
 #[test]
 fn only_idempotent_requests_go_to_an_endpoint_that_left_others_without_a_response() {
-    let well = LargeFleetConditionInput {
+    let well = LargeFleetFitnessInput {
         is_outlier: false,
         is_ejected_for_request: false,
         is_unresponsive: false,
@@ -92,20 +92,20 @@
         idempotency: Idempotency::NonIdempotent,
     };
     let keyed = Idempotency::IdempotencyKey { group: DedupGroup::All, window_ms: 1000.0 };
-    let missed = LargeFleetConditionInput { missed_responses: 1, ..well };
+    let missed = LargeFleetFitnessInput { missed_responses: 1, ..well };
     // The input, and whether the endpoint is an outlier and unresponsive for the request.
     let rows = [
         (well, (false, false)),
-        (LargeFleetConditionInput { is_outlier: true, ..well }, (true, false)),
-        (LargeFleetConditionInput { is_ejected_for_request: true, ..well }, (true, false)),
-        (LargeFleetConditionInput { is_unresponsive: true, ..well }, (false, true)),
+        (LargeFleetFitnessInput { is_outlier: true, ..well }, (true, false)),
+        (LargeFleetFitnessInput { is_ejected_for_request: true, ..well }, (true, false)),
+        (LargeFleetFitnessInput { is_unresponsive: true, ..well }, (false, true)),
         (missed, (true, true)),
-        (LargeFleetConditionInput { idempotency: keyed, ..missed }, (true, true)),
-        (LargeFleetConditionInput { idempotency: Idempotency::Idempotent, ..missed }, (false, false)),
+        (LargeFleetFitnessInput { idempotency: keyed, ..missed }, (true, true)),
+        (LargeFleetFitnessInput { idempotency: Idempotency::Idempotent, ..missed }, (false, false)),
     ];
     for (input, (is_outlier, is_unresponsive)) in rows {
-        let expected = EndpointCondition { is_outlier, is_unresponsive };
-        assert_eq!(condition_in_large_fleet(&input), expected, "{input:?}");
+        let expected = EndpointFitness { is_outlier, is_unresponsive };
+        assert_eq!(fitness_in_large_fleet(&input), expected, "{input:?}");
     }
 }
 
@@ -141,7 +141,7 @@
         zone: ZoneIndex(0),
         warm_fraction: 1.0,
         cost: 1.0,
-        condition: EndpointCondition { is_outlier: false, is_unresponsive: false },
+        fitness: EndpointFitness { is_outlier: false, is_unresponsive: false },
     }
 }
 
@@ -181,11 +181,11 @@
 
 #[test]
 fn outliers_are_left_out_while_a_quarter_is_healthy() {
-    let outlier = EndpointCondition { is_outlier: true, is_unresponsive: false };
-    let sick = |id| DrawCandidate { condition: outlier, ..candidate(id) };
-    let one_of_four = [sick(1), sick(2), sick(3), candidate(4)];
+    let outlier = EndpointFitness { is_outlier: true, is_unresponsive: false };
+    let unhealthy = |id| DrawCandidate { fitness: outlier, ..candidate(id) };
+    let one_of_four = [unhealthy(1), unhealthy(2), unhealthy(3), candidate(4)];
     assert_eq!(drawn(&one_of_four, 0.0, CONTEXT), Some(4));
-    let one_of_five = [sick(1), sick(2), sick(3), sick(5), candidate(4)];
+    let one_of_five = [unhealthy(1), unhealthy(2), unhealthy(3), unhealthy(5), candidate(4)];
     assert_eq!(drawn(&one_of_five, 0.0, CONTEXT), Some(1), "the cause is not theirs");
     let correlated = DrawContext { is_correlated_failure: true, ..CONTEXT };
     assert_eq!(drawn(&one_of_four, 0.0, correlated), Some(1));
@@ -193,8 +193,8 @@
 
 #[test]
 fn endpoints_with_a_fault_give_their_zone_no_capacity() {
-    let unresponsive = EndpointCondition { is_outlier: false, is_unresponsive: true };
-    let local = DrawCandidate { condition: unresponsive, ..candidate(1) };
+    let unresponsive = EndpointFitness { is_outlier: false, is_unresponsive: true };
+    let local = DrawCandidate { fitness: unresponsive, ..candidate(1) };
     let list = [local, DrawCandidate { zone: ZoneIndex(1), ..candidate(2) }];
     assert_eq!(drawn(&list, 0.04, CONTEXT), Some(1), "a twentieth stays in the zone");
     assert_eq!(drawn(&list, 0.06, CONTEXT), Some(2));
