--- a/crates/admission/src/lifecycle/attempts.rs
+++ b/crates/admission/src/lifecycle/attempts.rs
@@ -4,9 +4,12 @@
 use crate::gateway::Gateway;
 use crate::id::{EndpointId, RequestId};
 use crate::policy::band::dispatch_credit::MAX_CREDIT_OVERDRAFT;
+use crate::policy::customer_usage::{
+    usage_at_attempt_end, usage_at_attempt_start, AttemptEndInput, AttemptStartInput, ExcessCharge,
+};
 use crate::policy::peer_messages::report_schedule::REPORT_ROUNDS;
 use crate::policy::retry::{
-    after_attempt, attempt_timeout_ms, AfterAttempt, EndedAttempt, MAX_RETRY_TOKENS, RETRY_TOKENS_PER_REQUEST,
+    after_attempt, attempt_timeout_ms, earned_retry_tokens, AfterAttempt, EndedAttempt, MAX_RETRY_TOKENS,
 };
 use crate::state::{AttemptRef, InFlightAttempt};
 
@@ -20,11 +23,9 @@
         let objective_ms = self.settings.class(active.request.class).latency_objective_ms;
         let time_left_ms = active.deadline_ms - self.clock.now_ms();
         let timeout_ms = attempt_timeout_ms(objective_ms, time_left_ms);
-        let is_first = active.is_unsent();
+        let earned_tokens = earned_retry_tokens(active.attempt_count());
         self.band.spend_dispatch_credit(MAX_CREDIT_OVERDRAFT);
-        if is_first {
-            self.retries.earn(RETRY_TOKENS_PER_REQUEST, MAX_RETRY_TOKENS);
-        }
+        self.retries.earn(earned_tokens, MAX_RETRY_TOKENS);
         self.enter_attempt(id, endpoint_id);
         self.count_attempt(id);
         actions.push(Action::Send { request: id, endpoint: endpoint_id, timeout_ms });
@@ -43,24 +44,27 @@
         endpoint.record_sent(InFlightAttempt { sent_ms: now, request, attempt });
     }
 
-    /// Counts a new attempt to its customer, unless another gateway owns the quota: its slot, and with the
-    /// first attempt the request's units.
+    /// Counts a new attempt to its customer.
     fn count_attempt(&mut self, id: RequestId) {
-        let Some(active) = self.requests.get(id).filter(|a| a.quota().holds_slot_here()) else {
-            return;
-        };
+        let Some(active) = self.requests.get(id) else { return };
         let Some(customer) = self.customers.get_mut(active.tag) else { return };
         let plan = self.settings.plan(active.request.plan);
-        let is_first = active.attempt_count() == 1;
-        let first_within_quota = is_first && active.quota().is_within_quota();
-        customer.start_attempt();
-        if is_first {
+        let usage = usage_at_attempt_start(&AttemptStartInput {
+            quota: active.quota(),
+            is_first: active.attempt_count() == 1,
+            has_rate: plan.rate_per_second > 0.0,
+            has_open_limit: plan.open_limit > 0,
+        });
+        if usage.takes_slot {
+            customer.start_attempt();
+        }
+        if usage.consumes_ceiling {
             customer.consume_ceiling(active.request.units);
         }
-        if first_within_quota && plan.rate_per_second > 0.0 && active.quota().is_local_bucket() {
+        if usage.consumes_quota {
             customer.consume_quota(active.request.units);
         }
-        if plan.open_limit > 0 || first_within_quota {
+        if usage.is_reported {
             self.customers.schedule_report(active.tag, REPORT_ROUNDS);
         }
     }
@@ -92,28 +96,30 @@
         }
     }
 
-    /// Settles an ended attempt with its customer: frees its slot, and consumes the units by which the true
+    /// Settles an ended attempt with its customer: frees its slot, and charges the units by which the true
     /// figure exceeds the estimate.
     fn settle_attempt(&mut self, end: &AttemptEnd) {
         let Some(active) = self.requests.get_mut(end.request) else { return };
         let plan = self.settings.plan(active.request.plan);
-        let has_quota = active.quota().is_within_quota() && plan.rate_per_second > 0.0;
-        // No request can count more than `max_units`: such a figure is corrupt.
-        let true_units = end.true_units.filter(|units| has_quota && *units <= self.settings.max_units);
-        let excess = true_units.map_or(0.0, |units| units - active.request.units);
-        let own_bucket = active.quota().is_local_bucket();
-        if !own_bucket {
-            active.settle(excess);
-        }
-        if !active.quota().holds_slot_here() {
-            return;
+        let usage = usage_at_attempt_end(&AttemptEndInput {
+            quota: active.quota(),
+            has_rate: plan.rate_per_second > 0.0,
+            has_open_limit: plan.open_limit > 0,
+            estimated_units: active.request.units,
+            true_units: end.true_units,
+            max_units: self.settings.max_units,
+        });
+        if let ExcessCharge::Request { excess_units } = usage.charge {
+            active.settle(excess_units);
         }
         let Some(customer) = self.customers.get_mut(active.tag) else { return };
-        customer.end_attempt();
-        if own_bucket {
-            customer.consume_quota(excess);
+        if usage.frees_slot {
+            customer.end_attempt();
+        }
+        if let ExcessCharge::LocalBucket { excess_units } = usage.charge {
+            customer.consume_quota(excess_units);
         }
-        if own_bucket && (excess != 0.0 || plan.open_limit > 0) {
+        if usage.is_reported {
             self.customers.schedule_report(active.tag, REPORT_ROUNDS);
         }
     }
--- a/crates/admission/src/policy/mod.rs
+++ b/crates/admission/src/policy/mod.rs
@@ -7,6 +7,7 @@
 pub(crate) mod band;
 pub(crate) mod coordination_choice;
 pub(crate) mod customer_retention;
+pub(crate) mod customer_usage;
 pub(crate) mod observation;
 pub(crate) mod outlier;
 pub(crate) mod peer_messages;
--- a/crates/admission/src/policy/retry/mod.rs
+++ b/crates/admission/src/policy/retry/mod.rs
@@ -12,6 +12,6 @@
 pub(crate) use repeat_scope::{repeat_scope, RepeatInput, RepeatScope};
 pub(crate) use rescue::{rescue, Rescue, RescueInput};
 pub(crate) use retry_decision::{
-    decide_retry, RetryDecision, RetryInput, INITIAL_RETRY_TOKENS, MAX_RETRY_TOKENS, RETRY_TOKENS_PER_REQUEST,
+    decide_retry, earned_retry_tokens, RetryDecision, RetryInput, INITIAL_RETRY_TOKENS, MAX_RETRY_TOKENS,
 };
 pub(crate) use stalled_attempt::{has_turned_long, is_stalled, long_response_ms, PendingAttemptInput};
--- a/crates/admission/src/policy/retry/retry_decision.rs
+++ b/crates/admission/src/policy/retry/retry_decision.rs
@@ -4,7 +4,7 @@
 pub(crate) const INITIAL_RETRY_TOKENS: f64 = 10.0;
 
 /// Retry tokens that the first attempt of each request brings.
-pub(crate) const RETRY_TOKENS_PER_REQUEST: f64 = 0.2;
+const RETRY_TOKENS_PER_REQUEST: f64 = 0.2;
 
 /// Retry tokens that may be saved up.
 pub(crate) const MAX_RETRY_TOKENS: f64 = 20.0;
@@ -62,6 +62,16 @@
     }
 }
 
+/// Retry tokens that an attempt brings, which is sent after `earlier_attempts` of its request: retries bring
+/// none, so that they stay a bounded fraction of all attempts.
+pub(crate) fn earned_retry_tokens(earlier_attempts: usize) -> f64 {
+    if earlier_attempts == 0 {
+        RETRY_TOKENS_PER_REQUEST
+    } else {
+        0.0
+    }
+}
+
 /// Whether a request still waits for its response and has had fewer attempts than it may have at most.
 pub(crate) fn has_attempt_left(is_closed: bool, attempts: usize, max_attempts: u32) -> bool {
     !is_closed && attempts < max_attempts as usize
--- a/crates/admission/src/tests/endpoint_rules/mod.rs
+++ b/crates/admission/src/tests/endpoint_rules/mod.rs
@@ -1,4 +1,5 @@
 //! Rules on endpoints: selection, ejection, slow start, and retries.
+mod customer_usage_rules;
 mod outlier_rules;
 mod response_time_rules;
 mod retry_rules;
--- a/crates/admission/src/tests/endpoint_rules/retry_rules.rs
+++ b/crates/admission/src/tests/endpoint_rules/retry_rules.rs
@@ -3,9 +3,9 @@
 use crate::event::{EndpointEntry, EndpointState, Outcome};
 use crate::id::{EndpointId, MachineKindIndex, ZoneIndex};
 use crate::policy::retry::{
-    after_attempt, decide_retry, has_turned_long, is_stalled, long_response_ms, repeat_scope, rescue,
-    AfterAttempt, EndedAttempt, PendingAttemptInput, RepeatInput, RepeatScope, Rescue, RescueInput,
-    RetryDecision, RetryInput,
+    after_attempt, decide_retry, earned_retry_tokens, has_turned_long, is_stalled, long_response_ms,
+    repeat_scope, rescue, AfterAttempt, EndedAttempt, PendingAttemptInput, RepeatInput, RepeatScope, Rescue,
+    RescueInput, RetryDecision, RetryInput,
 };
 use crate::settings::{DedupGroup, Idempotency};
 use crate::state::{Attempt, Endpoint, EndpointSmoothing};
@@ -96,6 +96,7 @@
     for (input, expected) in rows {
         assert_eq!(decide_retry(&input), expected, "{input:?}");
     }
+    assert!(is_close(earned_retry_tokens(0), 0.2) && is_close(earned_retry_tokens(1), 0.0));
 }
 
 #[test]
