--- a/crates/admission/src/gateway.rs
+++ b/crates/admission/src/gateway.rs
@@ -6,7 +6,7 @@
 use crate::settings::Settings;
 use crate::state::{
     Coordination, CustomerTable, EndpointTable, EventClock, FleetMeans, InFlightBand, LatencyModel,
-    OutlierDetector, RecentObservations, RequestTable, RetryBudget, SlowStart,
+    OutlierDetector, RecentObservations, RequestTable, RetryBudget, WarmSendRates,
 };
 
 /// One gateway's decisions: takes events in and answers with actions. Each part owns the state of one
@@ -38,7 +38,7 @@
     /// Failures beyond single endpoints.
     pub(crate) outliers: OutlierDetector,
     /// What warming endpoints may be sent goes by.
-    pub(crate) slow_start: SlowStart,
+    pub(crate) warm_send_rates: WarmSendRates,
     /// Tokens for further attempts.
     pub(crate) retries: RetryBudget,
     /// Means over the gateways of a large fleet.
--- a/crates/admission/src/lifecycle/attempts.rs
+++ b/crates/admission/src/lifecycle/attempts.rs
@@ -11,7 +11,7 @@
 use crate::policy::retry::{
     after_attempt, attempt_timeout_ms, earned_retry_tokens, AfterAttempt, EndedAttempt, MAX_RETRY_TOKENS,
 };
-use crate::state::{AttemptRef, InFlightAttempt};
+use crate::state::InFlightAttempt;
 
 impl Gateway {
     /// Starts a request's next attempt, at this endpoint, and adds it to all records.
@@ -26,22 +26,22 @@
         let earned_tokens = earned_retry_tokens(active.attempt_count());
         self.band.spend_dispatch_credit(MAX_CREDIT_OVERDRAFT);
         self.retries.earn(earned_tokens, MAX_RETRY_TOKENS);
-        self.enter_attempt(id, endpoint_id);
+        self.record_attempt(id, endpoint_id);
         self.count_attempt(id);
         actions.push(Action::Send { request: id, endpoint: endpoint_id, timeout_ms });
     }
 
     /// Adds a new attempt to the records of its request and its endpoint.
-    fn enter_attempt(&mut self, id: RequestId, endpoint_id: EndpointId) {
-        let now = self.clock.now_ms();
+    fn record_attempt(&mut self, id: RequestId, endpoint_id: EndpointId) {
+        let now_ms = self.clock.now_ms();
         let warm_up_budget = self.endpoints.get(endpoint_id).and_then(|e| self.warm_up_budget(e));
         let Some(active) = self.requests.get_mut(id) else { return };
         let Some(endpoint) = self.endpoints.get_mut(endpoint_id) else { return };
         if let Some(budget) = warm_up_budget {
-            endpoint.warm_up_tokens.take(now, budget);
+            endpoint.warm_up_tokens.take(now_ms, budget);
         }
-        let AttemptRef { request, attempt } = active.start_attempt(endpoint, now);
-        endpoint.record_sent(InFlightAttempt { sent_ms: now, request, attempt });
+        let reference = active.start_attempt(endpoint, now_ms);
+        endpoint.record_sent(InFlightAttempt { sent_ms: now_ms, reference });
     }
 
     /// Counts a new attempt to its customer.
--- a/crates/admission/src/lifecycle/endpoint_choice.rs
+++ b/crates/admission/src/lifecycle/endpoint_choice.rs
@@ -14,6 +14,8 @@
         match self.coordination.fleet_mode() {
             FleetMode::Broadcast => self.select_by_cost(id),
             FleetMode::LargeFleet => {
+                // Each selection takes one number of the sequence, also where no endpoint is found, so that
+                // the numbers drawn later do not depend on the endpoint list.
                 let draw = self.random.next_fraction();
                 self.select_by_draw(id, draw)
             }
--- a/crates/admission/src/lifecycle/endpoints.rs
+++ b/crates/admission/src/lifecycle/endpoints.rs
@@ -3,7 +3,7 @@
 use crate::gateway::Gateway;
 use crate::id::{ClassIndex, PlanIndex};
 use crate::policy::outlier::{ejection_jitter, HealthVerdict, EJECTION, ERROR_GAIN};
-use crate::state::FleetMode;
+use crate::state::{AttemptRef, FleetMode};
 
 impl Gateway {
     /// Records how an attempt ended in its endpoint's response time and health, and ejects the endpoint if
@@ -19,7 +19,7 @@
         let now_ms = self.clock.now_ms();
         let jitter = ejection_jitter(self.random.next_fraction());
         let Some(endpoint) = self.endpoints.get_mut(end.endpoint) else { return };
-        endpoint.remove_in_flight(end.request, end.attempt);
+        endpoint.remove_in_flight(AttemptRef { request: end.request, attempt: end.attempt });
         endpoint.health.record_outcome(end.outcome, now_ms, ERROR_GAIN);
         let Some(endpoint) = self.endpoints.get(end.endpoint) else { return };
         let verdict = self.health_verdict(endpoint, end, class);
--- a/crates/admission/src/lifecycle/retries.rs
+++ b/crates/admission/src/lifecycle/retries.rs
@@ -87,7 +87,7 @@
     fn attempts_at_outliers(&self) -> Vec<AttemptRef> {
         let outliers = self.endpoints.iter().filter(|endpoint| self.is_outlier(endpoint));
         let in_flight = outliers.flat_map(|endpoint| endpoint.in_flight());
-        in_flight.map(|a| AttemptRef { request: a.request, attempt: a.attempt }).collect()
+        in_flight.map(|attempt| attempt.reference).collect()
     }
 
     /// Large fleets: own attempts that are stalled.
--- a/crates/admission/src/lifecycle/warm_up.rs
+++ b/crates/admission/src/lifecycle/warm_up.rs
@@ -32,7 +32,7 @@
         let warm_fraction = Some(self.warm_fraction(endpoint)).filter(|w| slow_start::is_warming_up(*w))?;
         Some(slow_start::warm_up_budget(&WarmUpBudgetInput {
             warm_fraction,
-            warm_send_rate: self.slow_start.warm_send_rate(endpoint.kind()),
+            warm_send_rate: self.warm_send_rates.of_kind(endpoint.kind()),
             mean_response_ms: self.latency.mean_response_ms(),
             typical_age_ms: self.latency.typical_age_ms(),
             gateways: self.settings.gateways,
@@ -68,7 +68,7 @@
         }
         let rates = self.warm_endpoints().map(|e| (e.kind(), e.send_rate(now_ms)));
         let rates: Vec<(MachineKindIndex, f64)> = rates.collect();
-        self.slow_start.set_warm_send_rates(rates.into_iter());
+        self.warm_send_rates.replace(rates.into_iter());
     }
 
     /// The ready endpoints that have their full capacity.
--- a/crates/admission/src/state/endpoint/endpoint_record.rs
+++ b/crates/admission/src/state/endpoint/endpoint_record.rs
@@ -1,18 +1,16 @@
 //! One endpoint of the list, and what is known of it.
 use crate::event::{EndpointEntry, EndpointState};
-use crate::id::{EndpointId, MachineKindIndex, RequestId, ZoneIndex};
+use crate::id::{EndpointId, MachineKindIndex, ZoneIndex};
 use crate::mechanism::decaying_rate::DecayingRate;
-use crate::state::{EndpointHealth, ObservedHealth, RelativeResponseTime, WarmUpTokens};
+use crate::state::{AttemptRef, EndpointHealth, ObservedHealth, RelativeResponseTime, WarmUpTokens};
 
 /// One of this gateway's own attempts at an endpoint that has not ended.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct InFlightAttempt {
     /// When it was sent, in ms.
     pub(crate) sent_ms: f64,
-    /// Its request.
-    pub(crate) request: RequestId,
-    /// Its number among the request's attempts.
-    pub(crate) attempt: u32,
+    /// Its name.
+    pub(crate) reference: AttemptRef,
 }
 
 /// How an endpoint's figures are smoothed.
@@ -126,8 +124,8 @@
     }
 
     /// Removes an ended attempt from those in flight.
-    pub(crate) fn remove_in_flight(&mut self, request: RequestId, attempt: u32) {
-        self.in_flight.retain(|a| (a.request, a.attempt) != (request, attempt));
+    pub(crate) fn remove_in_flight(&mut self, ended: AttemptRef) {
+        self.in_flight.retain(|attempt| attempt.reference != ended);
     }
 
     /// Own attempts that have not ended.
--- a/crates/admission/src/state/endpoint/mod.rs
+++ b/crates/admission/src/state/endpoint/mod.rs
@@ -17,4 +17,4 @@
 pub(crate) use outlier_detector::OutlierDetector;
 pub(crate) use recent_observations::RecentObservations;
 pub(crate) use relative_response_time::RelativeResponseTime;
-pub(crate) use warm_up_tokens::{SlowStart, WarmUpBudget, WarmUpTokens};
+pub(crate) use warm_up_tokens::{WarmSendRates, WarmUpBudget, WarmUpTokens};
--- a/crates/admission/src/state/endpoint/warm_up_tokens.rs
+++ b/crates/admission/src/state/endpoint/warm_up_tokens.rs
@@ -55,25 +55,25 @@
 
 /// The rates at which warm endpoints are sent attempts: the budgets of those that are warming up go by them.
 #[derive(Debug, Default)]
-pub(crate) struct SlowStart {
+pub(crate) struct WarmSendRates {
     /// Own attempts a second at a warm endpoint, by machine kind.
-    send_rate_by_kind: BTreeMap<MachineKindIndex, f64>,
+    by_kind: BTreeMap<MachineKindIndex, f64>,
 }
 
-impl SlowStart {
+impl WarmSendRates {
     /// Own attempts a second at a warm endpoint of a kind; 0 where none is known.
-    pub(crate) fn warm_send_rate(&self, kind: MachineKindIndex) -> f64 {
-        self.send_rate_by_kind.get(&kind).copied().unwrap_or(0.0)
+    pub(crate) fn of_kind(&self, kind: MachineKindIndex) -> f64 {
+        self.by_kind.get(&kind).copied().unwrap_or(0.0)
     }
 
     /// Replaces the known rates by the means of these, which are those of single warm endpoints with their
     /// kinds.
-    pub(crate) fn set_warm_send_rates(&mut self, rates: impl Iterator<Item = (MachineKindIndex, f64)>) {
+    pub(crate) fn replace(&mut self, rates: impl Iterator<Item = (MachineKindIndex, f64)>) {
         let mut rates_by_kind: BTreeMap<MachineKindIndex, Vec<f64>> = BTreeMap::new();
         for (kind, rate) in rates {
             rates_by_kind.entry(kind).or_default().push(rate);
         }
         let mean = |rates: Vec<f64>| rates.iter().sum::<f64>() / rates.len() as f64;
-        self.send_rate_by_kind = rates_by_kind.into_iter().map(|(kind, rates)| (kind, mean(rates))).collect();
+        self.by_kind = rates_by_kind.into_iter().map(|(kind, rates)| (kind, mean(rates))).collect();
     }
 }
--- a/crates/admission/src/state/mod.rs
+++ b/crates/admission/src/state/mod.rs
@@ -7,7 +7,7 @@
 
 pub(crate) use endpoint::{
     EjectionScope, Endpoint, EndpointHealth, EndpointSmoothing, EndpointTable, InFlightAttempt, LatencyGains,
-    LatencyModel, ObservedHealth, OutlierDetector, RecentObservations, RelativeResponseTime, SlowStart,
+    LatencyModel, ObservedHealth, OutlierDetector, RecentObservations, RelativeResponseTime, WarmSendRates,
     WarmUpBudget, WarmUpTokens,
 };
 pub(crate) use event_clock::EventClock;
