--- a/crates/admission/src/lifecycle/attempts.rs
+++ b/crates/admission/src/lifecycle/attempts.rs
@@ -3,11 +3,14 @@
 use crate::event::AttemptEnd;
 use crate::gateway::Gateway;
 use crate::id::{EndpointId, RequestId};
+use crate::policy::customer_usage::{
+    usage_at_attempt_end, usage_at_attempt_start, AttemptEndInput, AttemptStartInput, ExcessCharge,
+};
 use crate::policy::peer_messages::report_schedule::REPORT_ROUNDS;
 use crate::policy::retry::{
-    after_attempt, attempt_timeout_ms, AfterAttempt, EndedAttempt, MAX_RETRY_TOKENS, RETRY_TOKENS_PER_REQUEST,
+    after_attempt, attempt_timeout_ms, earned_retry_tokens, AfterAttempt, EndedAttempt, MAX_RETRY_TOKENS,
 };
-use crate::state::{AttemptRef, InFlightAttempt};
+use crate::state::InFlightAttempt;
 
 impl Gateway {
     /// Starts a request's next attempt, at this endpoint, and adds it to all records.
@@ -19,47 +22,48 @@
         let objective_ms = self.settings.class(active.request.class).latency_objective_ms;
         let time_left_ms = active.deadline_ms - self.clock.now_ms();
         let timeout_ms = attempt_timeout_ms(objective_ms, time_left_ms);
-        let is_first = active.is_unsent();
+        let earned_tokens = earned_retry_tokens(active.attempt_count());
         self.spend_dispatch_credit();
-        if is_first {
-            self.retries.earn(RETRY_TOKENS_PER_REQUEST, MAX_RETRY_TOKENS);
-        }
-        self.enter_attempt(id, endpoint_id);
+        self.retries.earn(earned_tokens, MAX_RETRY_TOKENS);
+        self.record_attempt(id, endpoint_id);
         self.count_attempt(id);
         actions.push(Action::Send { request: id, endpoint: endpoint_id, timeout_ms });
     }
 
     /// Adds a new attempt to the records of its request and its endpoint.
-    fn enter_attempt(&mut self, id: RequestId, endpoint_id: EndpointId) {
-        let now = self.clock.now_ms();
+    fn record_attempt(&mut self, id: RequestId, endpoint_id: EndpointId) {
+        let now_ms = self.clock.now_ms();
         let warm_up_budget = self.endpoints.get(endpoint_id).and_then(|e| self.warm_up_budget(e));
         let Some(active) = self.requests.get_mut(id) else { return };
         let Some(endpoint) = self.endpoints.get_mut(endpoint_id) else { return };
         if let Some(budget) = warm_up_budget {
-            endpoint.warm_up_tokens.take(now, budget);
+            endpoint.warm_up_tokens.take(now_ms, budget);
         }
-        let AttemptRef { request, attempt } = active.start_attempt(endpoint, now);
-        endpoint.record_sent(InFlightAttempt { sent_ms: now, request, attempt });
+        let reference = active.start_attempt(endpoint, now_ms);
+        endpoint.record_sent(InFlightAttempt { sent_ms: now_ms, reference });
     }
 
-    /// Counts a new attempt to its customer, unless another gateway owns the quota: its slot, and with the
-    /// first attempt the request's units.
+    /// Counts a new attempt to its customer, unless another gateway owns the quota.
     fn count_attempt(&mut self, id: RequestId) {
-        let Some(active) = self.requests.get(id).filter(|a| a.quota().holds_slot_here()) else {
-            return;
-        };
+        let Some(active) = self.requests.get(id) else { return };
         let Some(customer) = self.customers.get_mut(active.tag) else { return };
         let plan = self.settings.plan(active.request.plan);
-        let is_first = active.attempt_count() == 1;
-        let first_within_quota = is_first && active.quota().is_within_quota();
-        customer.start_attempt();
-        if is_first {
+        let usage = usage_at_attempt_start(&AttemptStartInput {
+            quota: active.quota(),
+            is_first: active.attempt_count() == 1,
+            has_rate: plan.rate_per_second > 0.0,
+            has_open_limit: plan.open_limit > 0,
+        });
+        if usage.takes_slot {
+            customer.start_attempt();
+        }
+        if usage.consumes_ceiling {
             customer.consume_ceiling(active.request.units);
         }
-        if first_within_quota && plan.rate_per_second > 0.0 && active.quota().is_local_bucket() {
+        if usage.consumes_quota {
             customer.consume_quota(active.request.units);
         }
-        if plan.open_limit > 0 || first_within_quota {
+        if usage.is_reported {
             self.customers.schedule_report(active.tag, REPORT_ROUNDS);
         }
     }
@@ -91,28 +95,30 @@
         }
     }
 
-    /// Settles an ended attempt with its customer: frees its slot, and consumes the units by which the true
+    /// Settles an ended attempt with its customer: frees its slot, and charges the units by which the true
     /// figure exceeds the estimate.
     fn settle_attempt(&mut self, end: &AttemptEnd) {
         let Some(active) = self.requests.get_mut(end.request) else { return };
         let plan = self.settings.plan(active.request.plan);
-        let has_quota = active.quota().is_within_quota() && plan.rate_per_second > 0.0;
-        // No request can count more than `max_units`: such a figure is corrupt.
-        let true_units = end.true_units.filter(|units| has_quota && *units <= self.settings.max_units);
-        let excess = true_units.map_or(0.0, |units| units - active.request.units);
-        let own_bucket = active.quota().is_local_bucket();
-        if !own_bucket {
-            active.settle(excess);
-        }
-        if !active.quota().holds_slot_here() {
-            return;
+        let usage = usage_at_attempt_end(&AttemptEndInput {
+            quota: active.quota(),
+            has_rate: plan.rate_per_second > 0.0,
+            has_open_limit: plan.open_limit > 0,
+            estimated_units: active.request.units,
+            true_units: end.true_units,
+            max_units: self.settings.max_units,
+        });
+        if let ExcessCharge::Request { excess_units } = usage.charge {
+            active.settle(excess_units);
         }
         let Some(customer) = self.customers.get_mut(active.tag) else { return };
-        customer.end_attempt();
-        if own_bucket {
-            customer.consume_quota(excess);
+        if usage.frees_slot {
+            customer.end_attempt();
+        }
+        if let ExcessCharge::LocalBucket { excess_units } = usage.charge {
+            customer.consume_quota(excess_units);
         }
-        if own_bucket && (excess != 0.0 || plan.open_limit > 0) {
+        if usage.is_reported {
             self.customers.schedule_report(active.tag, REPORT_ROUNDS);
         }
     }
--- a/crates/admission/src/lifecycle/endpoints.rs
+++ b/crates/admission/src/lifecycle/endpoints.rs
@@ -3,10 +3,11 @@
 use crate::gateway::Gateway;
 use crate::id::{ClassIndex, PlanIndex};
 use crate::policy::outlier::{ejection_jitter, HealthVerdict, EJECTION, ERROR_GAIN};
-use crate::state::FleetMode;
+use crate::state::{AttemptRef, FleetMode};
 
 impl Gateway {
-    /// Learns an endpoint's response time and health from how an attempt ended.
+    /// Records how an attempt ended in its endpoint's response time and health, and ejects the endpoint if
+    /// need be.
     pub(crate) fn record_attempt_end(&mut self, end: &AttemptEnd, class: ClassIndex, plan: PlanIndex) {
         match self.coordination.fleet_mode() {
             FleetMode::Broadcast => self.learn_response_time(end, class),
@@ -18,7 +19,7 @@
         let now_ms = self.clock.now_ms();
         let jitter = ejection_jitter(self.random.next_fraction());
         let Some(endpoint) = self.endpoints.get_mut(end.endpoint) else { return };
-        endpoint.remove_in_flight(end.request, end.attempt);
+        endpoint.remove_in_flight(AttemptRef { request: end.request, attempt: end.attempt });
         endpoint.health.record_outcome(end.outcome, now_ms, ERROR_GAIN);
         let Some(endpoint) = self.endpoints.get(end.endpoint) else { return };
         let verdict = self.health_verdict(endpoint, end, class);
