--- a/crates/admission/src/coordination/count_reports.rs
+++ b/crates/admission/src/coordination/count_reports.rs
@@ -11,6 +11,7 @@
 use crate::policy::peer_messages::message_capacity::MAX_MESSAGE_BYTES;
 use crate::policy::peer_messages::report_schedule::{
     max_saved_reports, report_interval_ms, reports_per_second, should_send_report, ReportInput,
+    CREDIT_PER_REPORT,
 };
 use crate::state::{BroadcastPeer, Coordination, Customer, PeerCount};
 use std::collections::BTreeMap;
@@ -103,7 +104,7 @@
                 message.stock = stock;
                 message.watermark = WatermarkOnWire::at_most(self.band.watermark());
                 if should_send_report(report_input(peer, &message, now_ms)) {
-                    peer.number_message(&mut message, now_ms);
+                    peer.number_message(&mut message, CREDIT_PER_REPORT, now_ms);
                     actions.push(Action::SendPeerMessage { to: Some(to), body: message.encode() });
                 }
             }
--- a/crates/admission/src/coordination/quota_ownership.rs
+++ b/crates/admission/src/coordination/quota_ownership.rs
@@ -7,7 +7,7 @@
     QuotaRelease, QuotaRequest, QuotaRequestNumber, QuotaResponse, QuotaVerdict, SamplingFraction,
 };
 use crate::policy::quota_owner::owner_sampling::{
-    wanted_sampling_fraction, QuotaDemand, AMPLE_SAMPLING_FRACTION, QUOTA_RATE_SPAN_S,
+    wanted_sampling_fraction, QuotaDemand, AMPLE_SAMPLING_FRACTION, QUOTA_RATE_SPAN_S, SLOT_GRANT_UNITS,
 };
 use crate::policy::quota_owner::owner_verdict::{
     decide_quota_request, grant_lifetime_ms, has_free_slot, verdict_to_send, OwnedQuota,
@@ -130,7 +130,7 @@
         let Some(customer) = self.customers.get_mut(tag) else { return };
         let Some(waiting) = customer.grants.next_waiting(now_ms) else { return };
         let grant = Grant { expires_ms: waiting.expires_ms + lifetime_ms, ..waiting };
-        customer.grants.grant(grant, 1.0, now_ms, QUOTA_RATE_SPAN_S);
+        customer.grants.grant(grant, SLOT_GRANT_UNITS, now_ms, QUOTA_RATE_SPAN_S);
         let response = QuotaResponse {
             number: grant.number,
             verdict: QuotaVerdict::Granted,
--- a/crates/admission/src/coordination/quota_requests.rs
+++ b/crates/admission/src/coordination/quota_requests.rs
@@ -8,10 +8,11 @@
 };
 use crate::policy::peer_messages::quota_message_budget::max_quota_messages;
 use crate::policy::quota_owner::fallback_decision::{decide_without_owner, FallbackInput};
-use crate::policy::quota_owner::owner_sampling::SAMPLING_TTL_MS;
+use crate::policy::quota_owner::owner_sampling::sampling_fraction_at_age;
 use crate::policy::quota_owner::owner_selection::{select_owner, suspected_until_ms};
 use crate::policy::quota_owner::quota_request_route::{
-    grant_useful_until_ms, may_retry_quota_request, response_wait_ms, route_quota_request, QuotaRouteInput,
+    grant_useful_until_ms, response_wait_ms, route_after_missed_response, route_quota_request,
+    QuotaRouteInput, TOKENS_PER_QUOTA_REQUEST,
 };
 use crate::state::{ActiveRequest, Coordination, GatewaySet, QuotaExpectation, QuotaRoute, QuotaState};
 
@@ -48,17 +49,29 @@
     fn request_quota(&mut self, id: RequestId, retries: u32, actions: &mut Vec<Action>) {
         let Some(active) = self.requests.get(id) else { return };
         let now_ms = self.clock.now_ms();
+        let me = self.settings.me;
         let wait_budget = WaitBudget::from_ms(self.grant_useful_until_ms(active) - now_ms);
         let (tag, previous) = (active.tag, active.quota());
         let (plan, units) = (active.request.plan, active.request.units);
         let gateways = GatewaySet::of_request(&active.request, self.settings.gateways);
         let customer = self.customer_entry(tag, plan, gateways);
-        let sampling_fraction =
-            SamplingFraction::nearest_above_zero(customer.sampling_fraction_now(now_ms, SAMPLING_TTL_MS));
+        let sampling =
+            sampling_fraction_at_age(customer.sampling_fraction(), customer.sampling_age_ms(now_ms));
+        let sampling_fraction = SamplingFraction::nearest_above_zero(sampling);
         let Some(gossip) = self.coordination.gossip_mut() else { return };
         let is_suspected = |gateway| gossip.is_suspected(gateway, now_ms);
-        let owner = select_owner(gateways.rendezvous_ranking(tag), is_suspected, self.settings.me);
+        let owner = select_owner(gateways.rendezvous_ranking(tag), is_suspected, me);
         let number = gossip.requests.number_for(previous, owner);
+        let route = route_quota_request(QuotaRouteInput {
+            owns_quota: owner == me,
+            retries,
+            sampling: sampling_fraction,
+            draw: self.random.next_fraction(),
+            message_tokens: gossip.message_tokens(),
+        });
+        if let QuotaRoute::DecideAlone(expectation) = route {
+            return self.decide_without_owner(id, expectation);
+        }
         let quota_request = QuotaRequest {
             customer: tag.0,
             plan: plan.0 as u32,
@@ -69,17 +82,7 @@
             wait_budget,
             sampling_fraction,
         };
-        let route = route_quota_request(QuotaRouteInput {
-            owns_quota: owner == self.settings.me,
-            retries,
-            sampling: sampling_fraction,
-            draw: self.random.next_fraction(),
-            message_tokens: gossip.message_tokens(),
-        });
-        match route {
-            QuotaRoute::ToOwner => self.send_quota_request(id, owner, quota_request, retries, actions),
-            QuotaRoute::DecideAlone(expected) => self.decide_without_owner(id, expected),
-        }
+        self.send_quota_request(id, owner, quota_request, retries, actions);
     }
 
     /// Sends a quota request to the owner, which may be this gateway.
@@ -94,7 +97,7 @@
         let Some(gossip) = self.coordination.gossip_mut() else { return };
         let Some(active) = self.requests.get_mut(id) else { return };
         if owner != self.settings.me {
-            gossip.spend_message_token();
+            gossip.spend_message_tokens(TOKENS_PER_QUOTA_REQUEST);
         }
         let number = request.number;
         let at_ms = self.clock.now_ms();
@@ -132,10 +135,9 @@
                 }
             }
             let max_tokens = max_quota_messages(self.settings.peer_messages_per_second);
-            if may_retry_quota_request(missed.retries, gossip.message_tokens(), max_tokens) {
-                self.request_quota(missed.id, missed.retries + 1, actions);
-            } else {
-                self.decide_without_owner(missed.id, QuotaExpectation::Within);
+            match route_after_missed_response(missed.retries, gossip.message_tokens(), max_tokens) {
+                QuotaRoute::ToOwner => self.request_quota(missed.id, missed.retries + 1, actions),
+                QuotaRoute::DecideAlone(expectation) => self.decide_without_owner(missed.id, expectation),
             }
         }
     }
--- a/crates/admission/src/policy/peer_messages/report_schedule.rs
+++ b/crates/admission/src/policy/peer_messages/report_schedule.rs
@@ -14,8 +14,8 @@
 /// Rounds in which a changed count is reported. The second round makes up for a lost message.
 pub(crate) const REPORT_ROUNDS: u8 = 2;
 
-/// Messages that a peer must have credit for to be sent a report.
-const CREDIT_PER_REPORT: f64 = 1.0;
+/// Credit that a report to a peer costs.
+pub(crate) const CREDIT_PER_REPORT: f64 = 1.0;
 
 /// What decides whether a report is sent to a peer.
 #[derive(Debug, Clone, Copy)]
--- a/crates/admission/src/policy/quota_owner/owner_sampling.rs
+++ b/crates/admission/src/policy/quota_owner/owner_sampling.rs
@@ -14,7 +14,10 @@
 pub(crate) const AMPLE_SAMPLING_FRACTION: f64 = 1.0;
 
 /// The fraction received from an owner returns evenly to 1 over this time, in ms.
-pub(crate) const SAMPLING_TTL_MS: f64 = 3000.0;
+const SAMPLING_TTL_MS: f64 = 3000.0;
+
+/// Units that a grant counts in the rate of grants when it is for a request that waited for a slot.
+pub(crate) const SLOT_GRANT_UNITS: f64 = 1.0;
 
 /// What the owner recently received and granted for one customer.
 #[derive(Debug, Clone, Copy)]
@@ -32,3 +35,11 @@
     let wanted_per_second = SAMPLING_HEADROOM * demand.granted_per_second.max(demand.plan_rate_per_second);
     (wanted_per_second / demand.requested_per_second).clamp(MIN_SAMPLING_FRACTION, 1.0)
 }
+
+/// The fraction of the requests for which a gateway sends quota requests, given the fraction that the owner sent and
+/// how long ago that was, in ms. It returns to 1, so that the owner receives all requests of a customer again that
+/// is no longer over its quota.
+pub(crate) fn sampling_fraction_at_age(sent_fraction: f64, age_ms: f64) -> f64 {
+    let age = age_ms / SAMPLING_TTL_MS;
+    1.0 - (1.0 - sent_fraction) * (1.0 - age).max(0.0)
+}
--- a/crates/admission/src/policy/quota_owner/quota_request_route.rs
+++ b/crates/admission/src/policy/quota_owner/quota_request_route.rs
@@ -19,7 +19,7 @@
 const RESERVED_RESPONSE_TIMES: f64 = 0.8;
 
 /// Message tokens that a quota request to another gateway costs.
-const TOKENS_PER_QUOTA_REQUEST: f64 = 1.0;
+pub(crate) const TOKENS_PER_QUOTA_REQUEST: f64 = 1.0;
 
 /// What decides whether the owner is sent a quota request.
 #[derive(Debug, Clone, Copy)]
@@ -61,10 +61,19 @@
     (RESPONSE_WAIT_FRACTION * shortest_objective_ms).max(MIN_RESPONSE_WAIT_MS)
 }
 
-/// Whether a quota request that missed its response is sent once more. `retries` is how often it was sent again
-/// already, `max_message_tokens` how many message tokens a gateway may save up.
-pub(crate) fn may_retry_quota_request(retries: u32, message_tokens: f64, max_message_tokens: f64) -> bool {
-    retries < MAX_QUOTA_RETRIES && message_tokens > RETRY_TOKENS_FRACTION * max_message_tokens
+/// Whether a quota request that missed its response is sent to the owner once more. `retries` is how often it was
+/// sent again already, `max_message_tokens` how many message tokens a gateway may save up. An owner that does not
+/// respond says nothing against the customer, which is most likely within its quota.
+pub(crate) fn route_after_missed_response(
+    retries: u32,
+    message_tokens: f64,
+    max_message_tokens: f64,
+) -> QuotaRoute {
+    if retries < MAX_QUOTA_RETRIES && message_tokens > RETRY_TOKENS_FRACTION * max_message_tokens {
+        QuotaRoute::ToOwner
+    } else {
+        QuotaRoute::DecideAlone(QuotaExpectation::Within)
+    }
 }
 
 /// Until when a grant is of use to a request, in ms of the clock that objective and deadline are given in.
--- a/crates/admission/src/state/fleet/broadcast_peer.rs
+++ b/crates/admission/src/state/fleet/broadcast_peer.rs
@@ -102,9 +102,9 @@
         now_ms - self.sent_ms
     }
 
-    /// Records a report that is sent, and sets the next sequence number in it.
-    pub(crate) fn number_message(&mut self, message: &mut CountsMessage, now_ms: f64) {
-        self.credit.take(1.0);
+    /// Records a report that is sent and costs this credit, and sets the next sequence number in it.
+    pub(crate) fn number_message(&mut self, message: &mut CountsMessage, credit: f64, now_ms: f64) {
+        self.credit.take(credit);
         self.sent_sequence = (self.sent_sequence + 1) & SEQUENCE_MASK;
         self.sent_stock = message.stock;
         self.sent_ms = now_ms;
--- a/crates/admission/src/state/fleet/gossip_credit.rs
+++ b/crates/admission/src/state/fleet/gossip_credit.rs
@@ -46,9 +46,9 @@
         self.message_tokens.tokens()
     }
 
-    /// Takes the message token of a quota request.
-    pub(crate) fn spend_message_token(&mut self) {
-        self.message_tokens.take(1.0);
+    /// Takes message tokens.
+    pub(crate) fn spend_message_tokens(&mut self, tokens: f64) {
+        self.message_tokens.take(tokens);
     }
 
     /// Records a message of a peer. Messages with responses do not count as received: own quota requests cause
--- a/crates/admission/src/state/quota/customer_record.rs
+++ b/crates/admission/src/state/quota/customer_record.rs
@@ -197,11 +197,9 @@
         self.reports.record_peer_count(peer, count);
     }
 
-    /// The fraction of requests for which the quota's owner wants quota requests. The one that it sent returns
-    /// evenly to 1 over the lifetime given.
-    pub(crate) fn sampling_fraction_now(&self, now_ms: f64, lifetime_ms: f64) -> f64 {
-        let age = (now_ms - self.sampling.received_ms) / lifetime_ms;
-        1.0 - (1.0 - self.sampling.fraction) * (1.0 - age).max(0.0)
+    /// Time since the quota's owner sent the sampling fraction.
+    pub(crate) fn sampling_age_ms(&self, now_ms: f64) -> f64 {
+        now_ms - self.sampling.received_ms
     }
 
     /// The sampling fraction that the quota's owner last sent.
--- a/crates/admission/src/tests/quota_rules/owner_rules.rs
+++ b/crates/admission/src/tests/quota_rules/owner_rules.rs
@@ -4,13 +4,16 @@
 use crate::messages::quota_message::{QuotaVerdict, SamplingFraction};
 use crate::policy::quota_owner::ceiling_fraction::{ceiling_fraction_by_ranking, even_ceiling_fraction};
 use crate::policy::quota_owner::fallback_decision::{decide_without_owner, FallbackInput};
-use crate::policy::quota_owner::owner_sampling::{wanted_sampling_fraction, QuotaDemand};
+use crate::policy::quota_owner::owner_sampling::{
+    sampling_fraction_at_age, wanted_sampling_fraction, QuotaDemand,
+};
 use crate::policy::quota_owner::owner_selection::{select_owner, suspected_until_ms};
 use crate::policy::quota_owner::owner_verdict::{
     decide_quota_request, grant_lifetime_ms, has_free_slot, verdict_to_send, OwnedQuota,
 };
 use crate::policy::quota_owner::quota_request_route::{
-    grant_useful_until_ms, may_retry_quota_request, response_wait_ms, route_quota_request, QuotaRouteInput,
+    grant_useful_until_ms, response_wait_ms, route_after_missed_response, route_quota_request,
+    QuotaRouteInput,
 };
 use crate::policy::quota_owner::unit_bounds::{bounded_release_units, bounded_request_units};
 use crate::settings::PlanSettings;
@@ -67,6 +70,14 @@
     }
 }
 
+/// The owner sees none of the requests that are not sampled, so the fraction must rise again by itself.
+#[test]
+fn the_sampling_fraction_returns_to_all_within_three_seconds() {
+    for (age_ms, expected) in [(0.0, 0.2), (1500.0, 0.6), (3000.0, 1.0), (9000.0, 1.0)] {
+        assert!(is_close(sampling_fraction_at_age(0.2, age_ms), expected), "{age_ms}");
+    }
+}
+
 #[test]
 fn the_first_in_the_ranking_that_is_not_suspected_owns_the_quota() {
     let ranking =
@@ -114,9 +125,11 @@
 
 #[test]
 fn a_quota_request_is_retried_three_times_while_half_the_message_tokens_are_left() {
-    let cases = [(0, 21.1, true), (2, 21.1, true), (3, 21.1, false), (0, 21.0, false)];
+    let alone = QuotaRoute::DecideAlone(QuotaExpectation::Within);
+    let cases =
+        [(0, 21.1, QuotaRoute::ToOwner), (2, 21.1, QuotaRoute::ToOwner), (3, 21.1, alone), (0, 21.0, alone)];
     for (retries, tokens, expected) in cases {
-        assert_eq!(may_retry_quota_request(retries, tokens, 42.0), expected, "{retries} {tokens}");
+        assert_eq!(route_after_missed_response(retries, tokens, 42.0), expected, "{retries} {tokens}");
     }
 }
 
