--- a/crates/admission/src/messages/counts_message.rs
+++ b/crates/admission/src/messages/counts_message.rs
@@ -1,5 +1,5 @@
 //! The counts message: what each gateway sends every other in broadcast mode.
-use crate::messages::base64_digits::{put, put_at_most, take};
+use crate::messages::base64_digits::{max_value, put, put_at_most, take};
 use crate::messages::fixed_point::{FixedPoint, SixtyThirds};
 use crate::messages::message_entry::{put_entries, take_entry, take_version, MessageEntry};
 use std::str::Bytes;
@@ -7,29 +7,51 @@
 /// First character of every counts message.
 const VERSION: u8 = b'h';
 
-/// Bytes of the message's head.
-const HEAD_LEN: usize = 10;
+/// Digits of the sender's incarnation.
+const INCARNATION_DIGITS: u32 = 3;
+
+/// Digits of a sequence number.
+const SEQUENCE_DIGITS: u32 = 2;
+
+/// Digits of the attempts that the sender has in flight.
+const STOCK_DIGITS: u32 = 2;
+
+/// Digits of a customer's tag.
+const TAG_DIGITS: u32 = 4;
+
+/// Digits of the units consumed of a customer's quota.
+const CONSUMED_DIGITS: u32 = 3;
+
+/// Digits of the attempts in flight for a customer.
+const IN_FLIGHT_DIGITS: u32 = 1;
+
+/// Digits of the units of a ceiling that are transferred.
+const TRANSFER_DIGITS: u32 = 3;
+
+/// Bytes of the message's head: version, incarnation, sequence number, attempts in flight and watermark.
+const HEAD_LEN: usize =
+    1 + (INCARNATION_DIGITS + SEQUENCE_DIGITS + STOCK_DIGITS + WatermarkOnWire::LEN) as usize;
 
 /// Bytes of a count with its marker.
-const COUNT_LEN: usize = 10;
+const COUNT_LEN: usize = 1 + (TAG_DIGITS + CONSUMED_DIGITS + SixtyThirds::LEN + IN_FLIGHT_DIGITS) as usize;
 
 /// Bytes of a ceiling request with its marker.
-const CEILING_REQUEST_LEN: usize = 5;
+const CEILING_REQUEST_LEN: usize = 1 + TAG_DIGITS as usize;
 
 /// Bytes of a ceiling transfer with its marker.
-const CEILING_TRANSFER_LEN: usize = 8;
+const CEILING_TRANSFER_LEN: usize = 1 + (TAG_DIGITS + TRANSFER_DIGITS) as usize;
 
 /// Bytes that all entries of one customer have at most.
 pub(crate) const MAX_CUSTOMER_LEN: usize = COUNT_LEN + CEILING_REQUEST_LEN + CEILING_TRANSFER_LEN;
 
 /// Mask of sequence numbers, which have 12 bits.
-pub(crate) const SEQUENCE_MASK: u32 = 0xfff;
+pub(crate) const SEQUENCE_MASK: u32 = max_value(SEQUENCE_DIGITS);
 
 /// Steps of a unit, where units are counted in quarters.
 pub(crate) const QUARTERS_PER_UNIT: f64 = 4.0;
 
 /// Mask of the quarters consumed, of which the message carries the low 18 bits.
-const CONSUMED_MASK: u32 = 0x3_ffff;
+const CONSUMED_MASK: u32 = max_value(CONSUMED_DIGITS);
 
 /// What a gateway reports of one customer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -149,9 +171,9 @@
     pub(crate) fn encode(&self) -> String {
         let mut text = String::with_capacity(self.len());
         text.push(char::from(VERSION));
-        put(&mut text, self.incarnation, 3);
-        put(&mut text, self.sequence, 2);
-        put_at_most(&mut text, self.stock, 2);
+        put(&mut text, self.incarnation, INCARNATION_DIGITS);
+        put(&mut text, self.sequence, SEQUENCE_DIGITS);
+        put_at_most(&mut text, self.stock, STOCK_DIGITS);
         self.watermark.encode(&mut text);
         put_entries(&mut text, &self.counts);
         put_entries(&mut text, &self.ceiling_requests);
@@ -164,9 +186,9 @@
         let mut bytes = text.bytes();
         take_version(&mut bytes, VERSION)?;
         let mut message = CountsMessage {
-            incarnation: take(&mut bytes, 3)?,
-            sequence: take(&mut bytes, 2)?,
-            stock: take(&mut bytes, 2)?,
+            incarnation: take(&mut bytes, INCARNATION_DIGITS)?,
+            sequence: take(&mut bytes, SEQUENCE_DIGITS)?,
+            stock: take(&mut bytes, STOCK_DIGITS)?,
             watermark: WatermarkOnWire::decode(&mut bytes)?,
             ..CountsMessage::default()
         };
@@ -186,18 +208,18 @@
     const MARKER: u8 = b'q';
 
     fn encode(&self, text: &mut String) {
-        put(text, self.tag, 4);
-        put(text, self.consumed.0, 3);
+        put(text, self.tag, TAG_DIGITS);
+        put(text, self.consumed.0, CONSUMED_DIGITS);
         self.fill.0.encode(text);
-        put_at_most(text, self.in_flight, 1);
+        put_at_most(text, self.in_flight, IN_FLIGHT_DIGITS);
     }
 
     fn decode(bytes: &mut Bytes<'_>) -> Option<Self> {
         Some(CountEntry {
-            tag: take(bytes, 4)?,
-            consumed: ConsumedUnits(take(bytes, 3)?),
+            tag: take(bytes, TAG_DIGITS)?,
+            consumed: ConsumedUnits(take(bytes, CONSUMED_DIGITS)?),
             fill: QuotaFill(SixtyThirds::decode(bytes)?),
-            in_flight: take(bytes, 1)?,
+            in_flight: take(bytes, IN_FLIGHT_DIGITS)?,
         })
     }
 }
@@ -206,11 +228,11 @@
     const MARKER: u8 = b'n';
 
     fn encode(&self, text: &mut String) {
-        put(text, self.tag, 4);
+        put(text, self.tag, TAG_DIGITS);
     }
 
     fn decode(bytes: &mut Bytes<'_>) -> Option<Self> {
-        Some(CeilingRequest { tag: take(bytes, 4)? })
+        Some(CeilingRequest { tag: take(bytes, TAG_DIGITS)? })
     }
 }
 
@@ -218,11 +240,11 @@
     const MARKER: u8 = b'g';
 
     fn encode(&self, text: &mut String) {
-        put(text, self.tag, 4);
-        put(text, self.quarter_units, 3);
+        put(text, self.tag, TAG_DIGITS);
+        put(text, self.quarter_units, TRANSFER_DIGITS);
     }
 
     fn decode(bytes: &mut Bytes<'_>) -> Option<Self> {
-        Some(CeilingTransfer { tag: take(bytes, 4)?, quarter_units: take(bytes, 3)? })
+        Some(CeilingTransfer { tag: take(bytes, TAG_DIGITS)?, quarter_units: take(bytes, TRANSFER_DIGITS)? })
     }
 }
--- a/crates/admission/src/messages/fixed_point.rs
+++ b/crates/admission/src/messages/fixed_point.rs
@@ -11,6 +11,9 @@
 pub(crate) type SixtyThirds = FixedPoint<63, 1>;
 
 impl<const STEPS: u32, const DIGITS: u32> FixedPoint<STEPS, DIGITS> {
+    /// Digits of the figure in a message.
+    pub(crate) const LEN: u32 = DIGITS;
+
     /// The figure 1.
     pub(crate) const ONE: Self = FixedPoint(STEPS);
 
--- a/crates/admission/src/tests/load_rules/mod.rs
+++ b/crates/admission/src/tests/load_rules/mod.rs
@@ -11,18 +11,10 @@
 mod watermark_rules;
 
 use crate::settings::PlanSettings;
+use crate::tests::plan_builder::quota_plan;
 
 /// A plan of 10 units a second and bursts of 40, without open limit or ceiling, that does not pay beyond its
 /// quota.
 fn plan() -> PlanSettings {
-    PlanSettings {
-        rate_per_second: 10.0,
-        burst_units: 40.0,
-        open_limit: 0,
-        plan_weight: 1.0,
-        over_quota_value: 0.0,
-        over_quota_cost: 1.0,
-        ceiling_rate_per_second: 0.0,
-        ceiling_burst_units: 0.0,
-    }
+    quota_plan(10.0, 40.0)
 }
--- a/crates/admission/src/tests/mod.rs
+++ b/crates/admission/src/tests/mod.rs
@@ -2,4 +2,5 @@
 //! figures of one request from a log, and names the branch that decides.
 mod endpoint_rules;
 mod load_rules;
+mod plan_builder;
 mod quota_rules;
--- /dev/null
+++ b/crates/admission/src/tests/plan_builder.rs
@@ -0,0 +1,21 @@
+//! Plans for table tests.
+use crate::settings::PlanSettings;
+
+/// A plan with a quota of this rate and burst, without slots, ceiling or use beyond the quota.
+pub(crate) fn quota_plan(rate_per_second: f64, burst_units: f64) -> PlanSettings {
+    PlanSettings {
+        rate_per_second,
+        burst_units,
+        open_limit: 0,
+        plan_weight: 1.0,
+        over_quota_value: 0.0,
+        over_quota_cost: 1.0,
+        ceiling_rate_per_second: 0.0,
+        ceiling_burst_units: 0.0,
+    }
+}
+
+/// The same plan, where use beyond the quota earns more than it costs.
+pub(crate) fn paying_plan(rate_per_second: f64, burst_units: f64) -> PlanSettings {
+    PlanSettings { over_quota_value: 0.5, over_quota_cost: 0.2, ..quota_plan(rate_per_second, burst_units) }
+}
--- a/crates/admission/src/tests/quota_rules/counter_rules.rs
+++ b/crates/admission/src/tests/quota_rules/counter_rules.rs
@@ -1,5 +1,5 @@
 //! Counter mode: for which requests the counter is called, what its totals decide, and how counts are corrected.
-use super::{is_close, paying_plan, quota_plan};
+use super::is_close;
 use crate::event::CounterOutcome;
 use crate::id::RequestId;
 use crate::policy::quota_counter::count_catch_up::{catch_up_units, is_double_raise};
@@ -12,6 +12,7 @@
 };
 use crate::settings::PlanSettings;
 use crate::state::{CatchUp, CountedRequest, QuotaState};
+use crate::tests::plan_builder::{paying_plan, quota_plan};
 
 /// Were the fraction ever 0, a gateway would not notice that the counter responds again.
 #[test]
@@ -84,7 +85,10 @@
 /// An idle customer would otherwise save up far more than its burst.
 #[test]
 fn a_count_is_raised_where_it_lags_by_more_than_a_quarter_of_the_burst() {
-    assert_eq!([7.0, 10.0, 10.5, 88.0].map(|t| catch_up_units(8.0, t)), [None, None, Some(2.5), Some(80.0)]);
+    assert_eq!(
+        [7.0, 10.0, 10.03125, 88.0].map(|t| catch_up_units(8.0, t)),
+        [None, None, Some(2.03125), Some(80.0)]
+    );
 }
 
 /// Two gateways that see the same lag both raise the count; one of them must take its raise back, or the customer
--- a/crates/admission/src/tests/quota_rules/owner_rules.rs
+++ b/crates/admission/src/tests/quota_rules/owner_rules.rs
@@ -1,5 +1,5 @@
 //! Gossip mode: who owns a quota, what the owner decides, and what a gateway does without a response.
-use super::{is_close, paying_plan, quota_plan};
+use super::is_close;
 use crate::id::{CustomerTag, GatewayIndex};
 use crate::messages::quota_message::{QuotaVerdict, SamplingFraction};
 use crate::policy::quota_owner::ceiling_fraction::{ceiling_fraction_by_ranking, even_ceiling_fraction};
@@ -18,6 +18,7 @@
 use crate::policy::quota_owner::unit_bounds::{bounded_release_units, bounded_request_units};
 use crate::settings::PlanSettings;
 use crate::state::{GatewaySet, QuotaExpectation, QuotaRoute, QuotaState, RankedGateway};
+use crate::tests::plan_builder::{paying_plan, quota_plan};
 
 #[test]
 fn verdict_goes_by_ceiling_then_quota_then_slots() {
--- a/crates/admission/src/tests/quota_rules/peer_message_rules.rs
+++ b/crates/admission/src/tests/quota_rules/peer_message_rules.rs
@@ -68,7 +68,7 @@
 /// Units that stood at two gateways at once would let the ceiling be passed.
 #[test]
 fn a_transfer_is_half_of_what_is_spare_in_quarters_rounded_down() {
-    let cases = [(3.9, 0.0), (4.0, 0.0), (4.5, 0.25), (4.9, 0.25), (10.0, 3.0)];
+    let cases = [(3.9, 0.0), (4.0, 0.0), (4.5, 0.25), (4.9, 0.25), (10.0, 3.0), (54.0, 25.0)];
     for (ceiling_tokens, expected) in cases {
         assert_eq!(ceiling_transfer_units(ceiling_tokens, 4.0), expected, "{ceiling_tokens}");
     }
--- a/crates/admission/src/tests/quota_rules/retention_rules.rs
+++ b/crates/admission/src/tests/quota_rules/retention_rules.rs
@@ -1,7 +1,7 @@
 //! How long idle customers are retained.
-use super::quota_plan;
 use crate::policy::customer_retention::{idle_limit_ms, is_evicted};
 use crate::settings::PlanSettings;
+use crate::tests::plan_builder::quota_plan;
 
 /// An evicted customer comes back with a full quota; one with a ceiling would pass it.
 #[test]
