--- a/crates/admission/src/coordination/counter_calls.rs
+++ b/crates/admission/src/coordination/counter_calls.rs
@@ -34,13 +34,12 @@
         let (tag, plan_index) = (active.tag, active.request.plan);
         let (units, is_repeat) = (active.request.units, active.request.repeat);
         let gateways = GatewaySet::of_request(&active.request, self.settings.gateways);
-        let last_seen = self.customer_entry(tag, plan_index, gateways).counter.last_seen();
-        let plan = self.settings.plan(plan_index);
+        let now_ms = self.clock.now_ms();
+        let (customer, plan) = self.customer_with_plan(tag, plan_index, gateways);
         if plan.rate_per_second <= 0.0 {
             return;
         }
-        let now_ms = self.clock.now_ms();
-        let tokens_at_most = last_seen.map(|seen| seen.tokens_at_most(plan, now_ms));
+        let tokens_at_most = customer.counter.tokens_at_most(plan, now_ms);
         let quota = if is_surely_over_quota(tokens_at_most, units) {
             decide_over_quota(plan)
         } else {
@@ -162,8 +161,7 @@
     fn on_no_total(&mut self, tag: CustomerTag, plan: PlanIndex, request: CountedRequest, is_rejected: bool) {
         let Some(customer) = self.customers.get_mut(tag) else { return };
         let settings = self.settings.plan(plan);
-        let now_ms = self.clock.now_ms();
-        let tokens_at_most = customer.counter.last_seen().map(|seen| seen.tokens_at_most(settings, now_ms));
+        let tokens_at_most = customer.counter.tokens_at_most(settings, self.clock.now_ms());
         let tokens = assumed_tokens(settings.burst_units, tokens_at_most);
         if is_rejected {
             customer.counter.correct(request.added_units);
--- a/crates/admission/src/coordination/quota_ownership.rs
+++ b/crates/admission/src/coordination/quota_ownership.rs
@@ -63,17 +63,20 @@
     /// response is sent. `None` for a request that its sender must not send here.
     fn respond_as_owner(&mut self, from: GatewayIndex, request: &QuotaRequest) -> Option<QuotaResponse> {
         let plan_index = PlanIndex(request.plan as usize);
-        let plan = self.settings.plans.get(plan_index.0)?.clone();
+        if plan_index.0 >= self.settings.plans.len() {
+            return None;
+        }
         let gateways = self.gateways_of(from, request)?;
         let now_ms = self.clock.now_ms();
         let received = self.received_request(from, request);
-        let customer = self.customer_entry(CustomerTag(request.customer), plan_index, gateways);
+        let tag = CustomerTag(request.customer);
+        let (customer, plan) = self.customer_with_plan(tag, plan_index, gateways);
         customer.grants.expire(now_ms);
-        let verdict = apply_quota_request(customer, &plan, &received, now_ms);
-        let verdict = verdict_to_send(&plan, verdict, customer.quota_tokens());
+        let verdict = apply_quota_request(customer, plan, &received, now_ms);
+        let verdict = verdict_to_send(plan, verdict, customer.quota_tokens());
         let sampling_fraction = match verdict {
             QuotaVerdict::GrantedAmple => AMPLE_SAMPLING_FRACTION,
-            _ => wanted_sampling_fraction(quota_demand(customer, &plan, now_ms)),
+            _ => wanted_sampling_fraction(quota_demand(customer, plan, now_ms)),
         };
         let sampling_fraction = SamplingFraction::nearest(sampling_fraction);
         Some(QuotaResponse { number: request.number, verdict, sampling_fraction })
--- a/crates/admission/src/lifecycle/customers.rs
+++ b/crates/admission/src/lifecycle/customers.rs
@@ -4,6 +4,7 @@
 use crate::mechanism::splitmix64::short_tag;
 use crate::policy::customer_retention::{idle_limit_ms, is_evicted};
 use crate::policy::quota_owner::ceiling_fraction::{ceiling_fraction_by_ranking, even_ceiling_fraction};
+use crate::settings::PlanSettings;
 use crate::state::{Coordination, Customer, FleetMode, GatewaySet};
 
 impl Gateway {
@@ -15,7 +16,7 @@
         }
     }
 
-    /// The record of a customer whose request came in through these gateways, brought up to now and made
+    /// The record of a customer whose request came in through these gateways, refilled up to now and created
     /// where there is none.
     pub(crate) fn customer_entry(
         &mut self,
@@ -23,6 +24,16 @@
         plan: PlanIndex,
         gateways: GatewaySet,
     ) -> &mut Customer {
+        self.customer_with_plan(tag, plan, gateways).0
+    }
+
+    /// The same record, and the customer's plan.
+    pub(crate) fn customer_with_plan(
+        &mut self,
+        tag: CustomerTag,
+        plan: PlanIndex,
+        gateways: GatewaySet,
+    ) -> (&mut Customer, &PlanSettings) {
         let now_ms = self.clock.now_ms();
         if !self.customers.knows_plan(tag) {
             let ceiling_fraction = self.ceiling_fraction(tag, &gateways);
@@ -30,10 +41,11 @@
             let customer = self.customers.get_or_insert(tag, now_ms);
             customer.set_plan(plan, self.settings.plan(plan), ceiling_fraction, uptime_s, now_ms);
         }
+        let plan = self.settings.plan(plan);
         let customer = self.customers.get_or_insert(tag, now_ms);
         customer.touch(gateways, now_ms);
-        customer.refill(self.settings.plan(plan), now_ms);
-        customer
+        customer.refill(plan, now_ms);
+        (customer, plan)
     }
 
     /// This gateway's fraction of a customer's hard ceiling.
--- a/crates/admission/src/state/quota/counter_account.rs
+++ b/crates/admission/src/state/quota/counter_account.rs
@@ -56,21 +56,13 @@
 
 /// Tokens of a customer as the counter last showed them.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(crate) struct TokensSeen {
+struct TokensSeen {
     /// The tokens.
     tokens: f64,
     /// When the counter showed them, in ms.
     at_ms: f64,
 }
 
-impl TokensSeen {
-    /// The most tokens that the customer can have now, by what the rate has added since.
-    pub(crate) fn tokens_at_most(&self, plan: &PlanSettings, now_ms: f64) -> f64 {
-        let accrued = plan.rate_per_second * (now_ms - self.at_ms).max(0.0) / 1000.0;
-        (self.tokens + accrued).min(plan.burst_units)
-    }
-}
-
 /// A customer's calls to the counter. One is in flight at a time, so that each reply belongs to one call.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct CounterAccount {
@@ -134,8 +126,11 @@
         self.seen = Some(TokensSeen { tokens, at_ms: now_ms });
     }
 
-    /// What the last reply showed of the customer's tokens; `None` before the first one.
-    pub(crate) fn last_seen(&self) -> Option<TokensSeen> {
-        self.seen
+    /// The most tokens that the customer can have now, by what the last reply showed and what the rate has added
+    /// since; `None` before the first reply.
+    pub(crate) fn tokens_at_most(&self, plan: &PlanSettings, now_ms: f64) -> Option<f64> {
+        let seen = self.seen?;
+        let accrued = plan.rate_per_second * (now_ms - seen.at_ms).max(0.0) / 1000.0;
+        Some((seen.tokens + accrued).min(plan.burst_units))
     }
 }
