--- a/crates/admission/src/coordination/count_reports.rs
+++ b/crates/admission/src/coordination/count_reports.rs
@@ -55,8 +55,8 @@
 }
 
 impl Gateway {
-    /// Where a round of reports is due, sends each peer what changed since the last one, within the peer's budget
-    /// of messages.
+    /// Where a round of reports is due, sends each peer what changed since the last one, within the peer's
+    /// budget of messages.
     pub(crate) fn broadcast_counts_if_due(&mut self, actions: &mut Vec<Action>) {
         let Coordination::Broadcast(broadcast) = &mut self.coordination else { return };
         let interval_ms = report_interval_ms(self.settings.gateways, self.settings.peer_messages_per_second);
@@ -155,8 +155,8 @@
 
     /// Transfers units of a customer's ceiling to a peer that requests them.
     ///
-    /// Guards against units that exist at two gateways at once, which would let the ceiling be passed: they are
-    /// taken off here before the message with them is sent, so a lost message loses units instead.
+    /// Guards against units that exist at two gateways at once, which would let the ceiling be passed: they
+    /// are taken off here before the message with them is sent, so a lost message loses units instead.
     fn on_ceiling_request(&mut self, from: GatewayIndex, tag: CustomerTag) {
         let Some(customer) = self.customers.get_mut(tag) else { return };
         let Some(plan) = customer.plan().map(|p| self.settings.plan(p)) else { return };
--- a/crates/admission/src/coordination/counter_calls.rs
+++ b/crates/admission/src/coordination/counter_calls.rs
@@ -1,4 +1,5 @@
-//! Counter mode: calls to the shared quota counter, one at a time for each customer, and what its replies lead to.
+//! Counter mode: calls to the shared quota counter, one at a time for each customer, and what its replies
+//! lead to.
 use crate::action::Action;
 use crate::event::CounterOutcome;
 use crate::gateway::Gateway;
@@ -27,8 +28,8 @@
 }
 
 impl Gateway {
-    /// Begins the quota check of a queued request: calls the counter for it, or decides by what was last seen,
-    /// since the customer cannot have more tokens than the rate has added since.
+    /// Begins the quota check of a queued request: calls the counter for it, or decides by what was last
+    /// seen, since the customer cannot have more tokens than the rate has added since.
     pub(crate) fn request_from_counter(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(active) = self.requests.get(id) else { return };
         let (tag, plan_index) = (active.tag, active.request.plan);
@@ -204,8 +205,8 @@
         }
     }
 
-    /// Corrects the count by what an admitted request consumed in the end: all its units are given back where it
-    /// was never sent.
+    /// Corrects the count by what an admitted request consumed in the end: all its units are given back where
+    /// it was never sent.
     pub(crate) fn settle_counted(&mut self, active: &ActiveRequest, actions: &mut Vec<Action>) {
         let unsent = active.is_unsent();
         let correction_units = if unsent {
@@ -223,8 +224,8 @@
 
 /// The total that a call showed of the present epoch; `None` where it showed none.
 ///
-/// Guards against a reply that comes after its epoch has ended: its total is of the old count, and would show the
-/// customer far over its quota. The name of the count differs in each epoch.
+/// Guards against a reply that comes after its epoch has ended: its total is of the old count, and would show
+/// the customer far over its quota. The name of the count differs in each epoch.
 fn total_of_epoch(outcome: CounterOutcome, name: u64, epoch: CounterEpoch) -> Option<f64> {
     match outcome {
         CounterOutcome::Total(total) if total.is_finite() && epoch.name == name => Some(total),
--- a/crates/admission/src/coordination/gossip_exchange.rs
+++ b/crates/admission/src/coordination/gossip_exchange.rs
@@ -14,8 +14,8 @@
 impl Gateway {
     /// Applies a peer's message: its means, its observations, and its quota messages.
     ///
-    /// Guards against datagrams that no gateway of this fleet sent: one that does not decode, or whose sender is
-    /// not among the peers, changes nothing.
+    /// Guards against datagrams that no gateway of this fleet sent: one that does not decode, or whose sender
+    /// is not among the peers, changes nothing.
     pub(crate) fn on_gossip_message(&mut self, from: GatewayIndex, body: &str, actions: &mut Vec<Action>) {
         let Some(message) = GossipMessage::decode(body) else { return };
         if !peer_indices(&self.settings).any(|peer| peer == from) {
@@ -31,8 +31,8 @@
         self.on_quota_messages(from, message, actions);
     }
 
-    /// Moves this gateway's means towards those of a peer. The watermark is bounded, so that a corrupt message
-    /// cannot take it beyond what this gateway's own steps could reach.
+    /// Moves this gateway's means towards those of a peer. The watermark is bounded, so that a corrupt
+    /// message cannot take it beyond what this gateway's own steps could reach.
     fn apply_means(&mut self, means: &MeansOnWire) {
         let watermark = means.watermark().clamp(self.watermark_floor(), MAX_WATERMARK);
         self.band.follow_watermark(watermark, MEAN_GAIN);
--- a/crates/admission/src/coordination/quota_ownership.rs
+++ b/crates/admission/src/coordination/quota_ownership.rs
@@ -59,8 +59,8 @@
         }
     }
 
-    /// Decides on a quota request as the owner. Granted units are taken from quota, slots and ceiling before the
-    /// response is sent. `None` for a request that its sender must not send here.
+    /// Decides on a quota request as the owner. Granted units are taken from quota, slots and ceiling before
+    /// the response is sent. `None` for a request that its sender must not send here.
     fn respond_as_owner(&mut self, from: GatewayIndex, request: &QuotaRequest) -> Option<QuotaResponse> {
         let plan_index = PlanIndex(request.plan as usize);
         if plan_index.0 >= self.settings.plans.len() {
@@ -84,9 +84,9 @@
 
     /// The gateways that the requests of a quota request's customer come through.
     ///
-    /// Guards against messages that are corrupt or of another fleet, which could spend a quota that this gateway
-    /// does not own: `None` where the gateways are not of this fleet, or the sender or this gateway is not among
-    /// them.
+    /// Guards against messages that are corrupt or of another fleet, which could spend a quota that this
+    /// gateway does not own: `None` where the gateways are not of this fleet, or the sender or this gateway
+    /// is not among them.
     fn gateways_of(&self, from: GatewayIndex, request: &QuotaRequest) -> Option<GatewaySet> {
         let first = GatewayIndex(request.first_gateway as usize);
         let len = request.gateways as usize;
@@ -145,8 +145,8 @@
 
 /// Decides on a received quota request and records it.
 ///
-/// Guards against a lost response, after which the same quota request comes again: it would be charged twice. By its
-/// number it is recognized as granted or waiting, and gets the same verdict at no cost.
+/// Guards against a lost response, after which the same quota request comes again: it would be charged twice.
+/// By its number it is recognized as granted or waiting, and gets the same verdict at no cost.
 fn apply_quota_request(
     customer: &mut Customer,
     plan: &PlanSettings,
--- a/crates/admission/src/coordination/quota_requests.rs
+++ b/crates/admission/src/coordination/quota_requests.rs
@@ -28,8 +28,8 @@
 }
 
 impl Gateway {
-    /// Begins the quota check of a queued request, in the way of the fleet's mode: by the quota's owner, by the
-    /// counter, or by this gateway's own token bucket.
+    /// Begins the quota check of a queued request, in the way of the fleet's mode: by the quota's owner, by
+    /// the counter, or by this gateway's own token bucket.
     pub(crate) fn check_quota(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         match self.coordination {
             Coordination::Gossip(_) => self.request_quota(id, 0, actions),
@@ -44,8 +44,8 @@
         }
     }
 
-    /// Requests quota for a queued request from the owner, or decides alone. `retries` counts the earlier quota
-    /// requests for it that got no response.
+    /// Requests quota for a queued request from the owner, or decides alone. `retries` counts the earlier
+    /// quota requests for it that got no response.
     fn request_quota(&mut self, id: RequestId, retries: u32, actions: &mut Vec<Action>) {
         let Some(active) = self.requests.get(id) else { return };
         let now_ms = self.clock.now_ms();
--- a/crates/admission/src/mechanism/token_bucket.rs
+++ b/crates/admission/src/mechanism/token_bucket.rs
@@ -26,8 +26,8 @@
     }
 }
 
-/// A token bucket that fills at a steady rate, or this gateway's fraction of one that a fleet divides. Rate and burst
-/// are those of the whole bucket and come with each refill.
+/// A token bucket that fills at a steady rate, or this gateway's fraction of one that a fleet divides. Rate
+/// and burst are those of the whole bucket and come with each refill.
 #[derive(Debug, Clone)]
 pub(crate) struct TokenBucket {
     /// Tokens in the bucket.
--- a/crates/admission/src/messages/base64_digits.rs
+++ b/crates/admission/src/messages/base64_digits.rs
@@ -13,8 +13,8 @@
 /// The largest number that two digits carry.
 pub(crate) const MAX_TWO_DIGITS: u32 = max_value(2);
 
-/// Low bits of a 64-bit number in each of its last two groups, of five digits each. The first group has the four
-/// bits left, in one digit.
+/// Low bits of a 64-bit number in each of its last two groups, of five digits each. The first group has the
+/// four bits left, in one digit.
 const GROUP_BITS: u32 = 30;
 
 /// Mask of the last two groups of a 64-bit number.
--- a/crates/admission/src/messages/fixed_point.rs
+++ b/crates/admission/src/messages/fixed_point.rs
@@ -2,8 +2,8 @@
 use crate::messages::base64_digits::{max_value, put_at_most, take};
 use std::str::Bytes;
 
-/// A figure of 0 or more in whole steps: `STEPS` of them make 1, and it has `DIGITS` digits in a message. A figure
-/// that is too large counts as the largest that the digits carry.
+/// A figure of 0 or more in whole steps: `STEPS` of them make 1, and it has `DIGITS` digits in a message. A
+/// figure that is too large counts as the largest that the digits carry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub(crate) struct FixedPoint<const STEPS: u32, const DIGITS: u32>(u32);
 
--- a/crates/admission/src/messages/gossip_message.rs
+++ b/crates/admission/src/messages/gossip_message.rs
@@ -1,4 +1,5 @@
-//! The gossip message: means over the fleet, observations of endpoints, and quota requests, responses and releases.
+//! The gossip message: means over the fleet, observations of endpoints, and quota requests, responses and
+//! releases.
 use crate::messages::fixed_point::FixedPoint;
 use crate::messages::message_entry::{put_entries, take_entry, take_version, MessageEntry};
 use crate::messages::observation_code::Observation;
--- a/crates/admission/src/messages/message_entry.rs
+++ b/crates/admission/src/messages/message_entry.rs
@@ -21,8 +21,8 @@
     }
 }
 
-/// Reads an entry of this type, behind its marker, into the entries received so far; `None` where its digits are
-/// not all there.
+/// Reads an entry of this type, behind its marker, into the entries received so far; `None` where its digits
+/// are not all there.
 pub(crate) fn take_entry<E: MessageEntry>(bytes: &mut Bytes<'_>, entries: &mut Vec<E>) -> Option<()> {
     entries.push(E::decode(bytes)?);
     Some(())
--- a/crates/admission/src/policy/peer_messages/count_merge.rs
+++ b/crates/admission/src/policy/peer_messages/count_merge.rs
@@ -1,7 +1,8 @@
 //! Broadcast mode: what a peer's report changes in this gateway's token bucket of a customer.
 use crate::state::ReportedConsumption;
 
-/// Tokens of the quota after a peer's report. `max_overdraft_units` is how far below 0 a report may bring them.
+/// Tokens of the quota after a peer's report. `max_overdraft_units` is how far below 0 a report may bring
+/// them.
 pub(crate) fn quota_tokens_after_report(
     tokens: f64,
     consumption: ReportedConsumption,
--- a/crates/admission/src/policy/peer_messages/message_capacity.rs
+++ b/crates/admission/src/policy/peer_messages/message_capacity.rs
@@ -3,8 +3,8 @@
 /// A peer's report counts for this time, in ms.
 pub(crate) const PEER_TIMEOUT_MS: f64 = 2000.0;
 
-/// Fraction of the messages a gateway accepts that all its peers together plan to send. The rest absorbs messages
-/// that happen to arrive together.
+/// Fraction of the messages a gateway accepts that all its peers together plan to send. The rest absorbs
+/// messages that happen to arrive together.
 const PEER_MESSAGE_FRACTION: f64 = 0.7;
 
 /// Longest message in bytes.
--- a/crates/admission/src/policy/peer_messages/quota_message_budget.rs
+++ b/crates/admission/src/policy/peer_messages/quota_message_budget.rs
@@ -1,8 +1,8 @@
 //! Gossip mode: how many quota requests a gateway may send.
 use crate::policy::peer_messages::message_capacity::peer_messages_per_second;
 
-/// Fraction of the messages a gateway accepts that the quota requests of others and the responses to its own may use
-/// together.
+/// Fraction of the messages a gateway accepts that the quota requests of others and the responses to its own
+/// may use together.
 const QUOTA_MESSAGE_FRACTION: f64 = 0.9;
 
 /// Fraction of the messages a gateway accepts that the responses to its own quota requests may use at least.
--- a/crates/admission/src/policy/peer_messages/report_schedule.rs
+++ b/crates/admission/src/policy/peer_messages/report_schedule.rs
@@ -4,8 +4,8 @@
 /// Shortest time between two rounds of reports, in ms.
 const MIN_REPORT_INTERVAL_MS: f64 = 40.0;
 
-/// Longest time between two reports to a peer, in ms, also when nothing has changed: the peer must not take this
-/// gateway for silent.
+/// Longest time between two reports to a peer, in ms, also when nothing has changed: the peer must not take
+/// this gateway for silent.
 const MAX_REPORT_INTERVAL_MS: f64 = 400.0;
 
 /// Messages per second that a fleet is taken to allow at least, so that the report interval stays finite.
@@ -54,7 +54,8 @@
     (1000.0 * peers / per_second).max(MIN_REPORT_INTERVAL_MS)
 }
 
-/// Whether a report is sent: the peer can take one, and either it has something new or the last one is long ago.
+/// Whether a report is sent: the peer can take one, and either it has something new or the last one is long
+/// ago.
 pub(crate) fn should_send_report(input: ReportInput) -> bool {
     let is_due = input.since_last_ms >= MAX_REPORT_INTERVAL_MS;
     let has_something_new = !input.has_no_customers || !input.has_same_stock;
--- a/crates/admission/src/policy/quota_counter/count_decision.rs
+++ b/crates/admission/src/policy/quota_counter/count_decision.rs
@@ -12,8 +12,8 @@
     }
 }
 
-/// Decides on a request over the quota: where its plan pays for that, it may still be sent while there is capacity.
-/// Under a hard ceiling it is not, since no gateway knows how much of the ceiling the others spent.
+/// Decides on a request over the quota: where its plan pays for that, it may still be sent while there is
+/// capacity. Under a hard ceiling it is not, since no gateway knows how much of the ceiling the others spent.
 pub(crate) fn decide_over_quota(plan: &PlanSettings) -> QuotaState {
     let within_ceiling = plan.pays_over_quota() && plan.ceiling_rate_per_second <= 0.0;
     QuotaState::OverQuota { within_ceiling }
@@ -25,8 +25,8 @@
     tokens_at_most.is_some_and(|tokens| tokens < units)
 }
 
-/// Tokens to assume where the counter gave no total. Most customers are well inside their quota, and a customer
-/// last seen over it stays over it until the rate has brought enough.
+/// Tokens to assume where the counter gave no total. Most customers are well inside their quota, and a
+/// customer last seen over it stays over it until the rate has brought enough.
 pub(crate) fn assumed_tokens(burst_units: f64, tokens_at_most: Option<f64>) -> f64 {
     tokens_at_most.unwrap_or(burst_units)
 }
--- a/crates/admission/src/policy/quota_counter/counter_sampling.rs
+++ b/crates/admission/src/policy/quota_counter/counter_sampling.rs
@@ -1,9 +1,9 @@
 //! For which requests the counter is called.
 //!
-//! The counter serves a limited number of calls per second, also calls that nobody waits for any longer. So the
-//! gateways share it as TCP connections share a link, by additive increase and multiplicative decrease: each total
-//! received raises the fraction of the requests that the counter is called for, each call without a total lowers
-//! it. The sampled requests stand for the others.
+//! The counter serves a limited number of calls per second, also calls that nobody waits for any longer. So
+//! the gateways share it as TCP connections share a link, by additive increase and multiplicative decrease:
+//! each total received raises the fraction of the requests that the counter is called for, each call without
+//! a total lowers it. The sampled requests stand for the others.
 use crate::event::CounterOutcome;
 
 /// Added to the sampling fraction for each total received.
@@ -15,8 +15,8 @@
 /// Smallest sampling fraction: a gateway must notice when the counter responds again.
 const MIN_COUNTER_SAMPLING: f64 = 0.05;
 
-/// Requests that one sampled request stands for at most. Without this limit a few requests would empty every quota
-/// after an outage of the counter.
+/// Requests that one sampled request stands for at most. Without this limit a few requests would empty every
+/// quota after an outage of the counter.
 const MAX_SAMPLE_WEIGHT: f64 = 3.0;
 
 /// A request that may be sampled.
@@ -42,8 +42,8 @@
     }
 }
 
-/// Units to add to the count for a request and for those that it stands for; `None` where it is not sampled. A
-/// repeat is always sampled: most likely its customer is over the quota.
+/// Units to add to the count for a request and for those that it stands for; `None` where it is not sampled.
+/// A repeat is always sampled: most likely its customer is over the quota.
 pub(crate) fn sample_request(input: SampleInput) -> Option<f64> {
     let fraction = if input.is_repeat { 1.0 } else { input.sampling_fraction };
     let weight = (1.0 / fraction).min(MAX_SAMPLE_WEIGHT);
--- a/crates/admission/src/policy/quota_owner/ceiling_fraction.rs
+++ b/crates/admission/src/policy/quota_owner/ceiling_fraction.rs
@@ -1,8 +1,8 @@
-//! Which fraction of a customer's hard ceiling a gateway may spend. The fractions of all gateways add up to 1 at
-//! most, so that the ceiling holds even while gateways cannot reach each other.
+//! Which fraction of a customer's hard ceiling a gateway may spend. The fractions of all gateways add up to 1
+//! at most, so that the ceiling holds even while gateways cannot reach each other.
 
-/// Fraction of a ceiling that the owner of the customer's quota has. The next gateway in the ranking, which takes
-/// over when the owner does not respond, has the rest.
+/// Fraction of a ceiling that the owner of the customer's quota has. The next gateway in the ranking, which
+/// takes over when the owner does not respond, has the rest.
 const OWNER_CEILING_FRACTION: f64 = 0.6;
 
 /// The fraction of a gateway in gossip mode, where only the owner and its successor decide on quota requests.
--- a/crates/admission/src/policy/quota_owner/fallback_decision.rs
+++ b/crates/admission/src/policy/quota_owner/fallback_decision.rs
@@ -12,9 +12,10 @@
     pub(crate) ceiling_rate_per_second: f64,
 }
 
-/// Decides on a request without the owner. Most customers are well inside their quota, so while the endpoints have
-/// spare capacity this gateway's own token bucket decides. It does not where the owner recently granted less than
-/// was requested. Under a hard ceiling nothing is sent, since only the owner knows how much of it is spent.
+/// Decides on a request without the owner. Most customers are well inside their quota, so while the endpoints
+/// have spare capacity this gateway's own token bucket decides. It does not where the owner recently granted
+/// less than was requested. Under a hard ceiling nothing is sent, since only the owner knows how much of it
+/// is spent.
 pub(crate) fn decide_without_owner(input: FallbackInput) -> QuotaState {
     let has_ceiling = input.ceiling_rate_per_second > 0.0;
     if input.expectation == QuotaExpectation::Within && input.band_is_ungated && !has_ceiling {
--- a/crates/admission/src/policy/quota_owner/owner_selection.rs
+++ b/crates/admission/src/policy/quota_owner/owner_selection.rs
@@ -8,9 +8,9 @@
 /// A suspected gateway is sent no quota requests for this time, in ms.
 const SUSPECT_MS: f64 = 2500.0;
 
-/// The owner of a customer's quota: the first gateway of the ranking that is not suspected. Every gateway computes
-/// the same ranking, so they agree on the owner without a message. `me` is this gateway, which decides itself
-/// where all others are suspected.
+/// The owner of a customer's quota: the first gateway of the ranking that is not suspected. Every gateway
+/// computes the same ranking, so they agree on the owner without a message. `me` is this gateway, which
+/// decides itself where all others are suspected.
 pub(crate) fn select_owner(
     ranking: impl Iterator<Item = RankedGateway>,
     is_suspected: impl Fn(GatewayIndex) -> bool,
--- a/crates/admission/src/policy/quota_owner/owner_verdict.rs
+++ b/crates/admission/src/policy/quota_owner/owner_verdict.rs
@@ -43,8 +43,8 @@
     granted_requests < plan.open_limit as usize
 }
 
-/// The verdict to respond with, given the tokens that are left once it is applied: a grant from an ample quota says
-/// that the true units need not be reported.
+/// The verdict to respond with, given the tokens that are left once it is applied: a grant from an ample
+/// quota says that the true units need not be reported.
 pub(crate) fn verdict_to_send(
     plan: &PlanSettings,
     verdict: QuotaVerdict,
--- a/crates/admission/src/policy/quota_owner/quota_request_route.rs
+++ b/crates/admission/src/policy/quota_owner/quota_request_route.rs
@@ -1,5 +1,5 @@
-//! Whether a gateway sends the owner a quota request, how long it waits for the response, and when it sends the
-//! quota request again.
+//! Whether a gateway sends the owner a quota request, how long it waits for the response, and when it sends
+//! the quota request again.
 use crate::messages::quota_message::SamplingFraction;
 use crate::state::{QuotaExpectation, QuotaRoute};
 
@@ -36,8 +36,8 @@
     pub(crate) message_tokens: f64,
 }
 
-/// Whether the owner is sent a quota request. Where it wants them for some requests only, the requests that are not
-/// sampled are most likely over the quota.
+/// Whether the owner is sent a quota request. Where it wants them for some requests only, the requests that
+/// are not sampled are most likely over the quota.
 pub(crate) fn route_quota_request(input: QuotaRouteInput) -> QuotaRoute {
     let is_sampled = input.draw <= input.sampling.fraction();
     if input.owns_quota {
@@ -61,9 +61,9 @@
     (RESPONSE_WAIT_FRACTION * shortest_objective_ms).max(MIN_RESPONSE_WAIT_MS)
 }
 
-/// Whether a quota request that missed its response is sent to the owner once more. `retries` is how often it was
-/// sent again already, `max_message_tokens` how many message tokens a gateway may save up. An owner that does not
-/// respond says nothing against the customer, which is most likely within its quota.
+/// Whether a quota request that missed its response is sent to the owner once more. `retries` is how often it
+/// was sent again already, `max_message_tokens` how many message tokens a gateway may save up. An owner that
+/// does not respond says nothing against the customer, which is most likely within its quota.
 pub(crate) fn route_after_missed_response(
     retries: u32,
     message_tokens: f64,
--- a/crates/admission/src/policy/quota_owner/unit_bounds.rs
+++ b/crates/admission/src/policy/quota_owner/unit_bounds.rs
@@ -1,6 +1,7 @@
 //! Bounds on the units that a quota message of another gateway may take or give back.
 //!
-//! They guard against a corrupt message, which could otherwise empty a customer's quota or fill it for nothing.
+//! They guard against a corrupt message, which could otherwise empty a customer's quota or fill it for
+//! nothing.
 
 /// Units that a request may count at least, whatever the settings allow at most.
 const MIN_BOUND_UNITS: f64 = 1.0;
--- a/crates/admission/src/state/fleet/broadcast_peer.rs
+++ b/crates/admission/src/state/fleet/broadcast_peer.rs
@@ -64,8 +64,8 @@
 
     /// Records the head of a message; `false` for a message that must not be applied.
     ///
-    /// Guards against datagrams that arrive twice or out of order: units of a ceiling would be there twice, and an
-    /// older count would be taken for units given back. Sequence numbers of the same start show both.
+    /// Guards against datagrams that arrive twice or out of order: units of a ceiling would be there twice,
+    /// and an older count would be taken for units given back. Sequence numbers of the same start show both.
     pub(crate) fn record_message(&mut self, message: &CountsMessage, now_ms: f64) -> bool {
         let restarted = self.incarnation != Some(message.incarnation);
         let ahead = message.sequence.wrapping_sub(self.sequence) & SEQUENCE_MASK;
--- a/crates/admission/src/state/fleet/broadcast_peers.rs
+++ b/crates/admission/src/state/fleet/broadcast_peers.rs
@@ -25,7 +25,8 @@
         self.peers.values().filter(move |peer| peer.is_live(now_ms, timeout_ms))
     }
 
-    /// Begins a round of reports, at least `interval_ms` after the last; `None` where none is due or there are no peers.
+    /// Begins a round of reports, at least `interval_ms` after the last; `None` where none is due or there
+    /// are no peers.
     pub(crate) fn begin_round(
         &mut self,
         now_ms: f64,
--- a/crates/admission/src/state/fleet/coordination_mode.rs
+++ b/crates/admission/src/state/fleet/coordination_mode.rs
@@ -1,4 +1,5 @@
-//! The mode in which a fleet agrees on quotas and on attempts in flight, with the state that only this mode has.
+//! The mode in which a fleet agrees on quotas and on attempts in flight, with the state that only this mode
+//! has.
 use crate::state::{Broadcast, BroadcastPeer, CounterCalls, Gossip};
 
 /// The mode in which the fleet's gateways agree on quotas and on attempts in flight, with the state that only
--- a/crates/admission/src/state/fleet/fleet_means.rs
+++ b/crates/admission/src/state/fleet/fleet_means.rs
@@ -2,8 +2,8 @@
 use crate::mechanism::decaying_rate::DecayingRate;
 use crate::mechanism::smoothing::smooth;
 
-/// Means over the gateways of a fleet that does not broadcast counts. There are two of each: the mean passed on to
-/// peers, which contains this gateway's own figures, and the mean received, which leaves these out.
+/// Means over the gateways of a fleet that does not broadcast counts. There are two of each: the mean passed
+/// on to peers, which contains this gateway's own figures, and the mean received, which leaves these out.
 #[derive(Debug, Default)]
 pub(crate) struct FleetMeans {
     /// The means that are passed on to peers.
@@ -60,8 +60,8 @@
         now_ms - self.measured_ms
     }
 
-    /// Moves the means that are passed on towards this gateway's own figures, at a gain per second. The rate of
-    /// responses is smoothed over a span.
+    /// Moves the means that are passed on towards this gateway's own figures, at a gain per second. The rate
+    /// of responses is smoothed over a span.
     pub(crate) fn measure(&mut self, own_stock: f64, now_ms: f64, gain_per_second: f64, span_s: f64) {
         let seconds = self.since_measured_ms(now_ms).max(0.0) / 1000.0;
         self.measured_ms = now_ms;
--- a/crates/admission/src/state/fleet/gateway_set.rs
+++ b/crates/admission/src/state/fleet/gateway_set.rs
@@ -21,7 +21,8 @@
     fleet: usize,
 }
 
-/// A gateway and its rank for one customer. The gateway of the lowest rank in a set owns the customer's quota.
+/// A gateway and its rank for one customer. The gateway of the lowest rank in a set owns the customer's
+/// quota.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct RankedGateway {
     /// The rank, evenly spread over all gateways and customers.
@@ -68,8 +69,8 @@
         (gateway.0 + self.fleet - self.first.0) % self.fleet < self.len
     }
 
-    /// A gateway's position in the set for a customer, from 0. It is rotated by the customer's tag, so that the first
-    /// positions fall to other gateways for other customers.
+    /// A gateway's position in the set for a customer, from 0. It is rotated by the customer's tag, so that
+    /// the first positions fall to other gateways for other customers.
     pub(crate) fn place(&self, tag: CustomerTag, gateway: GatewayIndex) -> u32 {
         let distance = gateway.0 + self.fleet - self.first.0;
         (distance as u32).wrapping_add(tag.short()) % self.len as u32
--- a/crates/admission/src/state/fleet/gossip_credit.rs
+++ b/crates/admission/src/state/fleet/gossip_credit.rs
@@ -14,14 +14,16 @@
     peers: BTreeMap<GatewayIndex, GossipPeer>,
     /// Quota requests that wait for a response.
     pub(crate) requests: QuotaRequests,
-    /// Message tokens: each quota request costs one, so that no gateway is sent more messages than it accepts.
+    /// Message tokens: each quota request costs one, so that no gateway is sent more messages than it
+    /// accepts.
     message_tokens: TokenCount,
     /// Messages per second with others' quota requests and releases.
     received_rate: DecayingRate,
 }
 
 impl Gossip {
-    /// A gateway that has received nothing and sent nothing yet, and that may send so many quota requests at once.
+    /// A gateway that has received nothing and sent nothing yet, and that may send so many quota requests at
+    /// once.
     pub(crate) fn new(settings: &Settings, message_tokens: f64) -> Self {
         Gossip {
             peers: peer_indices(settings).map(|peer| (peer, GossipPeer::default())).collect(),
@@ -51,8 +53,8 @@
         self.message_tokens.take(tokens);
     }
 
-    /// Records a message of a peer. Messages with responses do not count as received: own quota requests cause
-    /// them, and the budget of these plans for their responses.
+    /// Records a message of a peer. Messages with responses do not count as received: own quota requests
+    /// cause them, and the budget of these plans for their responses.
     pub(crate) fn record_message(
         &mut self,
         from: GatewayIndex,
--- a/crates/admission/src/state/quota/counter_account.rs
+++ b/crates/admission/src/state/quota/counter_account.rs
@@ -126,8 +126,8 @@
         self.seen = Some(TokensSeen { tokens, at_ms: now_ms });
     }
 
-    /// The most tokens that the customer can have now, by what the last reply showed and what the rate has added
-    /// since; `None` before the first reply.
+    /// The most tokens that the customer can have now, by what the last reply showed and what the rate has
+    /// added since; `None` before the first reply.
     pub(crate) fn tokens_at_most(&self, plan: &PlanSettings, now_ms: f64) -> Option<f64> {
         let seen = self.seen?;
         let accrued = plan.rate_per_second * (now_ms - seen.at_ms).max(0.0) / 1000.0;
--- a/crates/admission/src/state/quota/counter_epoch.rs
+++ b/crates/admission/src/state/quota/counter_epoch.rs
@@ -13,14 +13,14 @@
 }
 
 impl CounterEpoch {
-    /// Tokens of a customer by the total of its count: the burst and what the rate added since the epoch began,
-    /// less the total.
+    /// Tokens of a customer by the total of its count: the burst and what the rate added since the epoch
+    /// began, less the total.
     pub(crate) fn tokens(&self, plan: &PlanSettings, total: f64) -> f64 {
         plan.burst_units + plan.rate_per_second * self.age_s - total
     }
 
-    /// The present epoch of a customer, of epochs of this length. Each customer's epochs start at a time of their
-    /// own, so that the counts do not all restart at once.
+    /// The present epoch of a customer, of epochs of this length. Each customer's epochs start at a time of
+    /// their own, so that the counts do not all restart at once.
     pub(crate) fn at(tag: CustomerTag, now_ms: f64, epoch_ms: f64) -> Self {
         let phase_ms = (mix(tag.0) % epoch_ms as u64) as f64;
         let number = ((now_ms + phase_ms) / epoch_ms).floor();
--- a/crates/admission/src/state/quota/customer_record.rs
+++ b/crates/admission/src/state/quota/customer_record.rs
@@ -1,4 +1,5 @@
-//! A customer: the tokens of its quota and its ceiling, and what is known of it by reports, grants and the counter.
+//! A customer: the tokens of its quota and its ceiling, and what is known of it by reports, grants and the
+//! counter.
 use crate::id::{GatewayIndex, PlanIndex};
 use crate::mechanism::token_bucket::TokenBucket;
 use crate::settings::PlanSettings;
@@ -83,11 +84,11 @@
         self.last_used_ms = now_ms;
     }
 
-    /// Sets the plan, which was not known before. Until now the quota was a fraction of the burst. The ceiling
-    /// starts with what its fraction accrued in the gateway's uptime.
+    /// Sets the plan, which was not known before. Until now the quota was a fraction of the burst. The
+    /// ceiling starts with what its fraction accrued in the gateway's uptime.
     ///
-    /// Guards against a ceiling that is passed after a restart: the gateway cannot know what it spent before, so
-    /// it starts as if it had spent all of it.
+    /// Guards against a ceiling that is passed after a restart: the gateway cannot know what it spent before,
+    /// so it starts as if it had spent all of it.
     pub(crate) fn set_plan(
         &mut self,
         index: PlanIndex,
--- a/crates/admission/src/state/quota/customer_reports.rs
+++ b/crates/admission/src/state/quota/customer_reports.rs
@@ -34,8 +34,8 @@
 /// What a peer's report says of the units that it consumed of one customer's quota.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum ReportedConsumption {
-    /// The first report of this peer, or no plan is known here yet. It has only the fraction of the burst that
-    /// the peer sees in the quota.
+    /// The first report of this peer, or no plan is known here yet. It has only the fraction of the burst
+    /// that the peer sees in the quota.
     Unknown {
         /// That fraction, 0 to 1.
         fill: f64,
@@ -78,8 +78,8 @@
 
     /// What a peer's count says of its consumption beyond its last count.
     ///
-    /// Guards against a peer that restarted, whose count is lower than before: the incarnation shows it, and its
-    /// count is taken from 0.
+    /// Guards against a peer that restarted, whose count is lower than before: the incarnation shows it, and
+    /// its count is taken from 0.
     pub(crate) fn consumption_since_last(
         &self,
         peer: GatewayIndex,
--- a/crates/admission/src/state/quota/pending_quota_requests.rs
+++ b/crates/admission/src/state/quota/pending_quota_requests.rs
@@ -34,8 +34,8 @@
 impl QuotaRequests {
     /// The number of a quota request to an owner, given where the request stands.
     ///
-    /// Guards against a lost response, after which the owner would grant the same request twice: the same owner
-    /// gets the same number again, by which it recognizes the request.
+    /// Guards against a lost response, after which the owner would grant the same request twice: the same
+    /// owner gets the same number again, by which it recognizes the request.
     pub(crate) fn number_for(&mut self, state: QuotaState, to: GatewayIndex) -> QuotaRequestNumber {
         match state {
             QuotaState::AwaitingOwner { owner, number, .. } if owner == to => return number,
--- a/crates/admission/src/tests/quota_rules/counter_rules.rs
+++ b/crates/admission/src/tests/quota_rules/counter_rules.rs
@@ -1,4 +1,5 @@
-//! Counter mode: for which requests the counter is called, what its totals decide, and how counts are corrected.
+//! Counter mode: for which requests the counter is called, what its totals decide, and how counts are
+//! corrected.
 use super::is_close;
 use crate::event::CounterOutcome;
 use crate::id::RequestId;
@@ -91,8 +92,8 @@
     );
 }
 
-/// Two gateways that see the same lag both raise the count; one of them must take its raise back, or the customer
-/// is rejected until the rate has made up for it.
+/// Two gateways that see the same lag both raise the count; one of them must take its raise back, or the
+/// customer is rejected until the rate has made up for it.
 #[test]
 fn a_raise_is_doubled_where_others_added_more_than_half_as_much() {
     let raise = CatchUp { units: 80.0, seen_total: 5.0 };
--- a/crates/admission/src/tests/quota_rules/message_bounds.rs
+++ b/crates/admission/src/tests/quota_rules/message_bounds.rs
@@ -16,7 +16,8 @@
     Observation::decode(&mut text.bytes()).expect("all digits are there").kind
 }
 
-/// Codes of classes end where those of plans begin. A failure of class 62 or beyond arrives as a rejection of a plan.
+/// Codes of classes end where those of plans begin. A failure of class 62 or beyond arrives as a rejection of
+/// a plan.
 #[test]
 fn classes_beyond_61_and_plans_beyond_95_have_no_code_of_their_own() {
     let failed = |class| ObservationKind::Failed { class: ClassIndex(class) };
--- a/crates/admission/src/tests/quota_rules/owner_rules.rs
+++ b/crates/admission/src/tests/quota_rules/owner_rules.rs
@@ -176,7 +176,8 @@
     assert!(!has_free_slot(&quota_plan(1.0, 1.0), 0));
 }
 
-/// While a silent owner may still be alive, it and its successor both spend: together no more than the ceiling.
+/// While a silent owner may still be alive, it and its successor both spend: together no more than the
+/// ceiling.
 #[test]
 fn ceiling_fractions_add_up_to_the_ceiling() {
     assert_eq!(ceiling_fraction_by_ranking(1, 0), 1.0);
