--- a/crates/admission/src/coordination/count_reports.rs
+++ b/crates/admission/src/coordination/count_reports.rs
@@ -11,6 +11,7 @@
 use crate::policy::peer_messages::message_capacity::MAX_MESSAGE_BYTES;
 use crate::policy::peer_messages::report_schedule::{
     max_saved_reports, report_interval_ms, reports_per_second, should_send_report, ReportInput,
+    CREDIT_PER_REPORT,
 };
 use crate::state::{BroadcastPeer, Coordination, Customer, PeerCount};
 use std::collections::BTreeMap;
@@ -54,8 +55,8 @@
 }
 
 impl Gateway {
-    /// Where a round of reports is due, sends each peer what changed since the last one, within the peer's budget
-    /// of messages.
+    /// Where a round of reports is due, sends each peer what changed since the last one, within the peer's
+    /// budget of messages.
     pub(crate) fn broadcast_counts_if_due(&mut self, actions: &mut Vec<Action>) {
         let Coordination::Broadcast(broadcast) = &mut self.coordination else { return };
         let interval_ms = report_interval_ms(self.settings.gateways, self.settings.peer_messages_per_second);
@@ -103,7 +104,7 @@
                 message.stock = stock;
                 message.watermark = WatermarkOnWire::at_most(self.band.watermark());
                 if should_send_report(report_input(peer, &message, now_ms)) {
-                    peer.number_message(&mut message, now_ms);
+                    peer.number_message(&mut message, CREDIT_PER_REPORT, now_ms);
                     actions.push(Action::SendPeerMessage { to: Some(to), body: message.encode() });
                 }
             }
@@ -154,8 +155,8 @@
 
     /// Transfers units of a customer's ceiling to a peer that requests them.
     ///
-    /// Guards against units that exist at two gateways at once, which would let the ceiling be passed: they are
-    /// taken off here before the message with them is sent, so a lost message loses units instead.
+    /// Guards against units that exist at two gateways at once, which would let the ceiling be passed: they
+    /// are taken off here before the message with them is sent, so a lost message loses units instead.
     fn on_ceiling_request(&mut self, from: GatewayIndex, tag: CustomerTag) {
         let Some(customer) = self.customers.get_mut(tag) else { return };
         let Some(plan) = customer.plan().map(|p| self.settings.plan(p)) else { return };
--- a/crates/admission/src/coordination/counter_calls.rs
+++ b/crates/admission/src/coordination/counter_calls.rs
@@ -1,4 +1,5 @@
-//! Counter mode: calls to the shared quota counter, one at a time for each customer, and what its replies lead to.
+//! Counter mode: calls to the shared quota counter, one at a time for each customer, and what its replies
+//! lead to.
 use crate::action::Action;
 use crate::event::CounterOutcome;
 use crate::gateway::Gateway;
@@ -27,20 +28,19 @@
 }
 
 impl Gateway {
-    /// Begins the quota check of a queued request: calls the counter for it, or decides by what was last seen,
-    /// since the customer cannot have more tokens than the rate has added since.
+    /// Begins the quota check of a queued request: calls the counter for it, or decides by what was last
+    /// seen, since the customer cannot have more tokens than the rate has added since.
     pub(crate) fn request_from_counter(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(active) = self.requests.get(id) else { return };
         let (tag, plan_index) = (active.tag, active.request.plan);
         let (units, is_repeat) = (active.request.units, active.request.repeat);
         let gateways = GatewaySet::of_request(&active.request, self.settings.gateways);
-        let last_seen = self.customer_entry(tag, plan_index, gateways).counter.last_seen();
-        let plan = self.settings.plan(plan_index);
+        let now_ms = self.clock.now_ms();
+        let (customer, plan) = self.customer_with_plan(tag, plan_index, gateways);
         if plan.rate_per_second <= 0.0 {
             return;
         }
-        let now_ms = self.clock.now_ms();
-        let tokens_at_most = last_seen.map(|seen| seen.tokens_at_most(plan, now_ms));
+        let tokens_at_most = customer.counter.tokens_at_most(plan, now_ms);
         let quota = if is_surely_over_quota(tokens_at_most, units) {
             decide_over_quota(plan)
         } else {
@@ -162,8 +162,7 @@
     fn on_no_total(&mut self, tag: CustomerTag, plan: PlanIndex, request: CountedRequest, is_rejected: bool) {
         let Some(customer) = self.customers.get_mut(tag) else { return };
         let settings = self.settings.plan(plan);
-        let now_ms = self.clock.now_ms();
-        let tokens_at_most = customer.counter.last_seen().map(|seen| seen.tokens_at_most(settings, now_ms));
+        let tokens_at_most = customer.counter.tokens_at_most(settings, self.clock.now_ms());
         let tokens = assumed_tokens(settings.burst_units, tokens_at_most);
         if is_rejected {
             customer.counter.correct(request.added_units);
@@ -206,8 +205,8 @@
         }
     }
 
-    /// Corrects the count by what an admitted request consumed in the end: all its units are given back where it
-    /// was never sent.
+    /// Corrects the count by what an admitted request consumed in the end: all its units are given back where
+    /// it was never sent.
     pub(crate) fn settle_counted(&mut self, active: &ActiveRequest, actions: &mut Vec<Action>) {
         let unsent = active.is_unsent();
         let correction_units = if unsent {
@@ -225,8 +224,8 @@
 
 /// The total that a call showed of the present epoch; `None` where it showed none.
 ///
-/// Guards against a reply that comes after its epoch has ended: its total is of the old count, and would show the
-/// customer far over its quota. The name of the count differs in each epoch.
+/// Guards against a reply that comes after its epoch has ended: its total is of the old count, and would show
+/// the customer far over its quota. The name of the count differs in each epoch.
 fn total_of_epoch(outcome: CounterOutcome, name: u64, epoch: CounterEpoch) -> Option<f64> {
     match outcome {
         CounterOutcome::Total(total) if total.is_finite() && epoch.name == name => Some(total),
--- a/crates/admission/src/coordination/quota_ownership.rs
+++ b/crates/admission/src/coordination/quota_ownership.rs
@@ -7,7 +7,7 @@
     QuotaRelease, QuotaRequest, QuotaRequestNumber, QuotaResponse, QuotaVerdict, SamplingFraction,
 };
 use crate::policy::quota_owner::owner_sampling::{
-    wanted_sampling_fraction, QuotaDemand, AMPLE_SAMPLING_FRACTION, QUOTA_RATE_SPAN_S,
+    wanted_sampling_fraction, QuotaDemand, AMPLE_SAMPLING_FRACTION, QUOTA_RATE_SPAN_S, SLOT_GRANT_UNITS,
 };
 use crate::policy::quota_owner::owner_verdict::{
     decide_quota_request, grant_lifetime_ms, has_free_slot, verdict_to_send, OwnedQuota,
@@ -59,21 +59,24 @@
         }
     }
 
-    /// Decides on a quota request as the owner. Granted units are taken from quota, slots and ceiling before the
-    /// response is sent. `None` for a request that its sender must not send here.
+    /// Decides on a quota request as the owner. Granted units are taken from quota, slots and ceiling before
+    /// the response is sent. `None` for a request that its sender must not send here.
     fn respond_as_owner(&mut self, from: GatewayIndex, request: &QuotaRequest) -> Option<QuotaResponse> {
         let plan_index = PlanIndex(request.plan as usize);
-        let plan = self.settings.plans.get(plan_index.0)?.clone();
+        if plan_index.0 >= self.settings.plans.len() {
+            return None;
+        }
         let gateways = self.gateways_of(from, request)?;
         let now_ms = self.clock.now_ms();
         let received = self.received_request(from, request);
-        let customer = self.customer_entry(CustomerTag(request.customer), plan_index, gateways);
+        let tag = CustomerTag(request.customer);
+        let (customer, plan) = self.customer_with_plan(tag, plan_index, gateways);
         customer.grants.expire(now_ms);
-        let verdict = apply_quota_request(customer, &plan, &received, now_ms);
-        let verdict = verdict_to_send(&plan, verdict, customer.quota_tokens());
+        let verdict = apply_quota_request(customer, plan, &received, now_ms);
+        let verdict = verdict_to_send(plan, verdict, customer.quota_tokens());
         let sampling_fraction = match verdict {
             QuotaVerdict::GrantedAmple => AMPLE_SAMPLING_FRACTION,
-            _ => wanted_sampling_fraction(quota_demand(customer, &plan, now_ms)),
+            _ => wanted_sampling_fraction(quota_demand(customer, plan, now_ms)),
         };
         let sampling_fraction = SamplingFraction::nearest(sampling_fraction);
         Some(QuotaResponse { number: request.number, verdict, sampling_fraction })
@@ -81,9 +84,9 @@
 
     /// The gateways that the requests of a quota request's customer come through.
     ///
-    /// Guards against messages that are corrupt or of another fleet, which could spend a quota that this gateway
-    /// does not own: `None` where the gateways are not of this fleet, or the sender or this gateway is not among
-    /// them.
+    /// Guards against messages that are corrupt or of another fleet, which could spend a quota that this
+    /// gateway does not own: `None` where the gateways are not of this fleet, or the sender or this gateway
+    /// is not among them.
     fn gateways_of(&self, from: GatewayIndex, request: &QuotaRequest) -> Option<GatewaySet> {
         let first = GatewayIndex(request.first_gateway as usize);
         let len = request.gateways as usize;
@@ -130,7 +133,7 @@
         let Some(customer) = self.customers.get_mut(tag) else { return };
         let Some(waiting) = customer.grants.next_waiting(now_ms) else { return };
         let grant = Grant { expires_ms: waiting.expires_ms + lifetime_ms, ..waiting };
-        customer.grants.grant(grant, 1.0, now_ms, QUOTA_RATE_SPAN_S);
+        customer.grants.grant(grant, SLOT_GRANT_UNITS, now_ms, QUOTA_RATE_SPAN_S);
         let response = QuotaResponse {
             number: grant.number,
             verdict: QuotaVerdict::Granted,
@@ -142,8 +145,8 @@
 
 /// Decides on a received quota request and records it.
 ///
-/// Guards against a lost response, after which the same quota request comes again: it would be charged twice. By its
-/// number it is recognized as granted or waiting, and gets the same verdict at no cost.
+/// Guards against a lost response, after which the same quota request comes again: it would be charged twice.
+/// By its number it is recognized as granted or waiting, and gets the same verdict at no cost.
 fn apply_quota_request(
     customer: &mut Customer,
     plan: &PlanSettings,
--- a/crates/admission/src/state/fleet/broadcast_peer.rs
+++ b/crates/admission/src/state/fleet/broadcast_peer.rs
@@ -64,8 +64,8 @@
 
     /// Records the head of a message; `false` for a message that must not be applied.
     ///
-    /// Guards against datagrams that arrive twice or out of order: units of a ceiling would be there twice, and an
-    /// older count would be taken for units given back. Sequence numbers of the same start show both.
+    /// Guards against datagrams that arrive twice or out of order: units of a ceiling would be there twice,
+    /// and an older count would be taken for units given back. Sequence numbers of the same start show both.
     pub(crate) fn record_message(&mut self, message: &CountsMessage, now_ms: f64) -> bool {
         let restarted = self.incarnation != Some(message.incarnation);
         let ahead = message.sequence.wrapping_sub(self.sequence) & SEQUENCE_MASK;
@@ -102,9 +102,9 @@
         now_ms - self.sent_ms
     }
 
-    /// Records a report that is sent, and sets the next sequence number in it.
-    pub(crate) fn number_message(&mut self, message: &mut CountsMessage, now_ms: f64) {
-        self.credit.take(1.0);
+    /// Records a report that is sent and costs this credit, and sets the next sequence number in it.
+    pub(crate) fn number_message(&mut self, message: &mut CountsMessage, credit: f64, now_ms: f64) {
+        self.credit.take(credit);
         self.sent_sequence = (self.sent_sequence + 1) & SEQUENCE_MASK;
         self.sent_stock = message.stock;
         self.sent_ms = now_ms;
--- a/crates/admission/src/state/quota/customer_record.rs
+++ b/crates/admission/src/state/quota/customer_record.rs
@@ -1,4 +1,5 @@
-//! A customer: the tokens of its quota and its ceiling, and what is known of it by reports, grants and the counter.
+//! A customer: the tokens of its quota and its ceiling, and what is known of it by reports, grants and the
+//! counter.
 use crate::id::{GatewayIndex, PlanIndex};
 use crate::mechanism::token_bucket::TokenBucket;
 use crate::settings::PlanSettings;
@@ -83,11 +84,11 @@
         self.last_used_ms = now_ms;
     }
 
-    /// Sets the plan, which was not known before. Until now the quota was a fraction of the burst. The ceiling
-    /// starts with what its fraction accrued in the gateway's uptime.
+    /// Sets the plan, which was not known before. Until now the quota was a fraction of the burst. The
+    /// ceiling starts with what its fraction accrued in the gateway's uptime.
     ///
-    /// Guards against a ceiling that is passed after a restart: the gateway cannot know what it spent before, so
-    /// it starts as if it had spent all of it.
+    /// Guards against a ceiling that is passed after a restart: the gateway cannot know what it spent before,
+    /// so it starts as if it had spent all of it.
     pub(crate) fn set_plan(
         &mut self,
         index: PlanIndex,
@@ -197,11 +198,9 @@
         self.reports.record_peer_count(peer, count);
     }
 
-    /// The fraction of requests for which the quota's owner wants quota requests. The one that it sent returns
-    /// evenly to 1 over the lifetime given.
-    pub(crate) fn sampling_fraction_now(&self, now_ms: f64, lifetime_ms: f64) -> f64 {
-        let age = (now_ms - self.sampling.received_ms) / lifetime_ms;
-        1.0 - (1.0 - self.sampling.fraction) * (1.0 - age).max(0.0)
+    /// Time since the quota's owner sent the sampling fraction.
+    pub(crate) fn sampling_age_ms(&self, now_ms: f64) -> f64 {
+        now_ms - self.sampling.received_ms
     }
 
     /// The sampling fraction that the quota's owner last sent.
--- a/crates/admission/src/tests/load_rules/mod.rs
+++ b/crates/admission/src/tests/load_rules/mod.rs
@@ -10,8 +10,9 @@
 mod upkeep_rules;
 mod watermark_rules;
 
-use super::{is_close, quota_plan};
+use super::is_close;
 use crate::settings::PlanSettings;
+use crate::tests::plan_builder::quota_plan;
 
 /// A plan of 10 units a second and bursts of 40, without slots, ceiling or use beyond the quota.
 fn plan() -> PlanSettings {
