--- a/crates/gateway/src/clock/tests.rs
+++ b/crates/gateway/src/clock/tests.rs
@@ -1,6 +1,8 @@
 //! The tests of the conversion between times and milliseconds.
 use super::*;
 
+/// Settings and library give times as floating-point numbers. A negative one or NaN would panic in the
+/// conversion. Expected: zero for those, and the same time both ways for others.
 #[test]
 fn converts_both_ways_and_tolerates_figures_that_are_no_time() {
     let clock = Clock::start();
--- a/crates/gateway/src/connection_budget.rs
+++ b/crates/gateway/src/connection_budget.rs
@@ -49,8 +49,8 @@
 }
 
 impl PooledConnection {
-    /// Establishes a connection under `permit`, or returns `None` and the permit to its budget if that fails or is
-    /// not done by `deadline`. Dropping the future does the same.
+    /// Establishes a connection under `permit`, or returns `None` and the permit to its budget if that
+    /// fails or is not done by `deadline`. Dropping the future does the same.
     pub(crate) async fn connect(
         addr: SocketAddr,
         permit: ConnectionPermit,
--- a/crates/gateway/src/connection_budget/tests.rs
+++ b/crates/gateway/src/connection_budget/tests.rs
@@ -1,6 +1,8 @@
 //! The tests of the permits for connections.
 use super::*;
 
+/// A permit that is not returned would lower the limit for good, and one too many would exceed the
+/// process's descriptors. Expected: permits up to the limit, and a new one for each that is dropped.
 #[test]
 fn permits_are_given_up_to_the_limit_and_given_back_when_dropped() {
     let budget = ConnectionBudget::new(2);
--- a/crates/gateway/src/descriptor_budget/tests.rs
+++ b/crates/gateway/src/descriptor_budget/tests.rs
@@ -1,6 +1,9 @@
 //! The tests of how file descriptors are divided.
 use super::*;
 
+/// The descriptors are divided among clients, endpoints and the process itself. If the sum exceeded the
+/// limit, an accept or connect would fail at full load. Expected: the sum is the limit, with a minimum for
+/// endpoints.
 #[test]
 fn the_budgets_add_up_to_the_limit_and_reserve_a_minimum_for_endpoints() {
     assert_eq!(RESERVED.total(), 32);
--- a/crates/gateway/src/discovery/tests/endpoint_list.rs
+++ b/crates/gateway/src/discovery/tests/endpoint_list.rs
@@ -30,15 +30,15 @@
     record
 }
 
-/// The endpoint of a list with this record only; none where the record is left out.
+/// The endpoint of a list with this record only; `None` where the record is skipped.
 fn endpoint(record: Value) -> Option<DiscoveredEndpoint> {
     list(json!([record])).endpoints(&names(), NOW_MS).pop()
 }
 
 #[test]
 fn a_list_has_a_revision_and_is_complete_only_where_it_says_so() {
-    let whole = list(json!([]));
-    assert!(whole.revision == 7 && whole.is_complete && whole.is_empty());
+    let complete = list(json!([]));
+    assert!(complete.revision == 7 && complete.is_complete && complete.is_empty());
     let changes: EndpointList =
         serde_json::from_value(json!({"rev": 8, "targets": [record(json!({}))]})).expect("a list");
     assert!(changes.revision == 8 && !changes.is_complete && !changes.is_empty());
@@ -74,6 +74,8 @@
     assert_eq!(state("riddle"), None);
 }
 
+/// A list has entries with a wrong address, no fields, or another form altogether. If one of them spoiled
+/// the list, the gateway would go on with an old one. Expected: these are skipped and the others applied.
 #[test]
 fn records_that_cannot_be_read_are_skipped_and_the_others_applied() {
     let records = json!([
@@ -89,11 +91,13 @@
 }
 
 #[test]
-fn zones_and_kinds_that_the_settings_do_not_name_share_the_index_after_the_last_name() {
+fn zones_and_kinds_that_the_settings_do_not_name_get_the_index_after_the_last_name() {
     let entry = endpoint(record(json!({"az": "x", "model": ""}))).expect("an endpoint").entry;
     assert_eq!((entry.zone, entry.kind), (ZoneIndex(2), MachineKindIndex(2)));
 }
 
+/// Discovery's clock may be ahead of the gateway's. With a start in the future, slow start would compute a
+/// negative capacity. Expected: a start is at most now, and unknown where it is no positive time.
 #[test]
 fn a_start_is_unknown_unless_positive_and_never_in_the_future() {
     let start = |boot_ms: f64| {
--- a/crates/gateway/src/discovery/tests/fleet_recovery.rs
+++ b/crates/gateway/src/discovery/tests/fleet_recovery.rs
@@ -1,5 +1,5 @@
-//! Simulations of a whole fleet whose discovery returns after an outage or is slow at the start.
-use super::{schedule_for_requested_lists, silent_call, silent_watch, unreachable, LEASE_DURATION};
+//! Simulations of a fleet whose discovery returns after an outage or is slow at the start.
+use super::{schedule_for_polled_lists, silent_call, silent_watch, unreachable, LEASE_DURATION};
 use crate::discovery::error::DiscoveryError;
 use crate::discovery::list_lease::MAX_REJECTION_RENEWAL;
 use crate::discovery::refresh_policy::INITIAL_BACKOFF;
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Seconds of work in discovery's queue beyond which a call is refused, or given up.
+/// Seconds of work in discovery's queue beyond which a call is rejected or abandoned.
 const MAX_QUEUED_S: f64 = 2.0;
 /// Seconds between two looks at how many gateways have a valid list.
 const OBSERVATION_PERIOD_S: f64 = 0.5;
@@ -19,12 +19,11 @@
 /// What the simulated discovery does with calls beyond its capacity.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Overload {
-    /// The queue holds 2 s of work. A call that finds it full is refused at once, at no cost.
-    Refuses,
+    /// The queue holds 2 s of work. A call that finds it full is rejected at once, at no cost.
+    Rejects,
     /// The same, but such a call gets no response.
     IsSilent,
-    /// The queue holds 4 s of work. A call that has waited 2 s is refused then, and worked through all the
-    /// same.
+    /// The queue holds 4 s of work. A call that has waited 2 s is rejected then, and still served.
     WorksThrough,
 }
 
@@ -37,7 +36,7 @@
     reached_fraction: f64,
     /// Lists that discovery served in a second.
     lists_per_second: f64,
-    /// Fraction of the calls worked through whose caller had given up.
+    /// Fraction of the served calls whose caller had abandoned them.
     wasted_fraction: f64,
     /// Calls that brought no list.
     failed_calls: usize,
@@ -109,7 +108,7 @@
     /// Adds a gateway, with its last call that failed in the outage and the first one after it.
     fn add_gateway(&mut self, gateway: usize, gateways: usize, random: &mut fastrand::Rng) {
         let last_s = -INITIAL_BACKOFF.as_secs_f64() * random.f64();
-        let mut schedule = schedule_for_requested_lists(gateways, gateway as u64, self.instant(last_s));
+        let mut schedule = schedule_for_polled_lists(gateways, gateway as u64, self.instant(last_s));
         let error = unreachable(self.instant(last_s));
         let mut next_s = last_s;
         while next_s < 0.0 {
@@ -222,9 +221,14 @@
     }
 }
 
+/// Discovery returns after a long outage with a fixed capacity, and the calls of all gateways arrive at
+/// once. Without jitter and a window that widens, the fleet would keep discovery's queue full with calls
+/// whose callers have timed out, and few gateways would ever get a list. Expected: each gateway gets a list
+/// as soon as capacity permits, almost all of discovery's work goes to lists that are received, and no
+/// gateway uses a list that is too old.
 #[test]
 fn fleet_of_any_size_recovers_with_a_discovery_of_any_capacity() {
-    for overload in [Overload::Refuses, Overload::IsSilent, Overload::WorksThrough] {
+    for overload in [Overload::Rejects, Overload::IsSilent, Overload::WorksThrough] {
         for gateways in [1, 30, 100, 300, 5300] {
             for per_second in [20.0, 50.0, 200.0, 2000.0] {
                 let turn_s = gateways as f64 / per_second;
@@ -254,7 +258,7 @@
             "{recovery:?}"
         );
     } else if turn_s < 8.0 {
-        // Pauses stay short for as long as refusals may be an outage, which costs a third of it.
+        // Pauses stay short for as long as rejections may be an outage, which costs a third of it.
         assert!(recovery.lists_per_second > 0.3 * per_second, "{recovery:?}");
     } else {
         // The windows end short of what so slow a discovery would need of so large a fleet.
@@ -263,12 +267,12 @@
 }
 
 /// When each gateway of a fleet that starts at once has its first response, in seconds, from a discovery that
-/// serves a call in `service_s` and works through those, too, that were given up after 2 s. `None`: not
+/// serves a call in `service_s` and still serves those that were abandoned after 2 s. `None`: not
 /// within 30 s.
 fn first_responses(gateways: usize, service_s: f64) -> Vec<Option<f64>> {
     let start = Instant::now();
     let mut schedules: Vec<RefreshSchedule> =
-        (0..gateways).map(|gateway| schedule_for_requested_lists(gateways, gateway as u64, start)).collect();
+        (0..gateways).map(|gateway| schedule_for_polled_lists(gateways, gateway as u64, start)).collect();
     let mut responses = vec![None; gateways];
     // Calls to come: when, in microseconds, and whose.
     let mut calls: BinaryHeap<Reverse<(u64, usize)>> = (0..gateways).map(|g| Reverse((0, g))).collect();
@@ -291,6 +295,9 @@
     responses
 }
 
+/// A hundred gateways start at once and call a discovery that serves 20 calls a second and still serves
+/// abandoned ones. With equal pauses the same gateways would lose each time. Expected: every gateway has a
+/// list within 20 s.
 #[test]
 fn hundred_gateways_that_start_at_once_all_get_a_list_from_a_slow_discovery() {
     let responses = first_responses(100, 0.05);
--- a/crates/gateway/src/discovery/tests/lease_expiry.rs
+++ b/crates/gateway/src/discovery/tests/lease_expiry.rs
@@ -6,8 +6,10 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, sleep_until, Instant};
 
-/// In simulated time: once for each expiry, not while the lease is renewed, and not where it is renewed at
-/// the very moment of expiry.
+/// A lease is renewed at the very moment of its expiry, then shortened, then left to expire. A report of a
+/// lease that was renewed in time would stop a healthy gateway; a missing one would let it send by a list
+/// that is too old. Expected, in simulated time: one report for each expiry, and none for a renewal in
+/// time.
 #[tokio::test(start_paused = true)]
 async fn lease_expiry_is_reported_once_until_the_lease_is_renewed() {
     let second = Duration::from_secs(1);
--- a/crates/gateway/src/discovery/tests/list_lease.rs
+++ b/crates/gateway/src/discovery/tests/list_lease.rs
@@ -1,6 +1,6 @@
-//! How long the endpoint list may be used in outages and after refusals.
+//! How long the endpoint list may be used in outages and after rejections.
 use super::{
-    policy, reset_watch, schedule_for_requested_lists, silent_call, silent_watch, unreachable, LEASE_DURATION,
+    policy, reset_watch, schedule_for_polled_lists, silent_call, silent_watch, unreachable, LEASE_DURATION,
 };
 use crate::discovery::error::DiscoveryError;
 use crate::discovery::list_lease::{
@@ -13,11 +13,14 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
+/// Discovery's machine goes down: the open watch gets no response, then nothing is reached any more. No
+/// change is published meanwhile, and a gateway whose list expired would reject everything. Expected: the
+/// lease stays valid at every moment of the outage, whatever the size of the fleet.
 #[test]
 fn lease_stays_valid_through_an_outage_of_any_length() {
     for gateways in [1, 300, 100_000] {
         let mut now = Instant::now();
-        let mut schedule = schedule_for_requested_lists(gateways, 5, now);
+        let mut schedule = schedule_for_polled_lists(gateways, 5, now);
         // The open watch falls silent first, since the machine has gone.
         let CallTimes { wait, response_timeout } = schedule.call_times(CallPosition::Later, now);
         now += wait + response_timeout;
@@ -32,6 +35,10 @@
     }
 }
 
+/// A discovery that was reached may have published a change which the gateway did not get. If silence or a
+/// reset renewed the lease, the gateway could send to a draining endpoint for ever. Expected: only a list,
+/// a rejection, or an outage renews it, an expired lease only a list, and a new address shortens it. A
+/// pushed list has no lease.
 #[test]
 fn lease_is_renewed_only_by_a_list_a_rejection_or_an_outage_in_which_nothing_is_reached() {
     let start = Instant::now();
@@ -41,7 +48,7 @@
         schedule.list_expires_at().expect("a lease")
     };
     let down = || unreachable(later);
-    let fresh = || schedule_for_requested_lists(300, 5, start);
+    let fresh = || schedule_for_polled_lists(300, 5, start);
     assert_eq!(until(&[down()], &mut fresh()), later + LEASE_DURATION);
     assert_eq!(until(&[reset_watch(), down()], &mut fresh()), later + LEASE_DURATION);
     assert_eq!(until(&[silent_call()], &mut fresh()), start + LEASE_DURATION);
@@ -52,9 +59,9 @@
     schedule.on_list(Duration::ZERO, start);
     assert_eq!(until(&[down()], &mut schedule), later + LEASE_DURATION, "a list makes up for it");
     // An outage does not renew a lease that has expired.
-    let mut schedule = schedule_for_requested_lists(300, 5, start - LEASE_DURATION);
+    let mut schedule = schedule_for_polled_lists(300, 5, start - LEASE_DURATION);
     assert_eq!(until(&[down()], &mut schedule), start);
-    // After a move the lease is shorter, and never longer than it was.
+    // At a new address the lease is shorter, and never longer than it was.
     let mut schedule = fresh();
     schedule.on_address_change(later);
     assert_eq!(schedule.list_expires_at(), Some(later + CHANGE_KNOWN_AFTER_ADDRESS_CHANGE - LEASE_MARGIN));
@@ -64,7 +71,7 @@
     assert_eq!(
         schedule.list_expires_at(),
         Some(later + CHANGE_KNOWN_AFTER_ADDRESS_CHANGE - LEASE_MARGIN),
-        "refusals do not renew it either"
+        "rejections do not renew it either"
     );
     // A pushed list never expires.
     let mut schedule = RefreshSchedule::new(policy(DiscoveryMode::Pushed, 300, 2000.0), 5, start);
@@ -73,23 +80,24 @@
     assert_eq!(schedule.list_expires_at(), None);
 }
 
-/// An outage of ten seconds in which a proxy refuses calls, at once or after 2 s as observed: the list stays
-/// valid, calls stay frequent, and the first one after it is answered before the list expires. In an outage
-/// without end the list does expire, and only a list helps.
+/// In an outage of ten seconds a proxy rejects calls, at once or after 2 s. Expected: the list stays valid,
+/// calls stay frequent, and the first one after the outage is answered before a change must be acted on. In
+/// an outage without end the list must expire, since a gateway cannot know whether discovery is only
+/// overloaded and has changes.
 #[test]
 fn lease_is_renewed_by_rejections_for_as_long_as_an_outage_and_no_longer() {
     const MIN_GRACE: Duration = Duration::from_secs(2);
-    const REFUSED_AFTER: [Duration; 2] = [Duration::from_millis(2), Duration::from_secs(2)];
-    for (seed, refused_after) in (0..200).flat_map(|seed| REFUSED_AFTER.map(|after| (seed, after))) {
+    const REJECTED_AFTER: [Duration; 2] = [Duration::from_millis(2), Duration::from_secs(2)];
+    for (seed, rejected_after) in (0..200).flat_map(|seed| REJECTED_AFTER.map(|after| (seed, after))) {
         let start = Instant::now();
-        let mut schedule = schedule_for_requested_lists(300, seed, start);
+        let mut schedule = schedule_for_polled_lists(300, seed, start);
         let wait = schedule.call_times(CallPosition::Later, start).wait;
         let back = start + wait + Duration::from_secs(10);
-        // The open watch is refused first.
+        // The open watch is rejected first.
         let mut now = start + wait;
         now += schedule.on_error(&DiscoveryError::Rejected, now);
         while now < back {
-            now += refused_after;
+            now += rejected_after;
             now += schedule.on_error(&DiscoveryError::Rejected, now);
             assert!(schedule.list_expires_at() > Some(now), "{:?}", now - start);
         }
@@ -99,7 +107,7 @@
             now - back
         );
         while now < start + 2 * MAX_REJECTION_RENEWAL {
-            now += refused_after + schedule.on_error(&DiscoveryError::Rejected, now);
+            now += rejected_after + schedule.on_error(&DiscoveryError::Rejected, now);
         }
         assert!(
             schedule.list_expires_at() <= Some(start + MAX_REJECTION_RENEWAL),
--- a/crates/gateway/src/discovery/tests/mod.rs
+++ b/crates/gateway/src/discovery/tests/mod.rs
@@ -1,4 +1,4 @@
-//! The tests of discovery, by concern, and what they share.
+//! The tests of discovery, by concern, and what they have in common.
 mod endpoint_list;
 mod error;
 mod fleet_recovery;
@@ -33,7 +33,7 @@
     RefreshPolicy::new(&settings, gateways)
 }
 
-fn schedule_for_requested_lists(gateways: usize, seed: u64, now: Instant) -> RefreshSchedule {
+fn schedule_for_polled_lists(gateways: usize, seed: u64, now: Instant) -> RefreshSchedule {
     RefreshSchedule::new(policy(DiscoveryMode::OnRequest, gateways, 2000.0), seed, now)
 }
 
@@ -43,12 +43,12 @@
     DiscoveryError::Unreachable { attempted_at, cause }
 }
 
-/// A first call was left without a response.
+/// A first call got no response.
 fn silent_call() -> DiscoveryError {
     DiscoveryError::NoList(CallError::ResponseTimedOut)
 }
 
-/// A watch was left without a response.
+/// A watch got no response.
 fn silent_watch() -> DiscoveryError {
     DiscoveryError::WatchInterrupted(CallError::ResponseTimedOut)
 }
--- a/crates/gateway/src/dispatcher/tests/timer_queue.rs
+++ b/crates/gateway/src/dispatcher/tests/timer_queue.rs
@@ -4,6 +4,8 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
+/// A deadline guard is scheduled after a later timer. In the order of scheduling it would respond too late.
+/// Expected: timers expire in the order of their times, and none before its time.
 #[test]
 fn timers_expire_in_order_of_time_and_not_before() {
     let start = Instant::now();
@@ -17,6 +19,9 @@
     assert!(timers.pop_due(later).is_none());
 }
 
+/// The timer task sleeps until the next timer. Not woken for an earlier one, it would respond after a
+/// deadline; woken for each, it would cost processor time with every request. Expected: it is woken for an
+/// earlier time only.
 #[test]
 fn the_timer_task_is_woken_only_for_an_earlier_time_than_it_sleeps_for() {
     let start = Instant::now();
--- a/crates/gateway/src/downstream/tests/client_departure.rs
+++ b/crates/gateway/src/downstream/tests/client_departure.rs
@@ -1,4 +1,4 @@
-//! How soon it is noticed that a client has left.
+//! How soon a disconnect of a client is noticed.
 use super::active_connection;
 use crate::downstream::flood::MIN_FLOOD_BYTES;
 use socket2::SockRef;
@@ -11,10 +11,10 @@
 use tokio::task::yield_now;
 use tokio::time::Instant;
 
-/// A way for a client to leave.
-type Leave = fn(Client);
+/// A way for a client to disconnect.
+type Disconnect = fn(Client);
 
-const WAYS_TO_LEAVE: [(&str, Leave); 3] =
+const WAYS_TO_DISCONNECT: [(&str, Disconnect); 3] =
     [("closes", drop), ("resets", reset), ("ends its sending", half_close)];
 
 fn reset(client: Client) {
@@ -27,16 +27,16 @@
     std::mem::forget(client);
 }
 
-/// How long it takes, in simulated time, to notice that a client leaves. It had written `before` when the
-/// wait for it began, and then wrote `behind` bytes.
-async fn noticed_after(leave: Leave, before: &[u8], behind: usize) -> Duration {
+/// How long it takes, in simulated time, to notice that a client disconnects. It had written `before` when
+/// the wait for it began, and then wrote `behind` bytes.
+async fn noticed_after(disconnect: Disconnect, before: &[u8], behind: usize) -> Duration {
     let (connection, mut client) = active_connection().await;
     client.write_all(before).expect("the socket takes it");
-    let mut left = pin!(connection.client_disconnected());
+    let mut disconnected = pin!(connection.client_disconnected());
     for _ in 0..10 {
         assert!(
-            poll_fn(|cx| Poll::Ready(left.as_mut().poll(cx).is_pending())).await,
-            "the client has not left"
+            poll_fn(|cx| Poll::Ready(disconnected.as_mut().poll(cx).is_pending())).await,
+            "the client is connected"
         );
         yield_now().await;
     }
@@ -47,25 +47,30 @@
         rest -= n;
     }
     let start = Instant::now();
-    leave(client);
-    left.await;
+    disconnect(client);
+    disconnected.await;
     start.elapsed()
 }
 
+/// A client closes, resets or half-closes its connection while its request is in progress. Expected, in
+/// simulated time: the gateway notices at once, by the socket, with or without a few unread bytes before
+/// the close.
 #[tokio::test(start_paused = true)]
 async fn disconnect_is_noticed_by_the_socket_and_not_by_a_timer() {
-    for (name, leave) in WAYS_TO_LEAVE {
-        assert_eq!(noticed_after(leave, b"", 0).await, Duration::ZERO, "{name}");
-        assert_eq!(noticed_after(leave, b"", 10).await, Duration::ZERO, "{name}, its last bytes unread");
+    for (name, disconnect) in WAYS_TO_DISCONNECT {
+        assert_eq!(noticed_after(disconnect, b"", 0).await, Duration::ZERO, "{name}");
+        assert_eq!(noticed_after(disconnect, b"", 10).await, Duration::ZERO, "{name}, its last bytes unread");
     }
 }
 
-/// What it wrote lies there unread, or is still on its way: its departure must be noticed within 100 ms.
+/// A client writes bytes behind its request, up to more than both sockets take, and disconnects. While they
+/// fill the socket the close cannot arrive, and the request would run for nobody. Expected: the bytes are
+/// discarded and the disconnect is noticed within 50 ms, in half the time that clients are promised.
 #[tokio::test(start_paused = true)]
 async fn disconnect_behind_unread_bytes_is_noticed_within_50_ms() {
-    for (name, leave) in WAYS_TO_LEAVE {
+    for (name, disconnect) in WAYS_TO_DISCONNECT {
         for behind in [0, 10, MIN_FLOOD_BYTES / 2, 2 * MIN_FLOOD_BYTES, 16 << 20] {
-            let time = noticed_after(leave, b"GET /", behind).await;
+            let time = noticed_after(disconnect, b"GET /", behind).await;
             assert!(time <= Duration::from_millis(50), "{name} behind {behind} bytes: {time:?}");
         }
     }
--- a/crates/gateway/src/downstream/tests/eviction.rs
+++ b/crates/gateway/src/downstream/tests/eviction.rs
@@ -1,4 +1,4 @@
-//! Which connection makes room for a new one.
+//! Which connection is evicted for a new one.
 use super::socket_pair;
 use crate::downstream::connection::{Connection, ConnectionRole, ConnectionStage};
 use crate::downstream::connection_table::{ConnectionTable, Eviction};
@@ -26,6 +26,9 @@
     }
 }
 
+/// At the limit, one connection is idle for long after its request and one has connected and sent nothing.
+/// A usual client writes at once, so the silent one costs least. Expected: the oldest silent connection is
+/// evicted.
 #[tokio::test(start_paused = true)]
 async fn silent_new_connection_is_evicted_before_one_that_is_idle_for_long() {
     let mut fixture = Fixture::default();
@@ -41,6 +44,9 @@
     assert_eq!(later.stage(), ConnectionStage::AwaitingFirstRequest);
 }
 
+/// At the limit, one connection is idle for long and one has connected just now, whose request may be on
+/// its way. Evicting the new one would lose that request. Expected: the idle one is evicted, and still
+/// responds to a request that it is reading.
 #[tokio::test(start_paused = true)]
 async fn connection_that_is_idle_for_long_is_evicted_before_one_that_has_just_connected() {
     let mut fixture = Fixture::default();
@@ -53,6 +59,9 @@
     assert_eq!(new.stage(), ConnectionStage::AwaitingFirstRequest);
 }
 
+/// At the limit, no connection is silent or idle for long. A connection that has just responded is likely
+/// to be used again soon. Expected: connections without a request are evicted first, the oldest of them
+/// before the others.
 #[tokio::test(start_paused = true)]
 async fn without_silent_or_long_idle_ones_the_oldest_new_connection_is_evicted_first() {
     let mut fixture = Fixture::default();
@@ -70,6 +79,8 @@
     assert_eq!(idle.stage(), ConnectionStage::Active);
 }
 
+/// At the limit, every connection carries a request or closes already. Evicting one would leave its client
+/// without a response. Expected: none is evicted.
 #[tokio::test(start_paused = true)]
 async fn connection_with_a_request_is_never_evicted() {
     let mut fixture = Fixture::default();
--- a/crates/gateway/src/downstream/tests/flood.rs
+++ b/crates/gateway/src/downstream/tests/flood.rs
@@ -5,6 +5,7 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
+/// One byte less than the bound may be a next request and stays; with that byte it is a flood.
 #[tokio::test]
 async fn unread_bytes_are_a_flood_from_64_kib_on() {
     assert_eq!(MIN_FLOOD_BYTES, 64 * 1024);
@@ -21,6 +22,8 @@
     noticed.await.expect("the last byte arrives");
 }
 
+/// Discarding must end when the socket is empty, and must not mistake that for a disconnect, nor a
+/// disconnect for an empty socket: the request in progress would be cancelled, or run for nobody.
 #[tokio::test]
 async fn discarding_reports_whether_bytes_are_still_unread() {
     let (stream, mut client) = socket_pair().await;
@@ -32,7 +35,8 @@
     assert_eq!(discard(&stream), Discarded::ClientDisconnected);
 }
 
-/// Fewer bytes than a flood stay unread, for hyper.
+/// A client writes the beginning of its next request behind the one in progress. If it were discarded, the
+/// next request would be lost. Expected: fewer bytes than a flood stay unread, for hyper.
 #[tokio::test]
 async fn less_than_a_flood_is_not_discarded() {
     let (connection, mut client) = active_connection().await;
--- a/crates/gateway/src/downstream/tests/mod.rs
+++ b/crates/gateway/src/downstream/tests/mod.rs
@@ -1,4 +1,4 @@
-//! The tests of the downstream server, by concern, and what they share.
+//! The tests of the downstream server, by concern, and what they have in common.
 mod client_departure;
 mod connection_limit;
 mod eviction;
--- a/crates/gateway/src/downstream/tests/request_parsing.rs
+++ b/crates/gateway/src/downstream/tests/request_parsing.rs
@@ -1,4 +1,4 @@
-//! Parsing of a request's head: headers, path and method, and what goes on to endpoints.
+//! Parsing of a request's head: headers, path and method, and what is forwarded to endpoints.
 use super::{names, settings};
 use crate::downstream::request::{parse_request, upstream_request};
 use crate::downstream::request_error::RequestError;
@@ -28,7 +28,7 @@
     request.body(()).expect("a request").into_parts().0
 }
 
-/// The same with one header set, or left out.
+/// The same with one header set or omitted.
 fn head_with(class: &str, name: &'static str, value: Option<&str>) -> Parts {
     let mut head = head(class);
     match value {
@@ -83,6 +83,8 @@
     }
 }
 
+/// A request whose class, plan, units or key are unknown cannot be decided on or billed. Expected: each
+/// missing or malformed header is the error that names it, before any state changes.
 #[test]
 fn missing_or_malformed_headers_are_errors() {
     for (name, value, error) in [
@@ -106,6 +108,8 @@
     }
 }
 
+/// A header that decides what a request is arrives twice. The gateway and the endpoint could each go by
+/// another value. Expected: an error for each of these headers.
 #[test]
 fn headers_that_say_what_a_request_is_must_not_be_repeated() {
     for name in
@@ -118,6 +122,8 @@
     }
 }
 
+/// A class that may be retried must not change anything, so its method is GET, and the others' is POST.
+/// Expected: any other method is an error.
 #[test]
 fn method_is_that_of_the_class() {
     for (class, method) in [("read", Method::POST), ("post", Method::GET), ("once", Method::PUT)] {
@@ -128,7 +134,7 @@
 }
 
 #[test]
-fn upstream_request_keeps_what_endpoints_need_and_asks_for_a_host() {
+fn upstream_request_has_what_endpoints_need_and_requires_a_host() {
     let request = upstream_request(head("post"), Bytes::from_static(b"body")).expect("a request");
     assert_eq!((request.method, request.uri.to_string().as_str()), (Method::POST, PATH));
     assert_eq!(request.host, "origin.svc");
--- a/crates/gateway/src/idle_connections/tests.rs
+++ b/crates/gateway/src/idle_connections/tests.rs
@@ -43,6 +43,8 @@
     assert!(idle.take(|_| true, HttpConnection::is_usable).is_none());
 }
 
+/// The reuse delay forbids the most recently used connection. If it were closed or taken, the delay would
+/// cost a handshake or fail its purpose. Expected: an older one is taken, and the other stays idle.
 #[tokio::test]
 async fn connection_that_may_not_be_reused_yet_stays_idle() {
     let mut idle = IdleConnections::new(TIMEOUT);
@@ -51,9 +53,11 @@
     drop(idle.take(|since| since <= oldest, HttpConnection::is_usable).expect("a connection"));
     assert!(is_closed(&mut far_ends[0]));
     assert!(idle.take(|since| since <= oldest, HttpConnection::is_usable).is_none());
-    assert!(idle.take(|_| true, HttpConnection::is_usable).is_some(), "the other one is kept");
+    assert!(idle.take(|_| true, HttpConnection::is_usable).is_some(), "the other one stays idle");
 }
 
+/// A connection is idle for so long that its endpoint may be closing it. A request written then would be
+/// lost. Expected: it is closed and not taken.
 #[tokio::test]
 async fn connection_that_is_idle_for_too_long_is_closed_and_not_taken() {
     let mut idle = IdleConnections::new(Duration::from_millis(1));
@@ -63,6 +67,8 @@
     assert!(is_closed(&mut far_ends[0]) && is_closed(&mut far_ends[1]));
 }
 
+/// The far end closes an idle connection. A request written to it would be lost, and its descriptor would
+/// stay open. Expected: it is closed once the close has arrived, and not before.
 #[tokio::test]
 async fn connection_that_the_far_end_has_closed_is_stale() {
     let mut idle = IdleConnections::new(TIMEOUT);
--- a/crates/gateway/src/logging/tests.rs
+++ b/crates/gateway/src/logging/tests.rs
@@ -3,11 +3,11 @@
 use std::cell::Cell;
 use std::path::Path;
 
-/// A writer that keeps what is written.
+/// A writer that records what is written.
 #[derive(Clone, Default)]
-struct Kept(Arc<Mutex<Vec<u8>>>);
+struct Recorded(Arc<Mutex<Vec<u8>>>);
 
-impl io::Write for Kept {
+impl io::Write for Recorded {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         self.0.lock().expect("a lock").extend_from_slice(bytes);
         Ok(bytes.len())
@@ -18,7 +18,7 @@
     }
 }
 
-impl Kept {
+impl Recorded {
     fn text(&self) -> String {
         String::from_utf8(self.0.lock().expect("a lock").clone()).expect("text")
     }
@@ -36,42 +36,46 @@
 
 #[test]
 fn a_line_names_level_target_message_and_fields() {
-    let kept = Kept::default();
-    let writer = kept.clone();
+    let recorded = Recorded::default();
+    let writer = recorded.clone();
     tracing::subscriber::with_default(limited_subscriber(move || writer.clone()), || {
         tracing::warn!(target: target::PEERS, peer = 3, reason = %"too long", "message not sent");
         tracing::info!(target: target::LIFECYCLE, "listening on {} {}", "127.0.0.1:1", "127.0.0.1:2");
         tracing::debug!("not written");
     });
     assert_eq!(
-        kept.text(),
+        recorded.text(),
         "irishinge: WARN peers: message not sent peer=3 reason=too long\n\
          irishinge: INFO lifecycle: listening on 127.0.0.1:1 127.0.0.1:2\n"
     );
 }
 
+/// A fault that recurs with every request logs a line each time. Unlimited, the lines would fill the disk
+/// and cost time. Expected: lines over the limit are dropped before they are formatted.
 #[test]
 fn lines_over_the_limit_are_dropped_without_being_formatted() {
-    let kept = Kept::default();
-    let (writer, formatted) = (kept.clone(), Cell::new(0));
+    let recorded = Recorded::default();
+    let (writer, formatted) = (recorded.clone(), Cell::new(0));
     tracing::subscriber::with_default(limited_subscriber(move || writer.clone()), || {
         for _ in 0..MAX_LINES_PER_SECOND + 90 {
             tracing::warn!(field = %Counted(&formatted), "line {}", Counted(&formatted));
         }
     });
-    let lines = kept.text().lines().count() as u32;
-    // A machine that stands still for a second may begin another period, whose first line tells of the
+    let lines = recorded.text().lines().count() as u32;
+    // A machine that stands still for a second may begin another period, whose first line gives the number of
     // dropped ones.
     let periods = lines.div_ceil(MAX_LINES_PER_SECOND + 1);
     assert!(lines <= periods * (MAX_LINES_PER_SECOND + 1) && periods <= 2, "{lines} lines");
-    assert_eq!(formatted.get(), 2 * kept.text().matches("field=counted").count() as u32);
+    assert_eq!(formatted.get(), 2 * recorded.text().matches("field=counted").count() as u32);
 }
 
+/// Lines were dropped over the limit. An operator who was not shown that would believe the log to be
+/// complete. Expected: the next line is preceded by their number.
 #[test]
 fn the_next_line_is_preceded_by_the_number_dropped() {
-    let kept = Kept::default();
+    let recorded = Recorded::default();
     let limit = Arc::new(Mutex::new(LineLimit::new(Instant::now())));
-    let writer = kept.clone();
+    let writer = recorded.clone();
     let layer = tracing_subscriber::fmt::layer()
         .event_format(LineFormat { limit: limit.clone() })
         .with_writer(move || writer.clone());
@@ -81,7 +85,7 @@
         tracing::warn!(target: target::PEERS, "second");
     });
     assert_eq!(
-        kept.text(),
+        recorded.text(),
         "irishinge: WARN logging: lines dropped over the limit count=5\n\
          irishinge: WARN peers: first\nirishinge: WARN peers: second\n"
     );
--- a/crates/gateway/src/peers/tests.rs
+++ b/crates/gateway/src/peers/tests.rs
@@ -2,19 +2,24 @@
 use super::*;
 use irishinge_admission::GatewayIndex;
 
+/// A gateway that sent more than one gateway accepts could overload a peer, which would drop quota
+/// messages. Expected: the full limit of a second at once, to one peer or to all, and no credit beyond that
+/// after a pause.
 #[test]
 fn one_peer_may_be_sent_the_full_rate_limit_and_no_more() {
     let start = Instant::now();
     let mut limit = SendRateLimit::full(40.0, start);
-    // A second's worth at once, all of it to one peer.
+    // The messages of a second at once, all to one peer.
     assert_eq!((0..100).filter(|_| limit.try_take(start)).count(), 40);
     let later = start + Duration::from_millis(500);
     assert_eq!((0..100).filter(|_| limit.try_take(later)).count(), 20);
-    // An hour without a message saves up no more than a second's worth.
+    // An hour without a message saves up no more than the messages of one second.
     let much_later = start + Duration::from_secs(3600);
     assert_eq!((0..100).filter(|_| limit.try_take(much_later)).count(), 40);
 }
 
+/// In a large fleet a gateway sends many messages to the few peers that own its customers' quotas. A limit
+/// for each peer would drop most of them. Expected: ten in a row reach one peer.
 #[tokio::test]
 async fn ten_messages_in_a_row_reach_one_of_a_hundred_peers() {
     let loopback = SocketAddr::from(([127, 0, 0, 1], 0));
@@ -22,7 +27,7 @@
     receiver.set_read_timeout(Some(Duration::from_secs(10))).expect("a time-out");
     let addrs = vec![receiver.local_addr().expect("an address"); 100];
     let peers = Peers::bind(Some(loopback), addrs, GatewayIndex(0), 40.0).await.expect("a socket");
-    // The runtime must have polled a new socket before it can be sent on.
+    // The runtime must have polled a new socket before anything can be sent over it.
     peers.socket.as_ref().expect("a socket").writable().await.expect("a sound socket");
     for number in 0..10 {
         peers.send(Some(GatewayIndex(1)), &format!("message {number}"));
--- a/crates/gateway/src/quota_counter.rs
+++ b/crates/gateway/src/quota_counter.rs
@@ -1,4 +1,4 @@
-//! The client of the quota counter, the service that counts the units used over the whole fleet. It opens
+//! The client of the quota counter, the service that counts the units used at all gateways. It opens
 //! a few connections, each with one call at a time.
 use crate::clock::duration_from_ms;
 use crate::connection_budget::{ConnectionBudget, PooledConnection};
--- a/crates/gateway/src/shutdown/tests.rs
+++ b/crates/gateway/src/shutdown/tests.rs
@@ -2,6 +2,9 @@
 use super::*;
 use irishinge_admission::{ClassSettings, Idempotency};
 
+/// SIGKILL follows SIGTERM some time after the longest deadline of a class. If the shutdown waited for
+/// longer, requests would be cut off without a response; if it were sooner, requests with time left would
+/// fail. Expected, for several deadlines: responses to all before the end, and the end before SIGKILL.
 #[test]
 fn requests_are_answered_between_the_longest_deadline_and_sigkill() {
     for (deadlines, kill_ms) in [(&[1200.0][..], 1900), (&[200.0, 150.0], 900), (&[2500.0, 8000.0], 3700)] {
--- a/crates/gateway/src/upstream/tests/connections.rs
+++ b/crates/gateway/src/upstream/tests/connections.rs
@@ -39,6 +39,9 @@
     }
 }
 
+/// A response arrives twice, its copy some milliseconds later. If the connection were reused at once, the
+/// copy would be taken for the next response. Expected: after surplus bytes every reuse is delayed for a
+/// while, and not before or after that.
 #[test]
 fn reuse_is_delayed_for_a_period_after_surplus_bytes_and_not_otherwise() {
     let reuse_delay = ReuseDelay::default();
@@ -53,8 +56,9 @@
     assert!(reuse_delay.allows_reuse(later, later), "it is over");
 }
 
-/// The surplus is there when the connection becomes idle, or arrives while it is idle, or is no response at
-/// all.
+/// Surplus bytes are there when a connection becomes idle, or arrive while it is idle, or are no response
+/// at all. If one of these were missed, copies on other connections could be taken for responses. Expected:
+/// the connection closes and the delay begins; a plain close does not begin it.
 #[tokio::test]
 async fn surplus_bytes_begin_the_reuse_delay_whenever_they_arrive() {
     for more in [false, true] {
@@ -82,8 +86,9 @@
     }
 }
 
-/// The list expires while a connection comes up, or just before a pooled one is used: nothing is written, and
-/// the endpoint is not blamed.
+/// The list expires while a connection is being established, or just before a pooled one is used. Sent all
+/// the same, the request could go to an endpoint that is draining. Expected: nothing is written, the
+/// endpoint is not blamed, and the same attempt is sent while the list is valid.
 #[tokio::test]
 async fn nothing_is_sent_by_an_expired_list() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
@@ -103,7 +108,7 @@
     list_endpoint_as(EndpointState::Ready);
     let request = request();
     let until = Instant::now() + Duration::from_secs(60);
-    // The list expires once the attempt has begun, whose connection is then kept for the next.
+    // The list expires once the attempt has begun, whose connection is then pooled for the next.
     for pooled in [false, true] {
         pool.set_lease_end(until);
         let attempt = pool.attempt(id, &request, until, || true);
--- a/crates/gateway/tests/it/client_connections.rs
+++ b/crates/gateway/tests/it/client_connections.rs
@@ -4,7 +4,7 @@
 use serde_json::json;
 use std::time::{Duration, Instant};
 
-/// A gateway that may hold few descriptors: 32 are for connections, 19 of them clients'. No quota binds.
+/// A gateway that may open few descriptors: 32 are for connections, 19 of them clients'. No quota binds.
 fn start_with_64_descriptors(endpoint: &ScriptedServer) -> (GatewayProcess, Discovery) {
     start_gateway_with(&[endpoint.addr], |config| {
         config["limits"]["sockets"] = json!(64);
@@ -12,7 +12,9 @@
     })
 }
 
-/// A new connection gets an error or a close within 3 s; one that has been served may stay idle.
+/// Clients connect and send nothing, half a head, or half a body. Without a deadline they would take
+/// connections for as long as they like. Expected: each gets an error or a close within 3 s, while a
+/// connection that has been served may stay idle.
 #[test]
 fn closes_a_new_connection_without_a_complete_request_within_3_s() {
     let endpoint = ScriptedServer::serving("");
@@ -37,6 +39,9 @@
     assert_eq!(served.request(&ClientRequest::new("read")).status(), 200);
 }
 
+/// Clients that have been served stay connected until the limit is reached. If new ones were closed, the
+/// gateway would serve nobody else. Expected: every new client is served, and the connection that is idle
+/// for longest is closed.
 #[test]
 fn closes_the_longest_idle_connection_beyond_the_bound() {
     let endpoint = ScriptedServer::serving("");
@@ -54,7 +59,9 @@
     assert!(others.len() >= 19, "no connection is closed before the bound is reached");
 }
 
-/// Silent connections come faster than they time out, and must not keep out those with requests.
+/// A hundred silent connections are opened faster than they time out. If they evicted connections that have
+/// been served, usual clients would lose theirs. Expected: requests over new connections are served, and a
+/// served connection stays open.
 #[test]
 fn closes_silent_connections_before_served_ones_beyond_the_bound() {
     let endpoint = ScriptedServer::serving("");
@@ -69,6 +76,8 @@
     drop(silent);
 }
 
+/// Every connection within the limit has a request in progress, and another client sends a request. Left
+/// unaccepted, it would wait for nothing. Expected: 503 at once, and its connection closes.
 #[test]
 fn rejects_a_request_at_once_beyond_the_bound_when_none_is_idle() {
     let endpoint = ScriptedServer::silent();
--- a/crates/gateway/tests/it/client_disconnects.rs
+++ b/crates/gateway/tests/it/client_disconnects.rs
@@ -4,6 +4,8 @@
 use std::io::BufReader;
 use std::time::{Duration, Instant};
 
+/// A client disconnects while its request is at an endpoint. Without cancellation, the endpoint would work
+/// for nobody. Expected: the attempt's connection closes.
 #[test]
 fn cancels_the_attempt_of_a_client_that_disconnects() {
     let endpoint = ScriptedServer::silent();
@@ -15,7 +17,10 @@
     assert_eq!(endpoint.next_close(), connection);
 }
 
-/// Bytes behind a request are not read before its response, and would hide that the client has left.
+/// A client disconnects after it has written more bytes behind its request: a few, another request, or a
+/// flood. hyper does not read them before the response, and the unread bytes hide the disconnect, so that
+/// the endpoint would work for nobody until the budget ends. Expected: the attempt's connection closes long
+/// before that.
 #[test]
 fn cancels_the_attempt_when_more_bytes_follow_the_request() {
     let endpoint = ScriptedServer::silent();
@@ -33,7 +38,9 @@
     }
 }
 
-/// The counter's reply is held back until the gateway has seen the close.
+/// A client disconnects while its request waits for the quota counter, whose response is delayed until the
+/// gateway has noticed. Without the check the request would be sent once the counter permits it, and run
+/// for nobody. Expected: it is never sent.
 #[test]
 fn never_sends_a_request_whose_client_disconnected_during_its_quota_check() {
     let endpoint = ScriptedServer::serving("");
@@ -53,7 +60,9 @@
     assert_eq!(endpoint.next_request().message.header("x-call-id"), Some(next.id.as_str()));
 }
 
-/// Its attempt waits for its connection, where attempts may not be cancelled.
+/// A client disconnects while the connection for its attempt is being established, where the settings
+/// forbid cancelling. Without a check before the write, the request would be sent once the connection is
+/// up, and run for nobody. Expected: the connection carries the next client's request first.
 #[test]
 fn never_sends_a_request_whose_client_disconnected_before_its_connection_was_up() {
     let listener = LateListener::start();
@@ -67,7 +76,7 @@
     (0..5).for_each(|_| assert_eq!(gateway.client().health_status(), 200));
     client.disconnect(&gateway);
     (0..5).for_each(|_| assert_eq!(gateway.client().health_status(), 200));
-    // The gateway's connection comes up now, by the next of its tries.
+    // The gateway's connection comes up now, when its handshake is next repeated.
     let stream = listener.accept();
     // The next request goes over it, and is the first that comes.
     let next = ClientRequest::new("once");
--- a/crates/gateway/tests/it/common/client.rs
+++ b/crates/gateway/tests/it/common/client.rs
@@ -61,16 +61,16 @@
     }
 }
 
-/// A request, with what a test adds or leaves out.
+/// A request, with what a test adds or omits.
 pub(crate) struct ClientRequest {
     /// `read` may be repeated, `post` carries an idempotency key, `once` must not run twice.
     pub(crate) class: &'static str,
-    /// Seconds until the client gives up.
+    /// Seconds until the client stops waiting.
     pub(crate) budget: &'static str,
     pub(crate) id: String,
     pub(crate) customer: &'static str,
     pub(crate) metering: &'static str,
-    /// Whole lines.
+    /// Complete lines.
     pub(crate) extra_headers: &'static str,
     pub(crate) body: &'static str,
 }
--- a/crates/gateway/tests/it/common/discovery.rs
+++ b/crates/gateway/tests/it/common/discovery.rs
@@ -24,7 +24,8 @@
 }
 
 impl Discovery {
-    /// Each call for the whole list takes the next of the pushed values too: the test says what comes when.
+    /// Each call for the complete list takes the next of the pushed values too: the test says what comes
+    /// when.
     pub(crate) fn start() -> Discovery {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a port");
         let addr = listener.local_addr().expect("bound");
--- a/crates/gateway/tests/it/common/discovery_agent.rs
+++ b/crates/gateway/tests/it/common/discovery_agent.rs
@@ -65,7 +65,7 @@
         self.calls.recv_timeout(TEST_TIMEOUT).expect("a call")
     }
 
-    /// The next call, which must be for the whole list.
+    /// The next call, which must be for the complete list.
     pub(crate) fn next_call_for_complete_list(&self) -> DiscoveryCall {
         let call = self.next_call();
         assert!(call.is_for_complete_list(), "{}", call.request_line);
@@ -82,8 +82,8 @@
         watch
     }
 
-    /// Answers calls for the whole list until the watch that follows, and returns it. There may be several
-    /// calls: on a busy machine an answer may come after the gateway has given the call up.
+    /// Answers calls for the complete list until the watch that follows, and returns it. There may be several
+    /// calls: on a busy machine an answer may come after the call has timed out at the gateway.
     pub(crate) fn answer_until_watch(&self, list: &Value) -> DiscoveryCall {
         loop {
             let call = self.next_call();
--- a/crates/gateway/tests/it/common/gateway_process.rs
+++ b/crates/gateway/tests/it/common/gateway_process.rs
@@ -76,7 +76,7 @@
         GatewayProcess::wait_until_it_listens(path, child)
     }
 
-    /// Starts one that can hold no more descriptors than `limits.sockets` says.
+    /// Starts one that can open no more descriptors than `limits.sockets` says.
     pub(crate) fn start_with_descriptor_limit(config: &Value) -> GatewayProcess {
         let path = write_config(config);
         let script = format!("ulimit -n {} && exec \"$0\"", config["limits"]["sockets"]);
--- a/crates/gateway/tests/it/common/http_message.rs
+++ b/crates/gateway/tests/it/common/http_message.rs
@@ -44,7 +44,7 @@
     Some(Message { start_line, headers, body })
 }
 
-/// A response with its length; `headers` are whole lines.
+/// A response with its length; `headers` are complete lines.
 pub(crate) fn http_response(status: &str, headers: &str, body: &str) -> String {
     format!("HTTP/1.1 {status}\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len())
 }
--- a/crates/gateway/tests/it/common/late_listener.rs
+++ b/crates/gateway/tests/it/common/late_listener.rs
@@ -40,7 +40,8 @@
         self.listener.local_addr().expect("bound")
     }
 
-    /// Empties the queue, so that the gateway's connection comes up by the next of its tries, and gives that.
+    /// Empties the queue, so that the gateway's connection comes up when its handshake is next repeated,
+    /// and returns that connection.
     pub(crate) fn accept(&self) -> TcpStream {
         self.filling.iter().for_each(|_| drop(self.listener.accept().expect("a connection")));
         loop {
--- a/crates/gateway/tests/it/common/mod.rs
+++ b/crates/gateway/tests/it/common/mod.rs
@@ -1,5 +1,5 @@
-//! What the tests share: the gateway as a process, and the parties around it that a test plays itself, all on
-//! loopback.
+//! What the tests have in common: the gateway as a process, and the parties around it that a test plays
+//! itself, all on loopback.
 mod client;
 mod config;
 mod discovery;
--- a/crates/gateway/tests/it/common/quota_owner.rs
+++ b/crates/gateway/tests/it/common/quota_owner.rs
@@ -44,7 +44,7 @@
     /// Waits for the next quota request.
     pub(crate) fn next_quota_request(&self) -> QuotaQuestion {
         let mut buffer = [0; 256];
-        let (length, gateway) = self.0.recv_from(&mut buffer).expect("the owner is asked");
+        let (length, gateway) = self.0.recv_from(&mut buffer).expect("a quota request");
         let message = std::str::from_utf8(&buffer[..length]).expect("text");
         assert_eq!(message.as_bytes()[HEAD_LEN], b'a', "a quota request: {message}");
         QuotaQuestion {
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Grants a request, and wants to be asked about all further ones.
+    /// Grants a request, and requires a quota request for each further one.
     pub(crate) fn grant(&self, question: &QuotaQuestion) {
         let QuotaQuestion { gateway, head, number } = question;
         self.0.send_to(format!("{head}r{number}0_").as_bytes(), gateway).expect("sent");
--- a/crates/gateway/tests/it/common/scripted_server.rs
+++ b/crates/gateway/tests/it/common/scripted_server.rs
@@ -20,7 +20,7 @@
     Silence,
 }
 
-/// Replies with this response; `headers` are whole lines.
+/// Replies with this response; `headers` are complete lines.
 pub(crate) fn respond(status: &str, headers: &str, body: &str) -> Reply {
     Reply::Response(http_response(status, headers, body))
 }
--- a/crates/gateway/tests/it/descriptors.rs
+++ b/crates/gateway/tests/it/descriptors.rs
@@ -1,11 +1,12 @@
-//! Idle clients hold all descriptors they can get.
+//! Idle clients take all descriptors they can get.
 use crate::common::*;
 use serde_json::json;
 use std::io::{Read, Write};
 use std::net::TcpStream;
 
-/// Discovery goes and comes back meanwhile; the process really has no more descriptors than its
-/// configuration says.
+/// More idle clients connect than the process may have descriptors. If they took all of them, neither
+/// discovery nor an endpoint could be reached any more. Expected: discovery can return after an outage, and
+/// a request is served by the endpoint that it names.
 #[test]
 fn idle_clients_cannot_take_the_descriptors_of_discovery_and_endpoints() {
     for sockets in [64, 256] {
@@ -26,7 +27,7 @@
             }
             idle.push(client);
         }
-        // Its connection breaks and must come up anew.
+        // Its connection breaks and must be established again.
         discovery.break_connection();
         discovery.next_call();
         discovery.push(complete_list(5, &[endpoint_entry("s-0", endpoint.addr, "up")]));
@@ -36,7 +37,9 @@
     }
 }
 
-/// Each was served and is to be closed, but has a body half sent, for which it may stay open for seconds.
+/// Clients that have been served begin a request with a body and stop halfway, so that an evicted
+/// connection stays open until its body times out. If evicted connections were not counted, the process
+/// would exceed its descriptors. Expected: it never has more open than its configuration permits.
 #[test]
 fn clients_with_half_sent_bodies_stay_within_the_bound() {
     let discovery = Discovery::start();
@@ -62,7 +65,9 @@
     }
 }
 
-/// All connections within the bound have an active request, and silent ones take all places beyond it.
+/// Every connection within the limit has a request in progress, and silent connections take all places
+/// beyond it. If those could not be evicted, a health check would not get in, and the gateway would be
+/// taken for dead. Expected: health checks are served.
 #[test]
 fn silent_clients_beyond_the_bound_are_evicted_for_others() {
     let (endpoint, discovery) = (ScriptedServer::silent(), Discovery::start());
--- a/crates/gateway/tests/it/disconnect_variants.rs
+++ b/crates/gateway/tests/it/disconnect_variants.rs
@@ -62,10 +62,10 @@
         // A flood is written for as long as the gateway takes it at once.
         let _ = self.0.write(&(kind.trailing_bytes)());
         (kind.disconnect)(&self.0);
-        let kept = kind.keeps_reading.then(|| self.0.try_clone().expect("a clone"));
+        let reading_end = kind.keeps_reading.then(|| self.0.try_clone().expect("a clone"));
         drop(self.0);
         gateway.wait_until_closed(&gateway_end, kind.name);
-        drop(kept);
+        drop(reading_end);
     }
 }
 
@@ -95,6 +95,9 @@
     ids
 }
 
+/// A client disconnects, in each way there is, while its request is queued because there is no endpoint.
+/// Without the check the request would be sent as soon as an endpoint appears, and run for nobody.
+/// Expected: only another client's request is sent.
 #[test]
 fn never_sends_a_request_that_was_queued_without_an_endpoint() {
     for kind in disconnect_kinds() {
@@ -116,6 +119,7 @@
     }
 }
 
+/// The same while the request waits for the quota counter, which permits it after the disconnect.
 #[test]
 fn never_sends_a_request_that_waited_for_the_counter() {
     for kind in disconnect_kinds() {
@@ -133,7 +137,8 @@
     }
 }
 
-/// The owner grants the request once its client has left.
+/// The same while the request waits for the gateway that owns its customer's quota, which grants it after
+/// the disconnect.
 #[test]
 fn never_sends_a_request_that_waited_for_its_quota_owner() {
     for kind in disconnect_kinds() {
@@ -150,7 +155,7 @@
     }
 }
 
-/// The same request is sent once it is granted, if its client stays.
+/// The counterpart: a request whose client stays is sent once the quota owner grants it, and not before.
 #[test]
 fn sends_a_request_once_its_quota_owner_grants_it() {
     let (endpoint, owner) = (ScriptedServer::serving(""), QuotaOwner::start());
@@ -166,7 +171,8 @@
     assert_eq!(client.read().expect("a response").status(), 200);
 }
 
-/// The first attempt may not be cancelled, and fails after the client has left.
+/// A client disconnects, in each way there is, while its first attempt runs, which may not be cancelled and
+/// then fails. Without the check the gateway would retry for nobody. Expected: there is no second attempt.
 #[test]
 fn makes_no_further_attempt_after_a_disconnect() {
     for kind in disconnect_kinds() {
@@ -188,7 +194,9 @@
     }
 }
 
-/// The connection comes up after the client has left, and carries the next request first.
+/// A client disconnects, in each way there is, while the connection for its attempt is being established.
+/// Without a check before the write the request would be sent once the connection is up. Expected: the
+/// connection carries the next client's request first.
 #[test]
 fn never_sends_a_request_that_waited_for_its_connection() {
     for kind in disconnect_kinds() {
--- a/crates/gateway/tests/it/discovery.rs
+++ b/crates/gateway/tests/it/discovery.rs
@@ -2,6 +2,9 @@
 use crate::common::*;
 use serde_json::json;
 
+/// A gateway without endpoints cannot serve, and a load balancer that sent requests to it would lose them.
+/// Expected: health checks fail until discovery names a ready endpoint; an entry of the list that cannot be
+/// read does not matter.
 #[test]
 fn is_healthy_only_once_it_knows_an_endpoint() {
     let endpoint = ScriptedServer::serving("");
@@ -13,6 +16,9 @@
     assert_eq!(gateway.client().health_status(), 200);
 }
 
+/// The connection to discovery breaks, and a later response cannot be read. What changed meanwhile is
+/// unknown. Expected: the complete list is fetched after both, and requests are served by the cached list
+/// until it arrives.
 #[test]
 fn fetches_the_complete_list_after_an_outage_and_serves_by_the_old_one_meanwhile() {
     let endpoint = ScriptedServer::serving("");
@@ -29,7 +35,9 @@
     assert_eq!(gateway.client().request(&ClientRequest::new("read")).status(), 200);
 }
 
-/// An overloaded discovery must not be asked to write out the whole list for every gateway.
+/// An overloaded discovery answers with 503. If each gateway then requested the complete list, discovery
+/// would have to write it out for every gateway and stay overloaded. Expected: the watch goes on from the
+/// cached revision.
 #[test]
 fn after_503_watches_again_from_the_known_version() {
     let endpoint = ScriptedServer::serving("");
@@ -44,6 +52,9 @@
     assert!(discovery.next_call().starts_with("GET /v1/servers?after=6&wait_ms="));
 }
 
+/// An endpoint drains while the gateway has an idle connection to it. An endpoint waits for its connections
+/// to close, and a request sent over one would be rejected or lost. Expected: the connection closes, and
+/// all requests go to the other endpoint.
 #[test]
 fn closes_idle_connections_of_a_draining_endpoint_and_sends_it_nothing() {
     let (old, new) = (ScriptedServer::serving("old"), ScriptedServer::serving("new"));
--- a/crates/gateway/tests/it/discovery_push.rs
+++ b/crates/gateway/tests/it/discovery_push.rs
@@ -16,8 +16,10 @@
     (GatewayProcess::start(&config), agent)
 }
 
-/// What the agent has counts as delivered whatever became of the watch, so that the whole list is fetched
-/// again at once: after silence, a truncated answer, a reset, a 503 and an unreadable answer alike.
+/// The agent on the gateway's machine has a change, but the call that would deliver it ends without a
+/// response, truncated, with a reset, with a 503, or unreadable. The change counts as delivered from the
+/// moment the agent has it, so a backoff that grows with the fleet would let the gateway send to a draining
+/// endpoint. Expected: after each, the complete list is fetched at once.
 #[test]
 fn fetches_a_pushed_list_again_at_once_however_a_call_ends() {
     let (old, new) = (ScriptedServer::serving("old"), ScriptedServer::serving("new"));
@@ -32,7 +34,7 @@
         |call| call.write("noise\r\n\r\n"),
     ];
     for end_call in call_ends {
-        // Both the call for the whole list and the watch may end like this.
+        // Both the call for the complete list and the watch may end like this.
         end_call(&agent.next_call_for_complete_list());
         rev += 1;
         end_call(&agent.answer_until_watch(&complete_list(rev, &[endpoint_entry("s-0", old.addr, "up")])));
@@ -47,7 +49,9 @@
     assert!(old.has_received_nothing(), "nothing came to the drained endpoint");
 }
 
-/// The list that a new process is started with may be old, and changes count from its first moment.
+/// A process starts with a cached list whose endpoint has gone since. Changes count from its first moment,
+/// and a watch from the cached revision would not name what changed before. Expected: it fetches the
+/// complete list first, also if that is indented, and sends nothing to the endpoint that has gone.
 #[test]
 fn a_new_process_fetches_the_complete_list_before_it_watches() {
     let (old, new) = (ScriptedServer::serving("old"), ScriptedServer::serving("new"));
@@ -63,7 +67,9 @@
     assert!(old.has_received_nothing(), "nothing came to the endpoint that has gone");
 }
 
-/// An overtaken change would undo a drain. Only a whole list, requested as such, may restart the versions.
+/// A response of an older revision arrives, in which a draining endpoint is still ready. Applied, it would
+/// undo the drain. Expected: it is ignored and the complete list is fetched; only that may restart the
+/// revisions.
 #[test]
 fn ignores_changes_of_an_older_version_and_fetches_the_complete_list() {
     let (old, new) = (ScriptedServer::serving("old"), ScriptedServer::serving("new"));
--- a/crates/gateway/tests/it/list_lease.rs
+++ b/crates/gateway/tests/it/list_lease.rs
@@ -23,8 +23,8 @@
     }
 }
 
-/// Discovery is there and each call ends like this: the gateway sends for a while and then no more, a
-/// request waits, and goes on once there is a list, even one without changes.
+/// Discovery is up and each call ends like this: the gateway sends for a while and then no more, and a
+/// request that waits is served once there is a list, even one without changes.
 fn assert_sends_nothing_while_calls_end(end_call: fn(DiscoveryCall)) {
     let (endpoint, agent) = (ScriptedServer::serving(""), DiscoveryAgent::start());
     let gateway = GatewayProcess::start(&config(agent.addr, &[up(&endpoint)]));
@@ -38,12 +38,16 @@
     assert_serves_nothing(&gateway, &endpoint);
     let mut client = gateway.client();
     client.write(&ClientRequest::new("read").text());
-    // Some of its calls may be given up by now, so that each one is answered.
+    // Some of its calls may have timed out by now, so that each one is answered.
     let known = up(&endpoint);
     std::thread::spawn(move || loop {
         let call = agent.next_call();
-        let whole = call.is_for_complete_list();
-        call.answer(&if whole { complete_list(1, std::slice::from_ref(&known)) } else { changes(1, &[]) });
+        let is_complete = call.is_for_complete_list();
+        call.answer(&if is_complete {
+            complete_list(1, std::slice::from_ref(&known))
+        } else {
+            changes(1, &[])
+        });
         sleep(Duration::from_millis(20));
     });
     assert_eq!(client.read().expect("a response").status(), 200);
@@ -51,7 +55,10 @@
     assert_eq!(client.request(&ClientRequest::new("read")).status(), 200);
 }
 
-/// A 503 may come from a proxy before a discovery that is down. (In the unit tests: not for ever.)
+/// Discovery answers every call with 503 for longer than a lease. The 503 may come from a proxy in front of
+/// a discovery that is down, and a gateway that expired its list then would reject everything in an outage.
+/// Expected: rejections renew the lease, and requests are served. (That they do not renew it for ever is
+/// checked by the unit tests of the lease.)
 #[test]
 fn goes_on_sending_while_discovery_answers_503() {
     let (endpoint, agent) = (ScriptedServer::serving(""), DiscoveryAgent::start());
@@ -66,17 +73,25 @@
     endpoint.next_request();
 }
 
+/// Discovery accepts calls but never responds, so that an endpoint may be draining without the gateway
+/// being notified. A gateway that went on with its list would send to it for ever. Expected: it sends by
+/// its list until the lease expires, then nothing, and again once a list arrives.
 #[test]
 fn stops_sending_when_the_lease_expires_on_silent_calls() {
     assert_sends_nothing_while_calls_end(drop);
 }
 
+/// The same where discovery resets each call: something is reached, so this is no outage, and the lease
+/// must expire.
 #[test]
 fn stops_sending_when_the_lease_expires_on_reset_calls() {
     assert_sends_nothing_while_calls_end(|call| call.break_off());
 }
 
-/// Discovery is down for longer than a lease, and comes back.
+/// Nothing listens at discovery's address for longer than a lease, and then discovery returns with another
+/// list. No change is published in an outage, and a gateway that expired its list would reject everything
+/// for nothing. Expected: it sends by the cached list during the outage, and by the new list at once after
+/// it.
 #[test]
 fn goes_on_sending_by_the_last_list_while_discovery_is_unreachable() {
     let endpoint = ScriptedServer::serving("");
@@ -96,7 +111,9 @@
     assert_serves_nothing(&gateway, &endpoint);
 }
 
-/// A new address may have had changes for a while already, and they count as delivered sooner.
+/// A reload gives discovery a new address, where calls get no response. The new discovery may have had
+/// changes for a while, so that a full lease would let the gateway act on them too late. Expected: it sends
+/// for the shortened lease only, then nothing, and again once the new discovery has responded.
 #[test]
 fn stops_sending_sooner_when_a_new_discovery_address_gives_no_list() {
     let endpoint = ScriptedServer::serving("");
@@ -118,7 +135,9 @@
     assert_eq!(client.read().expect("a response").status(), 200);
 }
 
-/// A truncated answer is no list: the whole one is fetched, and applied though it is older.
+/// A response to a watch is truncated. What it would have changed is unknown, and changes since the cached
+/// revision may be those of another list by now. Expected: the complete list is fetched, and applied
+/// although its revision is lower.
 #[test]
 fn fetches_the_complete_list_after_a_truncated_one() {
     let (old, new) = (ScriptedServer::serving("old"), ScriptedServer::serving("new"));
--- a/crates/gateway/tests/it/peers.rs
+++ b/crates/gateway/tests/it/peers.rs
@@ -3,6 +3,9 @@
 use serde_json::json;
 use std::net::{Ipv4Addr, UdpSocket};
 
+/// Datagrams arrive that are not text, too long, empty, or from a sender that is no peer. If one of them
+/// ended the receiving task or were applied, quotas would go wrong. Expected: they are ignored, and the
+/// peer receives the gateway's messages.
 #[test]
 fn sends_messages_to_peers_and_ignores_strangers() {
     let endpoint = ScriptedServer::serving("");
--- a/crates/gateway/tests/it/quota_counter.rs
+++ b/crates/gateway/tests/it/quota_counter.rs
@@ -1,8 +1,10 @@
-//! Quotas that are held at the shared counter.
+//! Quotas that are counted at the quota counter.
 use crate::common::*;
 
-/// Calls to the counter carry the amount, and its totals decide. An unreadable total decides nothing, and the
-/// connection it came over carries no other call.
+/// The quota counter responds with totals, then with bodies that are no number, then not at all. A total
+/// decides on the request. An unreadable one decides nothing, and its connection is in an unknown state.
+/// Expected: 429 only by a total, service without one, and no further call over a connection whose response
+/// could not be read.
 #[test]
 fn decides_quotas_by_the_counters_total_and_admits_without_a_readable_one() {
     let endpoint = ScriptedServer::serving("");
--- a/crates/gateway/tests/it/reload.rs
+++ b/crates/gateway/tests/it/reload.rs
@@ -3,8 +3,10 @@
 use serde_json::json;
 use std::net::{Ipv4Addr, TcpListener};
 
-/// A new configuration moves the watch, whatever the old address was just doing: waiting in a call, silent
-/// before its first answer, or refusing connections. Unhandled, SIGHUP would end the process.
+/// SIGHUP gives discovery a new address while the old one delays a call, has not responded yet, or refuses
+/// connections, and once with a file that cannot be used. A watch that finished its call first would follow
+/// a discovery that may never respond, and an unhandled SIGHUP would end the process. Expected: the watch
+/// calls the new address at once, and requests are served by the cached list until it responds.
 #[test]
 fn sighup_moves_the_watch_to_the_new_address_and_serves_by_the_old_list_meanwhile() {
     let endpoint = ScriptedServer::serving("old");
@@ -32,9 +34,12 @@
     last.push(complete_list(2, &[endpoint_entry("s-1", new.addr, "up")]));
     assert!(last.next_call().contains("after=2"));
     assert_eq!(gateway.client().request(&ClientRequest::new("read")).body, b"new");
-    assert!(second.has_no_call(), "no call to the address that was left");
+    assert!(second.has_no_call(), "no call to the previous address");
 }
 
+/// SIGHUP gives the quota counter a new address while a call to the old one is in progress. If that call
+/// were dropped, its request would lose the units it requested. Expected: the call is finished and its
+/// request served, further calls go to the new address, and the old connection closes.
 #[test]
 fn sighup_moves_the_counter_and_finishes_a_call_at_the_old_one() {
     let endpoint = ScriptedServer::serving("");
--- a/crates/gateway/tests/it/requests.rs
+++ b/crates/gateway/tests/it/requests.rs
@@ -2,6 +2,8 @@
 use crate::common::*;
 use serde_json::json;
 
+/// A request with path, query, body and key is sent to an endpoint unchanged, with the time that remains as
+/// its budget, and the client gets the endpoint's body and type. The next request uses the same connection.
 #[test]
 fn forwards_a_request_unchanged_and_returns_its_response() {
     let endpoint =
@@ -19,12 +21,15 @@
     assert_eq!(sent.header("idempotency-key"), Some("5c0f6e1a"));
     assert_eq!(sent.body, b"meter=12");
     let budget: f64 = sent.header("x-budget").expect("a budget").parse().expect("seconds");
-    assert!(budget > 0.0 && budget <= 15.0, "the budget is what is left: {budget}");
+    assert!(budget > 0.0 && budget <= 15.0, "the budget is the time that remains: {budget}");
     // The pool: the next request takes the same connection.
     assert_eq!(client.request(&ClientRequest::new("read")).status(), 200);
     assert_eq!(endpoint.next_request().connection, received.connection);
 }
 
+/// Clients send requests with missing, unknown or malformed headers. If one of them changed any state, it
+/// would take units from its customer's quota, or end up at an endpoint that cannot bill it. Expected: each
+/// gets its status, the gateway serves others as before, and the quota is untouched.
 #[test]
 fn answers_malformed_requests_with_their_status_and_goes_on() {
     let endpoint = ScriptedServer::serving("");
@@ -59,7 +64,10 @@
     }
 }
 
-/// A body whose length is given in two ways may hide a request, and hyper keeps only one of the two.
+/// A body whose length is declared in two ways hides a second request behind what one of them counts
+/// (request smuggling). hyper reports only one of the two. If it were forwarded, an endpoint could run the
+/// hidden request. Expected: 411, the connection closes, nothing behind it is read, and the endpoint
+/// receives nothing.
 #[test]
 fn rejects_transfer_encoding_with_or_without_content_length() {
     let endpoint = ScriptedServer::serving("");
@@ -77,7 +85,9 @@
     assert!(endpoint.has_received_nothing(), "nothing was forwarded");
 }
 
-/// Which of two values counts would be a guess.
+/// A header that decides what a request is, or a figure in it, is given twice. Which of the two counts
+/// would be a guess, and the endpoint may guess differently. Expected: 400, the connection closes, and the
+/// endpoint receives nothing.
 #[test]
 fn rejects_duplicate_headers_and_metering_figures() {
     let endpoint = ScriptedServer::serving("");
@@ -105,6 +115,8 @@
     assert!(endpoint.has_received_nothing(), "nothing was forwarded");
 }
 
+/// A client sends a request of a class that must not run twice again, while the first is still in progress.
+/// Sent on, it would run twice. Expected: 409, and the endpoint receives one request.
 #[test]
 fn rejects_a_second_request_with_the_id_of_an_active_one() {
     let endpoint = ScriptedServer::silent();
@@ -117,6 +129,8 @@
     assert!(endpoint.has_received_nothing(), "it reached the endpoint once");
 }
 
+/// A customer's quota is used up. Expected: 429, with a `Retry-After` of at most the longest wait that
+/// clients honour, and without one where the settings say that they ignore it.
 #[test]
 fn rejections_carry_retry_after_only_where_clients_honour_it() {
     let endpoint = ScriptedServer::serving("");
--- a/crates/gateway/tests/it/shutdown.rs
+++ b/crates/gateway/tests/it/shutdown.rs
@@ -1,6 +1,10 @@
 //! SIGTERM: active requests are answered, and the process exits with 0.
 use crate::common::*;
 
+/// SIGTERM arrives while one request waits for an endpoint that never responds, one connection is idle, and
+/// clients still connect. A process that ended at once would leave all of them without a response.
+/// Expected: the idle connection closes, a late client is served, the waiting one gets its 502 before
+/// SIGKILL, and the process exits with 0.
 #[test]
 fn sigterm_answers_active_requests_accepts_for_a_while_and_exits_with_0() {
     let endpoint = ScriptedServer::silent();
@@ -14,14 +18,16 @@
     endpoint.set_reply(respond("200 OK", "", ""));
     let late = gateway.client().request(&ClientRequest::new("read"));
     assert_eq!((late.status(), late.header("connection")), (200, Some("close")));
-    // Its endpoint never answers, and its budget is longer than SIGKILL leaves.
+    // Its endpoint never responds, and its budget ends after SIGKILL.
     let response = active.read().expect("a response");
     assert_eq!((response.status(), response.header("connection")), (502, Some("close")));
     assert!(active.closes_within(TEST_TIMEOUT));
     assert!(gateway.wait().success());
 }
 
-/// One request waits for its quota when SIGTERM comes, and what follows it on its connection is never read.
+/// SIGTERM arrives while a request waits for the quota counter, and its client writes another request
+/// behind it. Without draining, the first would be cut off, or the second would be started by a process
+/// that ends. Expected: the first is served, the second is never read, and the process exits with 0.
 #[test]
 fn sigterm_finishes_a_request_that_waits_for_its_quota_and_answers_it_once() {
     let endpoint = ScriptedServer::serving("mine");
--- a/crates/gateway/tests/it/startup.rs
+++ b/crates/gateway/tests/it/startup.rs
@@ -2,6 +2,8 @@
 use crate::common::*;
 use serde_json::json;
 
+/// A configuration has a wrong figure, name, address or seed. A process that started with it would fail
+/// later, at a request. Expected: it ends at once with one line and a non-zero exit code.
 #[test]
 fn a_wrong_configuration_ends_the_start_with_one_line() {
     let discovery = Discovery::start();
--- a/crates/gateway/tests/it/upstream_connections.rs
+++ b/crates/gateway/tests/it/upstream_connections.rs
@@ -2,6 +2,9 @@
 use crate::common::*;
 use std::time::{Duration, Instant};
 
+/// An endpoint closes its connection after each response. A request written to it would be lost, and one
+/// that must not run twice could not be retried. Expected: each request gets a new connection and is
+/// served.
 #[test]
 fn never_reuses_a_connection_that_its_endpoint_closed() {
     let text = http_response("200 OK", "", "");
@@ -18,7 +21,9 @@
     }
 }
 
-/// Bytes behind a response would be taken for the response to the next request.
+/// An endpoint writes a second response, or noise, behind its response, at once or later. The next request
+/// on that connection would get those bytes as its response: a client would read another's data. Expected:
+/// the connection is not reused, and each client gets its own response.
 #[test]
 fn never_reuses_a_connection_with_bytes_beyond_its_response() {
     let text = http_response("200 OK", "", "mine");
@@ -38,8 +43,9 @@
     }
 }
 
-/// The connection of a malformed response stays open and silent: waiting for more would cost the whole
-/// budget. The request has run, so that only a class that allows it is attempted again.
+/// An endpoint writes a malformed, truncated, or endless response and leaves the connection open. A gateway
+/// that waited for the rest would use up the client's full budget. Expected: the attempt fails soon and
+/// its connection closes; the request may have run, so that only an idempotent one is attempted again.
 #[test]
 fn fails_an_attempt_at_once_on_a_malformed_response_and_closes_its_connection() {
     let head = "HTTP/1.1 200 OK\r\n";
@@ -68,6 +74,10 @@
     }
 }
 
+/// An endpoint writes interim (1xx) responses before its response, and load reports or units that cannot be
+/// read. If those failed the attempt, or a figure were taken as it is, one endpoint could lose requests or
+/// empty a customer's quota. Expected: the client gets the response, and the quota is charged as if the
+/// figures were absent.
 #[test]
 fn accepts_a_response_after_interim_ones_and_with_unreadable_reports() {
     let endpoint = ScriptedServer::silent();
--- a/crates/simulator-adapter/src/wire/tests/events.rs
+++ b/crates/simulator-adapter/src/wire/tests/events.rs
@@ -196,6 +196,7 @@
     }
 }
 
+/// A kill ends a gateway's process and must not reach its decisions.
 #[test]
 fn a_kill_is_for_the_adapter_and_no_event() {
     let message: InputMessage = serde_json::from_value(json!({"msg": "CrashNow"})).expect("a message");
--- a/crates/simulator-adapter/src/wire/tests/ids.rs
+++ b/crates/simulator-adapter/src/wire/tests/ids.rs
@@ -1,4 +1,4 @@
-//! Ids and addresses go out exactly as they came in, or are refused.
+//! Ids and addresses are written exactly as they were read, or are rejected.
 
 use crate::wire::ids::{EndpointAddress, HexId, IdError};
 use irishinge_admission::EndpointId;
@@ -7,6 +7,8 @@
     EndpointAddress::try_from(text.to_owned())
 }
 
+/// An address has a form that would be written differently than it was read. The simulator would not
+/// recognize the endpoint. Expected: it is an error.
 #[test]
 fn an_endpoint_address_that_would_not_round_trip_is_rejected() {
     assert!(endpoint_address("10.0.0.1:0700").is_err());
@@ -17,6 +19,7 @@
     );
 }
 
+/// The same for ids of requests and customers.
 #[test]
 fn an_id_that_would_not_round_trip_is_rejected() {
     let parse = |text: &str| HexId::try_from(text.to_owned());
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -56,6 +56,8 @@
         "resent": false, "write": false})
 }
 
+/// A gateway is sent every kind of message, then killed in the same batch. Expected: ids are written as
+/// they were read, and a killed gateway writes nothing.
 #[test]
 fn reads_every_event_and_returns_ids_unaltered() {
     let result = serde_json::json!({"msg": "Result", "job": "0000000000000abc", "verdict": "OK", "charged": 1,
@@ -91,6 +93,9 @@
     assert_eq!(replies[3], r#"{"parts":[]}"#, "a killed gateway says nothing");
 }
 
+/// The adapter is sent lines, messages and settings that it cannot read. If it skipped one, its gateways
+/// would act on other events than the simulator believes. Expected: it ends with one line that names the
+/// input line.
 #[test]
 fn ends_with_one_error_line_on_input_that_cannot_be_read() {
     let mut lacking = settings_document();
