--- a/crates/gateway/src/discovery/watch.rs
+++ b/crates/gateway/src/discovery/watch.rs
@@ -46,6 +46,7 @@
     list_watch.publish_lease();
     if policy.lease_duration.is_some() {
         let observer = list_watch.observer.clone();
+        // The task ends with the watch, which owns the sender of the lease.
         spawn_local(report_lease_expiry(lease_ends, move || on_lease_expired(&observer)));
     }
     loop {
--- a/crates/gateway/src/dispatcher/actions.rs
+++ b/crates/gateway/src/dispatcher/actions.rs
@@ -36,6 +36,9 @@
             );
         };
         let index = call.next_attempt_index();
+        // The call may have got its response, or lost its client, by an event that the library has not
+        // handled yet. Without this check the request would run for nobody. The attempt takes its number
+        // all the same, since the library counts it.
         if !call.awaits_response() {
             call.push_attempt(None);
             let ended = EndedAttempt { request, index, endpoint, took_ms: 0.0, request_answered: true };
@@ -44,6 +47,8 @@
         let sent_at = Instant::now();
         let deadline = call.attempt_deadline(sent_at, timeout_ms);
         let (dispatcher, upstream_request) = (self.clone(), call.request.clone());
+        // `Attempt` owns the task: the library cancels it by its number, and a call is only forgotten once
+        // its attempts have ended.
         let task = spawn_local(async move {
             let is_wanted = || dispatcher.awaits_response(request);
             let result = dispatcher.upstream.attempt(endpoint, &upstream_request, deadline, is_wanted).await;
@@ -54,6 +59,8 @@
 
     fn add_to_counter(self: &Rc<Self>, name: u64, amount: f64, ttl_ms: f64) {
         let (dispatcher, called_at) = (self.clone(), Instant::now());
+        // Nobody waits for this task: it ends within the counter's timeout and reports its outcome as an
+        // event.
         spawn_local(async move {
             let outcome = dispatcher.quota_counter.add(name, amount, ttl_ms).await;
             let took_ms = called_at.elapsed().as_secs_f64() * 1000.0;
@@ -77,6 +84,8 @@
 fn cancel(state: &mut State, request: RequestId, index: usize) {
     let Some(call) = state.calls.get_mut(&request) else { return };
     let Some(attempt) = call.take_attempt(index) else { return };
+    // The task's end can no longer report a result, since the attempt was taken out above. So there is one
+    // event for each attempt.
     attempt.task.abort();
     let ended = EndedAttempt {
         request,
--- a/crates/gateway/src/dispatcher/mod.rs
+++ b/crates/gateway/src/dispatcher/mod.rs
@@ -156,6 +156,7 @@
     fn on_attempt_end(self: &Rc<Self>, request: RequestId, index: usize, result: AttemptResult) {
         let event = {
             let mut state = self.state.borrow_mut();
+            // A cancelled attempt has been reported already.
             let Some(call) = state.calls.get_mut(&request) else { return };
             let Some(attempt) = call.take_attempt(index) else { return };
             let ended = EndedAttempt {
@@ -186,7 +187,8 @@
     }
 
     /// Passes an event to the decision library and carries out its actions, and so on with the events that
-    /// the actions cause at once.
+    /// the actions cause at once. These are queued: the library must not be entered again while its actions
+    /// are carried out, or actions would be carried out in another order than decided.
     fn on_event(self: &Rc<Self>, event: Event) {
         let mut state = self.state.borrow_mut();
         let mut actions = Vec::new();
--- a/crates/gateway/src/dispatcher/timers.rs
+++ b/crates/gateway/src/dispatcher/timers.rs
@@ -59,10 +59,12 @@
 }
 
 impl Dispatcher {
-    /// Runs timers as they expire. Never returns.
+    /// Runs timers as they expire. Never returns; startup's `LocalSet` owns the task.
     pub(crate) async fn run_timers(self: Rc<Self>) {
         loop {
             match self.fire_due() {
+                // Nothing is lost on cancellation: timers stay in the queue, and `Notify` stores a wake-up
+                // that arrives between two waits.
                 Some(at) => tokio::select! {
                     () = sleep_until(at) => {}
                     () = self.rearm.notified() => {}
@@ -75,6 +77,8 @@
     /// Handles all expired timers and returns when the next one expires.
     fn fire_due(self: &Rc<Self>) -> Option<Instant> {
         loop {
+            // The state is borrowed for the lookup only: handling a timer borrows it again, and may add
+            // timers.
             let due = {
                 let timers = &mut self.state.borrow_mut().timers;
                 match timers.pop_due(Instant::now()) {
--- a/crates/gateway/src/downstream/handler.rs
+++ b/crates/gateway/src/downstream/handler.rs
@@ -128,7 +128,8 @@
     }
 }
 
-/// Notifies the dispatcher that the client has disconnected, if dropped before there is a response.
+/// Notifies the dispatcher that the client has disconnected, if dropped before there is a response. hyper
+/// drops the future of a request whose client closes the connection, and nothing else would report that.
 struct CancelOnDrop<'a> {
     dispatcher: &'a Rc<Dispatcher>,
     /// `None` once there is a response.
--- a/crates/gateway/src/downstream/server.rs
+++ b/crates/gateway/src/downstream/server.rs
@@ -83,6 +83,7 @@
         let connection = Rc::new(Connection::new(stream, role));
         let id = self.connections.insert(connection.clone());
         let server = self.clone();
+        // The table of connections stands for the task: the shutdown waits until it is empty.
         spawn_local(async move {
             server.drive(&connection).await;
             server.connections.remove(id);
@@ -112,6 +113,8 @@
                     _ => driver.as_mut().graceful_shutdown(),
                 },
                 () = first_request_due.as_mut(), if !first_request_due.is_elapsed() => {
+                    // Without this a client that never completes a request would occupy a connection: hyper's
+                    // timeout is for the head alone, and longer than clients are promised.
                     if connection.stage() == ConnectionStage::AwaitingFirstRequest {
                         return;
                     }
--- a/crates/gateway/src/reload.rs
+++ b/crates/gateway/src/reload.rs
@@ -17,6 +17,8 @@
     discovery_addr: watch::Sender<SocketAddr>,
     dispatcher: Rc<Dispatcher>,
 ) {
+    // Signals that arrive while a file is loaded are merged into one, which is enough: the file is read
+    // again each time.
     while hangup.recv().await.is_some() {
         match Config::load() {
             Ok(config) => {
--- a/crates/gateway/src/startup.rs
+++ b/crates/gateway/src/startup.rs
@@ -92,6 +92,8 @@
     };
     let downstream = DownstreamServer::new(dispatcher.clone(), downstream_settings);
 
+    // These tasks run until the process ends: `main` drops the `LocalSet` that owns them before the
+    // runtime. The shutdown aborts only the one that accepts connections.
     spawn_local(dispatcher.clone().run_timers());
     spawn_local(watch_endpoint_list(
         dispatcher.clone(),
