--- a/crates/gateway/src/dispatcher/active_call.rs
+++ b/crates/gateway/src/dispatcher/active_call.rs
@@ -35,13 +35,16 @@
 
 /// An attempt in flight.
 pub(super) struct Attempt {
+    /// Where it was sent.
     pub(super) endpoint: EndpointId,
+    /// When it was started.
     pub(super) sent_at: Instant,
     /// Aborting the task closes the attempt's connection, which cancels the request at the endpoint.
     pub(super) task: AbortHandle,
 }
 
 impl Attempt {
+    /// Time since it was started, in milliseconds.
     pub(super) fn elapsed_ms(&self) -> f64 {
         self.sent_at.elapsed().as_secs_f64() * 1000.0
     }
@@ -51,6 +54,7 @@
 pub(super) struct ActiveCall {
     /// `None` once the call has its response or its client has disconnected.
     responder: Option<Responder>,
+    /// What each attempt sends.
     pub(super) request: Rc<UpstreamRequest>,
     deadlines: CallDeadlines,
     /// Indexed in the order sent; `None` if the attempt has ended.
@@ -116,9 +120,13 @@
 
 /// Describes an attempt that has ended.
 pub(super) struct EndedAttempt {
+    /// The request.
     pub(super) request: RequestId,
+    /// Its number among the request's attempts, from 0.
     pub(super) index: usize,
+    /// Where it was sent.
     pub(super) endpoint: EndpointId,
+    /// Time since it was started, in milliseconds.
     pub(super) took_ms: f64,
     /// Whether the call has its final response, perhaps through this attempt.
     pub(super) request_answered: bool,
--- a/crates/gateway/src/upstream/pool.rs
+++ b/crates/gateway/src/upstream/pool.rs
@@ -36,6 +36,7 @@
     budget: ConnectionBudget,
     connect_timeout: Duration,
     idle_timeout: Duration,
+    /// Whether connections pause before they are reused.
     pub(super) reuse_delay: ReuseDelay,
 }
 
@@ -86,6 +87,7 @@
         self.lease_end.set(Some(until));
     }
 
+    /// Whether the endpoint list's lease has run out, so that nothing may be sent.
     pub(super) fn is_lease_expired(&self) -> bool {
         self.lease_end.get().is_some_and(|until| Instant::now() >= until)
     }
--- a/crates/settings/tests/settings_document.rs
+++ b/crates/settings/tests/settings_document.rs
@@ -70,8 +70,8 @@
     );
 }
 
-/// `lateShare` and `hardSlack` belong to the settings of every deployment, but no rule reads them. They may have any
-/// value or none, and change nothing.
+/// `lateShare` and `hardSlack` belong to the settings of every deployment, but no rule reads them. They may
+/// have any value or none, and change nothing.
 #[test]
 fn keys_that_no_rule_reads_may_have_any_value() {
     let expected = parse(complete()).translate().expect("a sound document").settings;
--- a/crates/simulator-adapter/src/wire/input.rs
+++ b/crates/simulator-adapter/src/wire/input.rs
@@ -11,14 +11,17 @@
     /// The time at which all events of the batch occur.
     #[serde(rename = "clockMs")]
     pub(crate) clock_ms: f64,
+    /// The messages, by gateway.
     pub(crate) parts: Vec<BatchPart>,
 }
 
 /// What came in at one gateway, in order of arrival.
 #[derive(Deserialize)]
 pub(crate) struct BatchPart {
+    /// The simulator's id of the gateway.
     #[serde(rename = "gatewayId")]
     pub(crate) gateway_id: String,
+    /// The messages to it.
     #[serde(rename = "arrivals")]
     pub(crate) messages: Vec<InputMessage>,
 }
@@ -38,8 +41,10 @@
 /// The settings and random seed of a new gateway.
 #[derive(Deserialize)]
 pub(crate) struct StartMessage {
+    /// The seed of the gateway's random numbers.
     #[serde(rename = "rngSeed")]
     pub(crate) random_seed: u64,
+    /// Its settings.
     #[serde(rename = "conf")]
     pub(crate) settings: Box<SettingsDocument>,
 }
@@ -107,7 +112,9 @@
 /// An update of the endpoint list.
 #[derive(Deserialize)]
 pub(crate) struct EndpointListMessage {
+    /// How much of the list the entries are.
     pub(super) kind: EndpointListKind,
+    /// The entries.
     #[serde(rename = "hosts")]
     pub(super) entries: Vec<EndpointEntryMessage>,
 }
@@ -128,14 +135,19 @@
 /// An entry of the endpoint list.
 #[derive(Deserialize)]
 pub(super) struct EndpointEntryMessage {
+    /// The endpoint.
     #[serde(rename = "host")]
     pub(super) endpoint: EndpointAddress,
+    /// The name of its zone.
     #[serde(rename = "area")]
     pub(super) zone: String,
+    /// The name of its machine's kind.
     #[serde(rename = "familyType")]
     pub(super) machine_kind: String,
+    /// Its cell: endpoints that share their memory of idempotency keys.
     #[serde(rename = "stripe")]
     pub(super) cell: u64,
+    /// Its state.
     #[serde(rename = "health")]
     pub(super) state: EndpointStateMessage,
     /// Absent, or 0, for an endpoint that started long ago.
@@ -157,16 +169,22 @@
 /// A client's request.
 #[derive(Deserialize)]
 pub(crate) struct RequestMessage {
+    /// Its id.
     #[serde(rename = "job")]
     pub(super) request: HexId,
+    /// The name of its class.
     #[serde(rename = "category")]
     pub(super) class: String,
+    /// The name of its customer's plan.
     #[serde(rename = "tariff")]
     pub(super) plan: String,
+    /// Its customer.
     #[serde(rename = "member")]
     pub(super) customer: HexId,
+    /// How long the client still waits, in milliseconds.
     #[serde(rename = "timeLeftMs")]
     pub(super) time_left_ms: f64,
+    /// The units that it takes from its quota.
     #[serde(rename = "weight")]
     pub(super) units: f64,
     /// The number of gateways that the customer's requests arrive at.
@@ -175,8 +193,10 @@
     /// The number of the first of them.
     #[serde(rename = "fromNo")]
     pub(super) first_gateway: usize,
+    /// Whether it is marked as a client's retry.
     #[serde(rename = "resent", default)]
     pub(super) repeat: bool,
+    /// Whether it is a write.
     #[serde(default)]
     pub(super) write: bool,
 }
@@ -184,6 +204,7 @@
 /// A timer is due.
 #[derive(Deserialize)]
 pub(crate) struct TimerMessage {
+    /// The token that the timer was set with.
     #[serde(rename = "name")]
     pub(super) token: u64,
 }
@@ -191,11 +212,15 @@
 /// The quota counter's response.
 #[derive(Deserialize)]
 pub(crate) struct CounterReplyMessage {
+    /// The counter's name.
     #[serde(rename = "book")]
     pub(super) name: u64,
+    /// The total after the call, in units; absent where there is none.
     pub(super) total: Option<f64>,
+    /// Time since the call, in milliseconds.
     #[serde(rename = "timeTakenMs")]
     pub(super) took_ms: f64,
+    /// How the call ended.
     #[serde(rename = "verdict")]
     pub(super) outcome: CounterOutcomeMessage,
 }
@@ -230,8 +255,10 @@
 /// A message from another gateway.
 #[derive(Deserialize)]
 pub(crate) struct PeerMessage {
+    /// The number of the gateway that sent it.
     #[serde(rename = "neighbour")]
     pub(super) from: usize,
+    /// Its text.
     #[serde(rename = "data")]
     pub(super) body: String,
 }
@@ -239,6 +266,7 @@
 /// The client disconnected.
 #[derive(Deserialize)]
 pub(crate) struct ClientGoneMessage {
+    /// The client's request.
     #[serde(rename = "job")]
     pub(super) request: HexId,
 }
@@ -246,24 +274,31 @@
 /// The end of an attempt.
 #[derive(Deserialize)]
 pub(crate) struct AttemptEndedMessage {
+    /// The request.
     #[serde(rename = "job")]
     pub(super) request: HexId,
+    /// How the attempt ended.
     #[serde(rename = "verdict")]
     pub(super) outcome: OutcomeMessage,
     /// Absent, or 0, where the response did not carry the true units.
     #[serde(rename = "charged")]
     pub(super) true_units: Option<f64>,
+    /// Whether the request has its final response.
     #[serde(rename = "closed")]
     pub(super) request_closed: bool,
+    /// Time since it was sent, in milliseconds.
     #[serde(rename = "timeTakenMs")]
     pub(super) took_ms: f64,
+    /// Its endpoint.
     #[serde(rename = "host")]
     pub(super) endpoint: EndpointAddress,
     /// 1 + the customer's use in percent of its rate; absent, or 0, where the meter gave none.
     #[serde(rename = "metered")]
     pub(super) metered_percent_plus_one: Option<f64>,
+    /// Its number among the request's attempts, from 0.
     #[serde(rename = "sendNo")]
     pub(super) attempt: u32,
+    /// The endpoint's load report.
     pub(super) load: LoadReport,
 }
 
--- a/crates/simulator-adapter/src/wire/output.rs
+++ b/crates/simulator-adapter/src/wire/output.rs
@@ -6,14 +6,17 @@
 /// A line of output.
 #[derive(Default, Serialize)]
 pub(crate) struct Reply {
+    /// The actions, by gateway.
     pub(crate) parts: Vec<ReplyPart>,
 }
 
 /// One gateway's actions, in the order in which they are carried out.
 #[derive(Serialize)]
 pub(crate) struct ReplyPart {
+    /// The simulator's id of the gateway.
     #[serde(rename = "gatewayId")]
     pub(crate) gateway_id: String,
+    /// Its actions.
     #[serde(rename = "outbox")]
     pub(crate) messages: Vec<OutputMessage>,
 }
