--- a/crates/admission/src/coordination/quota_requests.rs
+++ b/crates/admission/src/coordination/quota_requests.rs
@@ -120,7 +120,7 @@
     /// Until when a grant is of use to a request.
     fn grant_useful_until_ms(&self, active: &ActiveRequest) -> f64 {
         let mean_response_ms = self.latency.response_ms(active.request.class);
-        grant_useful_until_ms(active.objective_at_ms, active.deadline_ms, mean_response_ms)
+        grant_useful_until_ms(active.objective_at_ms, active.deadline_at_ms, mean_response_ms)
     }
 
     /// Sends quota requests again that were not responded to in time, or decides without the owner.
--- a/crates/admission/src/lifecycle/attempts.rs
+++ b/crates/admission/src/lifecycle/attempts.rs
@@ -20,7 +20,7 @@
             return;
         }
         let objective_ms = self.settings.class(active.request.class).latency_objective_ms;
-        let time_left_ms = active.deadline_ms - self.clock.now_ms();
+        let time_left_ms = active.deadline_at_ms - self.clock.now_ms();
         let timeout_ms = attempt_timeout_ms(objective_ms, time_left_ms);
         let earned_tokens = earned_retry_tokens(active.attempt_count());
         self.spend_dispatch_credit();
--- a/crates/admission/src/lifecycle/band_control.rs
+++ b/crates/admission/src/lifecycle/band_control.rs
@@ -5,7 +5,7 @@
 use crate::policy::band::band_bounds::{is_saturated_in_broadcast_mode, position_in_broadcast_mode};
 use crate::policy::band::counted_endpoints::{
     is_counted_despite_correlated_failure, is_counted_in_broadcast_mode, is_counted_in_large_fleet,
-    EndpointCondition,
+    EndpointSymptoms,
 };
 use crate::policy::band::dispatch_credit::{
     credit_after_refill, credit_after_send, credit_required, position_in_large_fleet, LargeFleetBand,
@@ -40,7 +40,7 @@
     /// Whether the band counts an endpoint's work, by the endpoint alone.
     fn is_counted(&self, endpoint: &Endpoint, mode: FleetMode) -> bool {
         let now_ms = self.clock.now_ms();
-        let condition = EndpointCondition {
+        let symptoms = EndpointSymptoms {
             is_gone: endpoint.is_gone(),
             consecutive_failures: endpoint.health.consecutive_failures(),
             is_ejected: endpoint.health.is_ejected(now_ms),
@@ -48,11 +48,11 @@
             stall_ratio: self.stall_ratio(endpoint),
         };
         match mode {
-            FleetMode::Broadcast => is_counted_in_broadcast_mode(&condition),
+            FleetMode::Broadcast => is_counted_in_broadcast_mode(&symptoms),
             FleetMode::LargeFleet => {
                 let is_unresponsive = self.is_unresponsive(endpoint);
                 let slowness = self.kind_deviation(endpoint).excess;
-                is_counted_in_large_fleet(&condition, is_unresponsive, slowness)
+                is_counted_in_large_fleet(&symptoms, is_unresponsive, slowness)
             }
         }
     }
--- a/crates/admission/src/lifecycle/request_admission.rs
+++ b/crates/admission/src/lifecycle/request_admission.rs
@@ -11,12 +11,12 @@
     flow_weight, queue_size_in_broadcast_mode, queue_size_in_large_fleet,
 };
 use crate::settings::PlanSettings;
-use crate::state::{FleetMode, GatewaySet, OwnBucketCheck, QuotaState};
+use crate::state::{FleetMode, GatewaySet, LocalBucketCheck, QuotaState};
 
 impl Gateway {
     /// Admits a request in broadcast mode: at once, to the queue, or not at all.
     pub(crate) fn admit_in_broadcast_mode(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(quota) = self.check_own_bucket(id) else { return };
+        let Some(quota) = self.local_bucket_check(id) else { return };
         let Some(active) = self.requests.get(id) else { return };
         let tag = active.tag;
         let times = self.request_times(active);
@@ -91,7 +91,7 @@
 
     /// Checks a new request against its customer's token bucket here, and records the result with the
     /// request.
-    fn check_own_bucket(&mut self, id: RequestId) -> Option<OwnBucketCheck> {
+    fn local_bucket_check(&mut self, id: RequestId) -> Option<LocalBucketCheck> {
         let active = self.requests.get(id)?;
         let (tag, plan_index, units) = (active.tag, active.request.plan, active.request.units);
         let gateways = GatewaySet::of_request(&active.request, self.settings.gateways);
--- a/crates/admission/src/lifecycle/request_deadlines.rs
+++ b/crates/admission/src/lifecycle/request_deadlines.rs
@@ -15,7 +15,7 @@
         RequestTimes {
             now_ms: self.clock.now_ms(),
             objective_at_ms: active.objective_at_ms,
-            deadline_ms: active.deadline_ms,
+            deadline_at_ms: active.deadline_at_ms,
             tick_ms: self.settings.tick_ms,
             mean_response_ms: self.latency.response_ms(active.request.class),
             endpoints_saturated: self.band.is_saturated(),
--- a/crates/admission/src/policy/admission/deadline.rs
+++ b/crates/admission/src/policy/admission/deadline.rs
@@ -20,12 +20,12 @@
     /// When the request's latency objective is reached, in ms.
     pub(crate) objective_at_ms: f64,
     /// When its client stops waiting, in ms.
-    pub(crate) deadline_ms: f64,
+    pub(crate) deadline_at_ms: f64,
     /// Shortest time between two rounds of events, in ms.
     pub(crate) tick_ms: f64,
     /// Mean response time of its class, in ms.
     pub(crate) mean_response_ms: f64,
-    /// Whether the endpoints have much of what the band allows them.
+    /// Whether the endpoints are saturated: the stock is above half of the band's middle.
     pub(crate) endpoints_saturated: bool,
 }
 
@@ -33,7 +33,7 @@
     /// Time until the latency objective or the last round of upkeep that can still answer the client,
     /// whichever comes first, in ms.
     pub(crate) fn time_left_ms(&self) -> f64 {
-        let last_response_ms = self.deadline_ms - UPKEEP_MS - RESPONSE_MARGIN_TICKS * self.tick_ms;
+        let last_response_ms = self.deadline_at_ms - UPKEEP_MS - RESPONSE_MARGIN_TICKS * self.tick_ms;
         self.objective_at_ms.min(last_response_ms) - self.now_ms
     }
 
@@ -49,7 +49,7 @@
 
     /// Whether the deadline comes before the next round of upkeep could answer.
     fn deadline_is_near(&self) -> bool {
-        self.deadline_ms - self.now_ms < UPKEEP_MS + RESPONSE_MARGIN_TICKS * self.tick_ms
+        self.deadline_at_ms - self.now_ms < UPKEEP_MS + RESPONSE_MARGIN_TICKS * self.tick_ms
     }
 }
 
--- a/crates/admission/src/policy/admission/local_bucket.rs
+++ b/crates/admission/src/policy/admission/local_bucket.rs
@@ -1,6 +1,6 @@
 //! What the customer's token bucket at this gateway has for a new request, in broadcast mode.
 use crate::settings::PlanSettings;
-use crate::state::OwnBucketCheck;
+use crate::state::LocalBucketCheck;
 
 /// Time after its start for which a gateway withholds its peers' fraction of each burst, in ms: it has not
 /// received yet what they consumed.
@@ -25,18 +25,18 @@
 
 /// Whether a new request is within its customer's quota, and if not, whether it may be sent all the same and
 /// when the bucket has filled enough.
-pub(crate) fn check_local_bucket(input: &LocalBucketInput) -> OwnBucketCheck {
+pub(crate) fn check_local_bucket(input: &LocalBucketInput) -> LocalBucketCheck {
     let plan = input.plan;
     let available_units = input.quota_tokens - input.queued_units - input.withheld_units;
     let has_ceiling_units = plan.ceiling_rate_per_second <= 0.0 || input.ceiling_tokens >= input.units;
-    OwnBucketCheck {
+    LocalBucketCheck {
         is_met: plan.rate_per_second <= 0.0 || available_units >= input.units,
         may_exceed: plan.pays_over_quota() && has_ceiling_units,
         retry_after_ms: plan.refill_time_ms(input.units - available_units),
     }
 }
 
-/// Units of a burst that a gateway leaves to its peers: all but its even quota just after its start, none
+/// Units of a burst that a gateway leaves to its peers: all but an even fraction just after its start, none
 /// later. `gateways` counts those that the customer's requests come through.
 pub(crate) fn withheld_burst_units(burst_units: f64, gateways: usize, since_start_ms: f64) -> f64 {
     if since_start_ms < STARTUP_MS {
--- a/crates/admission/src/policy/admission/new_request.rs
+++ b/crates/admission/src/policy/admission/new_request.rs
@@ -6,7 +6,7 @@
 use crate::policy::admission::deadline::RequestTimes;
 use crate::policy::admission::retry_after::retry_after_overload;
 use crate::policy::queue::customer_limits::LimitDecision;
-use crate::state::{BandPosition, OwnBucketCheck};
+use crate::state::{BandPosition, LocalBucketCheck};
 
 /// Requests queued at most: a bound on memory, far above what can be served within a latency objective.
 const MAX_QUEUED_REQUESTS: usize = 4000;
@@ -26,7 +26,7 @@
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct AdmissionInput {
     /// What the customer's token bucket has for the request.
-    pub(crate) quota: OwnBucketCheck,
+    pub(crate) quota: LocalBucketCheck,
     /// What the customer's open limit and ceiling permit now.
     pub(crate) limits: LimitDecision,
     /// Where the stock lies against the band's bounds.
--- a/crates/admission/src/policy/admission/retry_after.rs
+++ b/crates/admission/src/policy/admission/retry_after.rs
@@ -16,13 +16,14 @@
     }
 }
 
-/// Retry-After in broadcast mode of a queued request that turned out to be over its quota: none.
+/// Retry-After in broadcast mode of a request that went over its quota while it was queued: none. When the
+/// bucket will have filled enough is computed for new requests only.
 pub(crate) fn retry_after_over_quota_in_broadcast_mode() -> Option<f64> {
     None
 }
 
 /// Retry-After in a large fleet of a request over its quota, in ms. This gateway does not know when the quota
-/// has filled, so it gives the longest that clients honour.
+/// has filled, so it gives the longest that clients honour: 0 where they honour none.
 pub(crate) fn retry_after_over_quota_in_large_fleet(max_retry_after_ms: f64) -> Option<f64> {
     Some(max_retry_after_ms)
 }
--- a/crates/admission/src/policy/band/band_bounds.rs
+++ b/crates/admission/src/policy/band/band_bounds.rs
@@ -2,20 +2,20 @@
 use crate::state::{Band, BandPosition};
 
 /// Distance of the bounds from the band's middle, as a fraction of it: `percentageDeviationForBounds` of the
-/// paper.
+/// queuing design that the module follows, "Inference Gateway Queuing System Design".
 const BAND_DEVIATION: f64 = 0.1;
 
 /// Fraction of the band's middle above which the endpoints are saturated, in both modes.
 pub(crate) const SATURATED_FILL: f64 = 0.5;
 
-/// The stock's position in broadcast mode. A gateway with less in flight than its even quota of the band
-/// counts as under both bounds, whatever the stock: else peers with a higher watermark could keep it from
+/// The stock's position in broadcast mode. A gateway with less in flight than an even fraction of the
+/// lower bound counts as under both bounds, whatever the stock: else peers with a higher watermark could keep it from
 /// sending at all.
 pub(crate) fn position_in_broadcast_mode(band: &Band) -> BandPosition {
     let lower = band.middle * (1.0 - BAND_DEVIATION);
     let upper = band.middle * (1.0 + BAND_DEVIATION);
-    let is_below_even_quota = band.own_in_flight < lower / band.gateways;
-    if is_below_even_quota || band.stock < lower {
+    let is_below_even_fraction = band.own_in_flight < lower / band.gateways;
+    if is_below_even_fraction || band.stock < lower {
         BandPosition::UnderLower
     } else if band.stock < upper {
         BandPosition::BetweenBounds
--- a/crates/admission/src/policy/band/counted_endpoints.rs
+++ b/crates/admission/src/policy/band/counted_endpoints.rs
@@ -13,7 +13,7 @@
 
 /// What is known of an endpoint's health, in both modes.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct EndpointCondition {
+pub(crate) struct EndpointSymptoms {
     /// It is no longer listed.
     pub(crate) is_gone: bool,
     /// Own attempts in a row that failed.
@@ -26,7 +26,7 @@
     pub(crate) stall_ratio: f64,
 }
 
-impl EndpointCondition {
+impl EndpointSymptoms {
     /// Whether its work counts as lost by what both modes know. An ejection without failures is a pause
     /// after an overload response: the endpoint still works on what it has.
     fn is_lost(&self) -> bool {
@@ -46,17 +46,17 @@
 }
 
 /// Whether the band counts an endpoint's work, in broadcast mode.
-pub(crate) fn is_counted_in_broadcast_mode(condition: &EndpointCondition) -> bool {
-    !condition.is_lost()
+pub(crate) fn is_counted_in_broadcast_mode(symptoms: &EndpointSymptoms) -> bool {
+    !symptoms.is_lost()
 }
 
 /// Whether the band counts an endpoint's work, in a large fleet: not that of one from which the fleet
 /// receives no responses, nor that of one that is far slower than others of its kind. `slowness` is its
 /// relative response time over that from which an endpoint of its kind is clearly slow.
 pub(crate) fn is_counted_in_large_fleet(
-    condition: &EndpointCondition,
+    symptoms: &EndpointSymptoms,
     is_unresponsive: bool,
     slowness: f64,
 ) -> bool {
-    !condition.is_lost() && !is_unresponsive && slowness <= MAX_COUNTED_SLOWNESS
+    !symptoms.is_lost() && !is_unresponsive && slowness <= MAX_COUNTED_SLOWNESS
 }
--- a/crates/admission/src/policy/band/dispatch_credit.rs
+++ b/crates/admission/src/policy/band/dispatch_credit.rs
@@ -3,21 +3,23 @@
 use crate::state::BandPosition;
 
 /// Fraction of the band's middle below which gateways of a large fleet send without credit. Above it each
-/// sends at its even quota of the rate that keeps the band filled. The stock that gossip brings is old: if
+/// sends at an even fraction of the rate that keeps the band filled. The stock that gossip brings is old: if
 /// it alone stopped and started all gateways at once, the stock would swing.
 const UNGATED_FILL: f64 = 0.6;
 
-/// Highest refill rate of dispatch credit, as a multiple of the even quota: that of an empty band.
+/// Highest refill rate of dispatch credit, as a multiple of the rate at the band's middle: that of
+/// an empty band.
 const MAX_REFILL_FACTOR: f64 = 3.0;
 
-/// Lowest refill rate of dispatch credit, as a multiple of the even quota: that of a band that is over-full.
+/// Lowest refill rate of dispatch credit, as a multiple of the rate at the band's middle: that of a
+/// band that is over-full.
 const MIN_REFILL_FACTOR: f64 = 0.3;
 
 /// Dispatch credit at the start, in requests: the first one need not wait for a refill.
 pub(crate) const INITIAL_DISPATCH_CREDIT: f64 = 1.0;
 
-/// Least limit of the dispatch credit that is saved up, in requests: else a gateway with an even quota below
-/// one request could never send.
+/// Least limit of the dispatch credit that is saved up, in requests: else a gateway that may have less
+/// than one attempt in flight could never send.
 const MIN_CREDIT_LIMIT: f64 = 1.0;
 
 /// Credit that one request needs where its class has the lowest priority weight.
@@ -60,7 +62,7 @@
     }
 
     /// Attempts in flight of each gateway at the band's middle.
-    fn even_quota(&self) -> f64 {
+    fn middle_per_gateway(&self) -> f64 {
         self.middle() / self.gateways as f64
     }
 
@@ -102,9 +104,9 @@
     FULL_CREDIT - CREDIT_OVERDRAFT * (1.0 - relative).max(0.0)
 }
 
-/// The dispatch credit after some seconds of refill, in requests. A gateway earns its even quota of the band
-/// per mean response time, more while the stock is low and less while it is high, and saves up its even
-/// quota at most.
+/// The dispatch credit after some seconds of refill, in requests. In a mean response time a gateway earns an
+/// even fraction of the band's middle, more while the stock is low and less while it is high. It saves up
+/// that fraction at most.
 pub(crate) fn credit_after_refill(
     dispatch_credit: f64,
     band: &LargeFleetBand,
@@ -112,11 +114,11 @@
     seconds: f64,
 ) -> f64 {
     let mean_response_s = mean_response_ms / 1000.0;
-    let even_quota = band.even_quota();
+    let middle_per_gateway = band.middle_per_gateway();
     let factor = (MAX_REFILL_FACTOR - (MAX_REFILL_FACTOR - 1.0) * band.fill())
         .clamp(MIN_REFILL_FACTOR, MAX_REFILL_FACTOR);
-    let earned = factor * even_quota / mean_response_s * seconds;
-    (dispatch_credit + earned).min(MIN_CREDIT_LIMIT.max(even_quota))
+    let earned = factor * middle_per_gateway / mean_response_s * seconds;
+    (dispatch_credit + earned).min(MIN_CREDIT_LIMIT.max(middle_per_gateway))
 }
 
 /// The dispatch credit after a request was sent, in requests.
--- a/crates/admission/src/policy/queue/customer_limits.rs
+++ b/crates/admission/src/policy/queue/customer_limits.rs
@@ -83,7 +83,7 @@
 }
 
 /// Whether a customer has as many attempts in flight as its plan allows. Peers' reports come late: once this
-/// gateway uses its own quota of the slots, each busy peer may have one attempt more than it reported.
+/// gateway uses all slots of its own, each busy peer may have one attempt more than it reported.
 fn open_limit_reached(limit: u32, slots: &SlotUse) -> bool {
     let has_slot = slots.place < (GATEWAYS_PER_GROUP * limit).div_ceil(SLOTS_PER_GROUP);
     let own_slots = (limit / slots.gateways).max(u32::from(has_slot));
--- a/crates/admission/src/policy/queue/dispatch_order.rs
+++ b/crates/admission/src/policy/queue/dispatch_order.rs
@@ -52,7 +52,8 @@
 }
 
 /// Whether a head over its quota is sent beyond it: where its plan pays for that, within the ceiling, and
-/// the stock is under the band's lower bound. `band_position` is called only for a head that may exceed its
+/// the stock is under the band's lower bound. In broadcast mode a queued request never is: it was queued as
+/// within its quota. `band_position` is called only for a head that may exceed its
 /// quota.
 pub(crate) fn may_send_over_quota(
     may_exceed_quota: bool,
--- a/crates/admission/src/policy/quota_owner/quota_request_route.rs
+++ b/crates/admission/src/policy/quota_owner/quota_request_route.rs
@@ -77,6 +77,6 @@
 }
 
 /// Until when a grant is of use to a request, in ms of the clock that objective and deadline are given in.
-pub(crate) fn grant_useful_until_ms(objective_at_ms: f64, deadline_ms: f64, mean_response_ms: f64) -> f64 {
-    objective_at_ms.min(deadline_ms) - RESERVED_RESPONSE_TIMES * mean_response_ms
+pub(crate) fn grant_useful_until_ms(objective_at_ms: f64, deadline_at_ms: f64, mean_response_ms: f64) -> f64 {
+    objective_at_ms.min(deadline_at_ms) - RESERVED_RESPONSE_TIMES * mean_response_ms
 }
--- a/crates/admission/src/state/mod.rs
+++ b/crates/admission/src/state/mod.rs
@@ -17,7 +17,7 @@
 };
 pub(crate) use quota::{
     CatchUp, CountedRequest, CounterAccount, CounterCall, CounterCalls, CounterEpoch, Customer,
-    CustomerTable, Grant, OwnBucketCheck, PeerCount, QuotaDecision, QuotaExpectation, QuotaGrants,
+    CustomerTable, Grant, LocalBucketCheck, PeerCount, QuotaDecision, QuotaExpectation, QuotaGrants,
     QuotaRequests, QuotaRoute, QuotaState, ReportedConsumption,
 };
 pub(crate) use request::{ActiveRequest, Attempt, AttemptRef, PendingAttempt, RequestTable, RetryBudget};
--- a/crates/admission/src/state/quota/mod.rs
+++ b/crates/admission/src/state/quota/mod.rs
@@ -17,4 +17,4 @@
 pub(crate) use customer_table::CustomerTable;
 pub(crate) use grant_ledger::{Grant, QuotaGrants};
 pub(crate) use pending_quota_requests::{QuotaExpectation, QuotaRequests, QuotaRoute};
-pub(crate) use quota_state::{OwnBucketCheck, QuotaDecision, QuotaState};
+pub(crate) use quota_state::{LocalBucketCheck, QuotaDecision, QuotaState};
--- a/crates/admission/src/state/quota/quota_state.rs
+++ b/crates/admission/src/state/quota/quota_state.rs
@@ -108,11 +108,11 @@
 
 /// What the customer's token bucket at this gateway says of a new request.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct OwnBucketCheck {
+pub(crate) struct LocalBucketCheck {
     /// The request is within the quota.
     pub(crate) is_met: bool,
     /// Beyond its quota the request may still be sent while there is capacity.
     pub(crate) may_exceed: bool,
-    /// When the bucket will have filled enough for the request; `None` where it never does.
+    /// Time until the bucket has filled enough for the request, in ms; `None` where it never does.
     pub(crate) retry_after_ms: Option<f64>,
 }
--- a/crates/admission/src/state/request/active_request.rs
+++ b/crates/admission/src/state/request/active_request.rs
@@ -14,7 +14,7 @@
     /// When its latency objective is reached, in milliseconds.
     pub(crate) objective_at_ms: f64,
     /// When its client stops waiting, in milliseconds.
-    pub(crate) deadline_ms: f64,
+    pub(crate) deadline_at_ms: f64,
     /// Its attempts, in the order in which they were sent.
     attempts: Vec<Attempt>,
     /// It has its final response, or its client has gone.
@@ -38,7 +38,7 @@
         ActiveRequest {
             tag,
             objective_at_ms: now_ms + objective_ms,
-            deadline_ms: now_ms + request.time_left_ms,
+            deadline_at_ms: now_ms + request.time_left_ms,
             attempts: Vec::new(),
             closed: false,
             quota: QuotaState::LocalBucket { within_quota: false },
--- a/crates/admission/src/tests/load_rules/deadline_rules.rs
+++ b/crates/admission/src/tests/load_rules/deadline_rules.rs
@@ -11,7 +11,7 @@
 const TIMES: RequestTimes = RequestTimes {
     now_ms: 1000.0,
     objective_at_ms: 1500.0,
-    deadline_ms: 3000.0,
+    deadline_at_ms: 3000.0,
     tick_ms: 2.0,
     mean_response_ms: 200.0,
     endpoints_saturated: false,
@@ -21,7 +21,7 @@
 fn time_left_ends_with_the_objective_or_the_last_response_before_the_deadline() {
     assert_eq!(TIMES.time_left_ms(), 500.0);
     // 20 ms for a round of upkeep and 4 ms for two ticks.
-    assert_eq!(RequestTimes { deadline_ms: 1400.0, ..TIMES }.time_left_ms(), 376.0);
+    assert_eq!(RequestTimes { deadline_at_ms: 1400.0, ..TIMES }.time_left_ms(), 376.0);
 }
 
 #[test]
@@ -41,8 +41,8 @@
     for (times, is_unsent, overdue) in cases {
         assert_eq!(is_overdue(&times, is_unsent), overdue, "{times:?}");
     }
-    for (deadline_ms, overdue) in [(1024.0, false), (1023.0, true)] {
-        assert_eq!(is_overdue(&RequestTimes { deadline_ms, ..late }, false), overdue, "{deadline_ms}");
+    for (deadline_at_ms, overdue) in [(1024.0, false), (1023.0, true)] {
+        assert_eq!(is_overdue(&RequestTimes { deadline_at_ms, ..late }, false), overdue, "{deadline_at_ms}");
     }
 }
 
