--- a/crates/admission/src/mechanism/decaying_rate.rs
+++ b/crates/admission/src/mechanism/decaying_rate.rs
@@ -1,5 +1,8 @@
 //! A rate of events that decays exponentially while none come.
 
+/// Least rate that divides, a second: it keeps quotients finite.
+const MIN_DIVISOR_PER_SECOND: f64 = 1e-9;
+
 /// A rate of events a second, smoothed over a span that each call gives.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct DecayingRate {
@@ -15,6 +18,11 @@
         self.per_second * (-(now_ms - self.added_ms) / 1000.0 / span_s).exp()
     }
 
+    /// The rate at `now_ms` as a divisor: never 0.
+    pub(crate) fn divisor(&self, now_ms: f64, span_s: f64) -> f64 {
+        self.now(now_ms, span_s).max(MIN_DIVISOR_PER_SECOND)
+    }
+
     /// Counts `amount` events at `now_ms`. The rate converges to that of a steady stream of events.
     pub(crate) fn add(&mut self, amount: f64, now_ms: f64, span_s: f64) {
         self.per_second = self.now(now_ms, span_s) + amount / span_s;
--- a/crates/admission/src/messages/counts_message.rs
+++ b/crates/admission/src/messages/counts_message.rs
@@ -45,7 +45,13 @@
 pub(crate) const MAX_CUSTOMER_LEN: usize = COUNT_LEN + CEILING_REQUEST_LEN + CEILING_TRANSFER_LEN;
 
 /// Mask of sequence numbers, which have 12 bits.
-pub(crate) const SEQUENCE_MASK: u32 = max_value(SEQUENCE_DIGITS);
+const SEQUENCE_MASK: u32 = max_value(SEQUENCE_DIGITS);
+
+/// Half the range of sequence numbers: one that is ahead by less is newer, one that is ahead by more is older.
+const MAX_SEQUENCE_LEAD: u32 = SEQUENCE_MASK / 2;
+
+/// Mask of incarnations, which have 18 bits.
+const INCARNATION_MASK: u32 = max_value(INCARNATION_DIGITS);
 
 /// Steps of a unit, where units are counted in quarters.
 pub(crate) const QUARTERS_PER_UNIT: f64 = 4.0;
@@ -53,6 +59,22 @@
 /// Mask of the quarters consumed, of which the message carries the low 18 bits.
 const CONSUMED_MASK: u32 = max_value(CONSUMED_DIGITS);
 
+/// The incarnation of a gateway that a hash of its seed names: as many bits as a message carries.
+pub(crate) fn incarnation(hash: u64) -> u32 {
+    (hash & u64::from(INCARNATION_MASK)) as u32
+}
+
+/// The sequence number after another one. It begins again at 0 after the largest.
+pub(crate) fn next_sequence(sequence: u32) -> u32 {
+    (sequence + 1) & SEQUENCE_MASK
+}
+
+/// Whether a sequence number is newer than another one of the same sender, though numbers begin again at 0.
+pub(crate) fn is_newer_sequence(sequence: u32, last: u32) -> bool {
+    let lead = sequence.wrapping_sub(last) & SEQUENCE_MASK;
+    lead > 0 && lead <= MAX_SEQUENCE_LEAD
+}
+
 /// What a gateway reports of one customer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct CountEntry {
--- a/crates/admission/src/policy/response_time/response_samples.rs
+++ b/crates/admission/src/policy/response_time/response_samples.rs
@@ -1,6 +1,6 @@
 //! What is learned of response times from the end of an own attempt.
 use crate::event::Outcome;
-use crate::state::LatencyGains;
+use crate::state::{LatencyFloors, LatencyGains};
 
 /// Half-life with which a relative response time returns to what is usual, in ms, so that slow endpoints get
 /// attempts again.
@@ -19,6 +19,10 @@
 pub(crate) const LATENCY_GAINS: LatencyGains =
     LatencyGains { class_mean: 0.03, own_fraction: 0.05, observed_fraction: 0.02, kind_baseline: 0.02 };
 
+/// Least learned response times that divide: a fleet that answers at once must not make small differences
+/// look large.
+pub(crate) const LATENCY_FLOORS: LatencyFloors = LatencyFloors { objective_fraction: 0.01, response_ms: 1.0 };
+
 /// Largest sample of a class's response time in a large fleet, in mean response times, so that a few very
 /// slow endpoints do not make all look slow.
 const MAX_RESPONSE_SAMPLE: f64 = 2.5;
--- a/crates/admission/src/startup.rs
+++ b/crates/admission/src/startup.rs
@@ -1,10 +1,13 @@
 //! The start of a gateway from its settings.
 use crate::gateway::Gateway;
 use crate::mechanism::splitmix64::{mix, SplitMix64};
+use crate::messages::counts_message::incarnation;
 use crate::policy::band::dispatch_credit::INITIAL_DISPATCH_CREDIT;
 use crate::policy::coordination_choice::{choose_coordination_mode, CoordinationMode, CoordinationModeInput};
 use crate::policy::peer_messages::quota_message_budget::INITIAL_QUOTA_MESSAGES;
-use crate::policy::response_time::{INITIAL_OBJECTIVE_FRACTION, LATENCY_GAINS, RESPONSE_TIME_HALF_LIFE_MS};
+use crate::policy::response_time::{
+    INITIAL_OBJECTIVE_FRACTION, LATENCY_FLOORS, LATENCY_GAINS, RESPONSE_TIME_HALF_LIFE_MS,
+};
 use crate::policy::retry::INITIAL_RETRY_TOKENS;
 use crate::policy::slow_start::SEND_RATE_SPAN_S;
 use crate::settings::{Settings, SettingsError};
@@ -13,9 +16,6 @@
     InFlightBand, LatencyModel, RetryBudget,
 };
 
-/// Bits of the incarnation: as many as three digits of a message carry.
-const INCARNATION_MASK: u64 = 0x3_ffff;
-
 impl Gateway {
     /// A gateway that knows nothing but its settings. `seed` decides all that is left to chance; times are in
     /// milliseconds, of any origin.
@@ -28,13 +28,18 @@
         let objectives_ms = settings.classes.iter().map(|class| class.latency_objective_ms);
         let mut gateway = Gateway {
             clock: EventClock::new(now_ms),
-            incarnation: (mix(seed) & INCARNATION_MASK) as u32,
+            incarnation: incarnation(mix(seed)),
             random: SplitMix64::new(seed),
             endpoints: EndpointTable::new(EndpointSmoothing {
                 response_time_half_life_ms: RESPONSE_TIME_HALF_LIFE_MS,
                 send_rate_span_s: SEND_RATE_SPAN_S,
             }),
-            latency: LatencyModel::new(objectives_ms, INITIAL_OBJECTIVE_FRACTION, LATENCY_GAINS),
+            latency: LatencyModel::new(
+                objectives_ms,
+                INITIAL_OBJECTIVE_FRACTION,
+                LATENCY_GAINS,
+                LATENCY_FLOORS,
+            ),
             retries: RetryBudget::new(INITIAL_RETRY_TOKENS),
             coordination: coordination_mode(&settings),
             settings,
--- a/crates/admission/src/state/endpoint/latency_model.rs
+++ b/crates/admission/src/state/endpoint/latency_model.rs
@@ -4,12 +4,6 @@
 use crate::mechanism::smoothing::smooth;
 use std::collections::BTreeMap;
 
-/// Least response time, as a fraction of the latency objective, that divides.
-const MIN_OBJECTIVE_FRACTION: f64 = 0.01;
-
-/// Least response time that divides, in ms.
-const MIN_RESPONSE_MS: f64 = 1.0;
-
 /// Weights of a new sample in the learned response times.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct LatencyGains {
@@ -23,15 +17,25 @@
     pub(crate) kind_baseline: f64,
 }
 
+/// Least learned response times that divide.
+#[derive(Debug, Clone, Copy, Default)]
+pub(crate) struct LatencyFloors {
+    /// The smoothed response time as a fraction of the latency objective.
+    pub(crate) objective_fraction: f64,
+    /// The smoothed response time of a class, in ms.
+    pub(crate) response_ms: f64,
+}
+
 /// Learned response times of the fleet's endpoints.
 #[derive(Debug, Default)]
 pub(crate) struct LatencyModel {
     gains: LatencyGains,
+    floors: LatencyFloors,
     /// Smoothed response time as a fraction of the latency objective.
     objective_fraction: f64,
     /// Smoothed response time of each class, in ms.
     mean_by_class_ms: Vec<f64>,
-    /// The most common time that clients of each class allow.
+    /// The commonest time budget of each class: the time that clients wait.
     time_budgets: Vec<CommonValue>,
     /// Age of own attempts in flight at an endpoint that is not among the slowest, in ms.
     typical_age_ms: f64,
@@ -45,11 +49,13 @@
         objectives_ms: impl Iterator<Item = f64>,
         objective_fraction: f64,
         gains: LatencyGains,
+        floors: LatencyFloors,
     ) -> Self {
         let mean_by_class_ms: Vec<f64> =
             objectives_ms.map(|objective_ms| objective_ms * objective_fraction).collect();
         LatencyModel {
             gains,
+            floors,
             objective_fraction,
             time_budgets: vec![CommonValue::default(); mean_by_class_ms.len()],
             mean_by_class_ms,
@@ -64,7 +70,7 @@
 
     /// A response time over the smoothed one, both as fractions of the latency objective.
     pub(crate) fn relative_to_mean(&self, objective_fraction: f64) -> f64 {
-        objective_fraction / self.objective_fraction.max(MIN_OBJECTIVE_FRACTION)
+        objective_fraction / self.objective_fraction.max(self.floors.objective_fraction)
     }
 
     /// Records the response time of an own attempt, as a fraction of its latency objective.
@@ -88,9 +94,9 @@
         self.mean_by_class_ms[class.0]
     }
 
-    /// Smoothed response time of a class, in ms, as a divisor: 1 at least.
+    /// Smoothed response time of a class, in ms, as a divisor: its floor at least.
     pub(crate) fn expected_ms(&self, class: ClassIndex) -> f64 {
-        self.response_ms(class).max(MIN_RESPONSE_MS)
+        self.response_ms(class).max(self.floors.response_ms)
     }
 
     /// Mean of the classes' response times, in ms.
--- a/crates/admission/src/state/endpoint/mod.rs
+++ b/crates/admission/src/state/endpoint/mod.rs
@@ -12,7 +12,7 @@
 pub(crate) use endpoint_health::EndpointHealth;
 pub(crate) use endpoint_record::{Endpoint, EndpointSmoothing, InFlightAttempt};
 pub(crate) use endpoint_table::EndpointTable;
-pub(crate) use latency_model::{LatencyGains, LatencyModel};
+pub(crate) use latency_model::{LatencyFloors, LatencyGains, LatencyModel};
 pub(crate) use observed_health::{EjectionScope, ObservedHealth};
 pub(crate) use outlier_detector::OutlierDetector;
 pub(crate) use recent_observations::RecentObservations;
--- a/crates/admission/src/state/fleet/broadcast_peer.rs
+++ b/crates/admission/src/state/fleet/broadcast_peer.rs
@@ -1,9 +1,6 @@
 //! Broadcast mode: the last report of another gateway, and when it may be sent one.
 use crate::mechanism::token_bucket::TokenCount;
-use crate::messages::counts_message::{CountsMessage, SEQUENCE_MASK};
-
-/// Half the range of sequence numbers: a number that is ahead by less is newer.
-const NEWER_RANGE: u32 = SEQUENCE_MASK / 2;
+use crate::messages::counts_message::{is_newer_sequence, next_sequence, CountsMessage};
 
 /// Another gateway in broadcast mode, where each sends the others its counts.
 #[derive(Debug)]
@@ -68,8 +65,7 @@
     /// and an older count would be taken for units given back. Sequence numbers of the same start show both.
     pub(crate) fn record_message(&mut self, message: &CountsMessage, now_ms: f64) -> bool {
         let restarted = self.incarnation != Some(message.incarnation);
-        let ahead = message.sequence.wrapping_sub(self.sequence) & SEQUENCE_MASK;
-        if !restarted && (ahead == 0 || ahead > NEWER_RANGE) {
+        if !restarted && !is_newer_sequence(message.sequence, self.sequence) {
             return false;
         }
         self.incarnation = Some(message.incarnation);
@@ -105,7 +101,7 @@
     /// Records a report that is sent and costs this credit, and sets the next sequence number in it.
     pub(crate) fn number_message(&mut self, message: &mut CountsMessage, credit: f64, now_ms: f64) {
         self.credit.take(credit);
-        self.sent_sequence = (self.sent_sequence + 1) & SEQUENCE_MASK;
+        self.sent_sequence = next_sequence(self.sent_sequence);
         self.sent_stock = message.stock;
         self.sent_ms = now_ms;
         message.sequence = self.sent_sequence;
--- a/crates/admission/src/state/mod.rs
+++ b/crates/admission/src/state/mod.rs
@@ -6,9 +6,9 @@
 mod request;
 
 pub(crate) use endpoint::{
-    EjectionScope, Endpoint, EndpointHealth, EndpointSmoothing, EndpointTable, InFlightAttempt, LatencyGains,
-    LatencyModel, ObservedHealth, OutlierDetector, RecentObservations, RelativeResponseTime, WarmSendRates,
-    WarmUpBudget, WarmUpTokens,
+    EjectionScope, Endpoint, EndpointHealth, EndpointSmoothing, EndpointTable, InFlightAttempt,
+    LatencyFloors, LatencyGains, LatencyModel, ObservedHealth, OutlierDetector, RecentObservations,
+    RelativeResponseTime, WarmSendRates, WarmUpBudget, WarmUpTokens,
 };
 pub(crate) use event_clock::EventClock;
 pub(crate) use fleet::{
--- a/crates/admission/src/state/quota/grant_ledger.rs
+++ b/crates/admission/src/state/quota/grant_ledger.rs
@@ -4,9 +4,6 @@
 use crate::messages::quota_message::QuotaRequestNumber;
 use std::collections::VecDeque;
 
-/// Lower bound of the units requested per second, so that divisions by them stay finite.
-const MIN_REQUESTED_PER_SECOND: f64 = 1e-9;
-
 /// A quota request as its owner knows it: who sent it, its number there, and until when it counts.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct Grant {
@@ -100,7 +97,7 @@
 
     /// Units requested per second, as a divisor: never 0.
     pub(crate) fn requested_per_second(&self, now_ms: f64, span_s: f64) -> f64 {
-        self.requested_rate.now(now_ms, span_s).max(MIN_REQUESTED_PER_SECOND)
+        self.requested_rate.divisor(now_ms, span_s)
     }
 
     /// Units granted per second.
