--- a/crates/admission/src/tests/endpoint_rules/outlier_rules.rs
+++ b/crates/admission/src/tests/endpoint_rules/outlier_rules.rs
@@ -1,11 +1,13 @@
 //! Outlier detection: stalls, unresponsive endpoints, and what the end of an attempt means for its endpoint.
 use super::is_close;
 use crate::event::Outcome;
+use crate::id::ClassIndex;
 use crate::policy::outlier::{
     ejection_jitter, fails_class, is_correlated_failure, is_outlier, is_unresponsive, reference_ms,
     stall_ratio, typical_age_ms, verdict_in_broadcast_mode, verdict_in_large_fleet, AttemptFailureInput,
-    HealthVerdict, StallInput, Symptoms, UnresponsiveInput,
+    HealthVerdict, StallInput, Symptoms, UnresponsiveInput, CLASS_FAILURE_GAIN, ERROR_GAIN,
 };
+use crate::state::{EndpointHealth, ObservedHealth};
 
 #[test]
 fn an_endpoint_is_an_outlier_by_any_symptom() {
@@ -128,6 +130,7 @@
         (silent(Outcome::Cancelled, 400.0), Unchanged),
         (silent(Outcome::Cancelled, 401.0), Eject),
         (AttemptFailureInput { took_ms: 300.0, ..silent(Outcome::Cancelled, 401.0) }, Unchanged),
+        (AttemptFailureInput { took_ms: 301.0, ..silent(Outcome::Cancelled, 401.0) }, Eject),
     ];
     for (input, expected) in rows {
         assert_eq!(verdict_in_broadcast_mode(&input), expected, "broadcast mode: {input:?}");
@@ -151,3 +154,18 @@
     assert_eq!(verdict_in_broadcast_mode(&responding), HealthVerdict::Unchanged);
     assert_eq!(verdict_in_large_fleet(&responding), HealthVerdict::Unchanged);
 }
+
+#[test]
+fn the_fourth_error_in_a_row_ejects_an_endpoint_and_the_second_failure_a_class() {
+    let mut health = EndpointHealth::new(0.0);
+    let verdicts = [0.0; 4].map(|now_ms| {
+        health.record_outcome(Outcome::Error, now_ms, ERROR_GAIN);
+        let error_fraction = health.error_fraction();
+        verdict_in_broadcast_mode(&AttemptFailureInput { error_fraction, ..ended(Outcome::Error) })
+    });
+    let unchanged = HealthVerdict::Unchanged;
+    assert_eq!(verdicts, [unchanged, unchanged, unchanged, HealthVerdict::Eject]);
+    let mut observed = ObservedHealth::new(0.0);
+    let mut fails = || fails_class(observed.record_failure(ClassIndex(0), CLASS_FAILURE_GAIN));
+    assert_eq!([fails(), fails()], [false, true]);
+}
