--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -158,20 +158,46 @@
             .position(|addr| *addr == sender)
             .map(GatewayIndex)
             .filter(|peer| *peer != self.own_index);
-        match (from, std::str::from_utf8(datagram)) {
-            (Some(from), Ok(body)) if datagram.len() <= MAX_DATAGRAM_BYTES => {
-                handler.on_peer_message(from, body.to_string());
+        match read_message(from, datagram) {
+            Ok((from, body)) => handler.on_peer_message(from, body.to_string()),
+            Err(reason) => {
+                let bytes = datagram.len();
+                tracing::warn!(target: target::PEERS, %sender, bytes, %reason, "datagram ignored");
             }
-            _ => tracing::warn!(
-                target: target::PEERS,
-                %sender,
-                bytes = datagram.len(),
-                reason = "not from a configured peer, not text, or too long",
-                "datagram ignored"
-            ),
         }
     }
 }
 
+/// Why a datagram is ignored. A message that was cut off or comes from elsewhere could make quotas wrong.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
+enum IgnoredDatagram {
+    /// Its sender's address is not that of another gateway of the fleet.
+    #[error("not from a configured peer")]
+    UnknownSender,
+    /// It is longer than a message may be.
+    #[error("too long")]
+    TooLong,
+    /// It is not UTF-8.
+    #[error("not text")]
+    NotText,
+}
+
+/// The sender and the text of a datagram. `from` is the peer that has the sender's address.
+///
+/// # Errors
+///
+/// Fails with the first reason for which it is ignored.
+fn read_message(
+    from: Option<GatewayIndex>,
+    datagram: &[u8],
+) -> Result<(GatewayIndex, &str), IgnoredDatagram> {
+    let from = from.ok_or(IgnoredDatagram::UnknownSender)?;
+    if datagram.len() > MAX_DATAGRAM_BYTES {
+        return Err(IgnoredDatagram::TooLong);
+    }
+    let body = std::str::from_utf8(datagram).map_err(|_| IgnoredDatagram::NotText)?;
+    Ok((from, body))
+}
+
 #[cfg(test)]
 mod tests;
--- a/crates/gateway/src/peers/tests.rs
+++ b/crates/gateway/src/peers/tests.rs
@@ -38,3 +38,25 @@
         assert_eq!(&buffer[..length], format!("message {number}").as_bytes());
     }
 }
+
+/// Datagrams may come from anyone, and a message that is longer than the buffer arrives cut off. Applied,
+/// it could make quotas wrong. Expected: only text of at most 256 bytes from a configured peer is a
+/// message.
+#[test]
+fn only_a_short_text_from_a_configured_peer_is_a_message() {
+    let peer = Some(GatewayIndex(3));
+    let longest = [b'x'; MAX_DATAGRAM_BYTES];
+    let too_long = [b'x'; MAX_DATAGRAM_BYTES + 1];
+    let text = std::str::from_utf8(&longest).expect("text");
+    let cases = [
+        (peer, &b"hi 7"[..], Ok((GatewayIndex(3), "hi 7"))),
+        (peer, b"", Ok((GatewayIndex(3), ""))),
+        (peer, &longest, Ok((GatewayIndex(3), text))),
+        (None, b"hi 7", Err(IgnoredDatagram::UnknownSender)),
+        (peer, &too_long, Err(IgnoredDatagram::TooLong)),
+        (peer, b"\xff\xfe", Err(IgnoredDatagram::NotText)),
+    ];
+    for (from, datagram, expected) in cases {
+        assert_eq!(read_message(from, datagram), expected, "{from:?} {datagram:?}");
+    }
+}
