--- a/crates/gateway/src/http_connection/mod.rs
+++ b/crates/gateway/src/http_connection/mod.rs
@@ -3,8 +3,12 @@
 //!
 //! The connection and the request are driven by the same future. Dropping that future closes the socket at
 //! once, so no request outlives its attempt, and nothing is ever sent again.
+mod idle_check;
 mod observed_stream;
+#[cfg(test)]
+mod tests;
 
+pub(crate) use self::idle_check::IdleCheck;
 use self::observed_stream::{ExchangeState, ObservedStream};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
@@ -87,27 +91,22 @@
         WriteStatus(self.state.clone())
     }
 
-    /// Whether the connection can carry another request.
-    ///
-    /// The far end may have closed it: a request written then ends with a reset, and may have been
-    /// processed. Or it may have sent surplus bytes after its last response, which would be taken for the
-    /// response to the next request. The runtime may not have noticed either yet, so this also looks at the
-    /// socket itself.
+    /// Whether the connection can carry another request; see [`check_idle`](Self::check_idle).
     pub(crate) fn is_usable(&mut self) -> bool {
+        self.check_idle() == IdleCheck::Usable
+    }
+
+    /// Looks at a connection that carries no request.
+    ///
+    /// The runtime may not have noticed yet what the far end did, so this also looks at the socket itself.
+    pub(crate) fn check_idle(&mut self) -> IdleCheck {
         let mut cx = Context::from_waker(Waker::noop());
         self.state.response_begun.set(false);
-        let idle = self.driver.as_mut().poll(&mut cx).is_pending() && self.sender.is_ready();
+        let is_ready = self.driver.as_mut().poll(&mut cx).is_pending() && self.sender.is_ready();
+        let unread = SockRef::from(&*self.stream.borrow()).peek(&mut [MaybeUninit::uninit()]);
         // hyper may have read surplus bytes during this poll, and would report them as an error only in the
-        // next one.
-        let waiting = SockRef::from(&*self.stream.borrow()).peek(&mut [MaybeUninit::uninit()]);
-        let surplus = self.state.response_begun.get() || matches!(waiting, Ok(1));
-        self.state.surplus_received.set(surplus);
-        idle && !surplus && matches!(waiting, Err(error) if error.kind() == io::ErrorKind::WouldBlock)
-    }
-
-    /// Whether [`is_usable`](Self::is_usable), when it was last called, found surplus bytes.
-    pub(crate) fn received_surplus(&self) -> bool {
-        self.state.surplus_received.get()
+        // next.
+        IdleCheck::new(is_ready, self.state.response_begun.get(), &unread)
     }
 
     /// Sends a request and waits for the complete response.
--- a/crates/gateway/src/http_connection/observed_stream.rs
+++ b/crates/gateway/src/http_connection/observed_stream.rs
@@ -18,8 +18,6 @@
     pub(super) response_begun: Cell<bool>,
     /// Whether the far end has closed the connection, or it broke.
     pub(super) connection_ended: Cell<bool>,
-    /// Whether bytes have arrived that did not belong to the last response.
-    pub(super) surplus_received: Cell<bool>,
     /// The number of interim responses that arrived. It is in an `Arc` because hyper's callback must be
     /// `Send` and `Sync`.
     pub(super) interim_responses: Arc<AtomicU32>,
--- /dev/null
+++ b/crates/gateway/src/http_connection/tests.rs
@@ -0,0 +1,25 @@
+//! What an idle connection is found to be, branch by branch.
+use super::IdleCheck;
+use std::io::{Error, ErrorKind, Result};
+
+/// A connection that is reused although its far end has closed it, or has sent bytes on it, loses the next
+/// request or gives it a response that is not its own. Expected: it is usable only if it is ready and
+/// nothing is there to read.
+#[test]
+fn a_connection_is_usable_only_if_it_is_ready_and_has_nothing_to_read() {
+    let nothing = || -> Result<usize> { Err(ErrorKind::WouldBlock.into()) };
+    let cases = [
+        (true, false, nothing(), IdleCheck::Usable),
+        (false, false, nothing(), IdleCheck::Ended),
+        (true, false, Ok(0), IdleCheck::Ended),
+        (true, false, Err(Error::from(ErrorKind::ConnectionReset)), IdleCheck::Ended),
+        (true, false, Ok(1), IdleCheck::SurplusReceived),
+        (false, false, Ok(1), IdleCheck::SurplusReceived),
+        (true, true, nothing(), IdleCheck::SurplusReceived),
+        (false, true, Ok(0), IdleCheck::SurplusReceived),
+    ];
+    for (is_ready, has_read_bytes, unread, expected) in cases {
+        let check = IdleCheck::new(is_ready, has_read_bytes, &unread);
+        assert_eq!(check, expected, "{is_ready} {has_read_bytes} {unread:?}");
+    }
+}
--- a/crates/gateway/src/upstream/pool.rs
+++ b/crates/gateway/src/upstream/pool.rs
@@ -3,7 +3,7 @@
 use crate::clock::duration_from_ms;
 use crate::connection_budget::{ConnectionBudget, ConnectionPermit, PooledConnection};
 use crate::discovery::DiscoveredEndpoint;
-use crate::http_connection::HttpConnection;
+use crate::http_connection::{HttpConnection, IdleCheck};
 use crate::idle_connections::IdleConnections;
 use irishinge_admission::{EndpointId, EndpointState, ListKind};
 use irishinge_settings::SocketSettings;
@@ -123,13 +123,14 @@
         endpoint.idle.take(allows_reuse, |connection| self.is_usable(connection))
     }
 
-    /// Whether a connection can carry another request, now or after the reuse delay.
+    /// Whether a connection can carry another request, now or after the reuse delay. Surplus bytes begin
+    /// the delay.
     pub(super) fn is_usable(&self, connection: &mut HttpConnection) -> bool {
-        let usable = connection.is_usable();
-        if connection.received_surplus() {
+        let check = connection.check_idle();
+        if check == IdleCheck::SurplusReceived {
             self.reuse_delay.begin(Instant::now());
         }
-        usable
+        check == IdleCheck::Usable
     }
 
     /// Returns a connection to the pool, or closes it if it is not usable, or if its endpoint accepts no more
