--- a/crates/gateway/src/discovery/watch.rs
+++ b/crates/gateway/src/discovery/watch.rs
@@ -28,20 +28,20 @@
 /// Keeps the endpoint list current and never returns. `addr` is discovery's address, which a reload may
 /// change.
 ///
-/// Where lists are polled, the watch starts from `known_revision`, so that discovery writes the changes
+/// Where lists are polled, the watch starts from `cached_revision`, so that discovery writes the changes
 /// only. It restarts with the complete list after an outage, at a new address and, where lists are pushed,
 /// on each connection. A polled list is on a lease: when that runs out, nothing may be sent until discovery
 /// has responded.
 pub(crate) async fn watch_endpoint_list<O: EndpointListObserver + Clone + 'static>(
     observer: O,
     mut addr: watch::Receiver<SocketAddr>,
-    known_revision: Option<u64>,
+    cached_revision: Option<u64>,
     policy: RefreshPolicy,
     seed: u64,
 ) {
     let schedule = RefreshSchedule::new(policy, seed, Instant::now());
     let (lease_end, lease_ends) = watch::channel(Instant::now());
-    let revision = ListRevision(known_revision);
+    let revision = ListRevision(cached_revision);
     let mut list_watch = EndpointListWatch { observer, revision, schedule, lease_end, is_healthy: true };
     list_watch.publish_lease();
     if policy.lease_duration.is_some() {
--- a/crates/gateway/src/startup.rs
+++ b/crates/gateway/src/startup.rs
@@ -79,7 +79,7 @@
         Rc::new(Peers::bind(config.peer_listen, config.peers, settings.me, accepted_per_second).await?);
     let quota_counter = QuotaCounter::new(config.counter, socket_settings.counter_timeout_ms);
     let dispatcher = Dispatcher::new(gateway, clock, config.names, upstream, peers.clone(), quota_counter);
-    let known_revision = restore_cached_list(&dispatcher, config.cached_list);
+    let cached_revision = restore_cached_list(&dispatcher, config.cached_list);
 
     let listener = listen(config.listen, &peers).await?;
     let times = ShutdownTimes::new(&settings);
@@ -95,13 +95,8 @@
     // These tasks run until the process ends: `main` drops the `LocalSet` that owns them before the
     // runtime. The shutdown aborts only the one that accepts connections.
     spawn_local(dispatcher.clone().run_timers());
-    spawn_local(watch_endpoint_list(
-        dispatcher.clone(),
-        watched_addr,
-        known_revision,
-        refresh_policy,
-        config.seed,
-    ));
+    let observer = dispatcher.clone();
+    spawn_local(watch_endpoint_list(observer, watched_addr, cached_revision, refresh_policy, config.seed));
     spawn_local(receive_from_peers(peers, dispatcher.clone()));
     spawn_local(close_stale_connections(dispatcher.clone()));
     let accepting = spawn_local(downstream.clone().accept(listener.clone()));
