--- a/crates/admission/src/coordination/counter_calls.rs
+++ b/crates/admission/src/coordination/counter_calls.rs
@@ -33,7 +33,7 @@
     pub(crate) fn request_from_counter(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(active) = self.requests.get(id) else { return };
         let (tag, plan_index) = (active.tag, active.request.plan);
-        let (units, is_repeat) = (active.request.units, active.request.repeat);
+        let (units, is_client_retry) = (active.request.units, active.request.is_client_retry);
         let gateways = GatewaySet::of_request(&active.request, self.settings.gateways);
         let now_ms = self.clock.now_ms();
         let (customer, plan) = self.customer_with_plan(tag, plan_index, gateways);
@@ -44,7 +44,7 @@
         let quota = if is_surely_over_quota(tokens_at_most, units) {
             decide_over_quota(plan)
         } else {
-            self.call_or_admit(tag, id, units, is_repeat)
+            self.call_or_admit(tag, id, units, is_client_retry)
         };
         if let Some(active) = self.requests.get_mut(id) {
             active.set_quota(quota);
@@ -53,8 +53,14 @@
     }
 
     /// Queues a call for a request where it is sampled; else admits it uncounted.
-    fn call_or_admit(&mut self, tag: CustomerTag, id: RequestId, units: f64, is_repeat: bool) -> QuotaState {
-        let Some(counted) = self.sample_for_counter(id, units, is_repeat) else {
+    fn call_or_admit(
+        &mut self,
+        tag: CustomerTag,
+        id: RequestId,
+        units: f64,
+        is_client_retry: bool,
+    ) -> QuotaState {
+        let Some(counted) = self.sample_for_counter(id, units, is_client_retry) else {
             return QuotaState::AdmittedUncounted;
         };
         if let Some(customer) = self.customers.get_mut(tag) {
@@ -68,11 +74,11 @@
         &mut self,
         id: RequestId,
         units: f64,
-        is_repeat: bool,
+        is_client_retry: bool,
     ) -> Option<CountedRequest> {
         let sampling_fraction = self.counter_sampling_fraction();
         let draw = self.random.next_fraction();
-        let added_units = sample_request(SampleInput { sampling_fraction, is_repeat, draw, units })?;
+        let added_units = sample_request(SampleInput { sampling_fraction, is_client_retry, draw, units })?;
         Some(CountedRequest { id, units, added_units })
     }
 
--- a/crates/admission/src/coordination/gossip_exchange.rs
+++ b/crates/admission/src/coordination/gossip_exchange.rs
@@ -48,7 +48,7 @@
         mut message: GossipMessage,
         actions: &mut Vec<Action>,
     ) {
-        if to == self.settings.me {
+        if to == self.settings.this_gateway {
             return self.on_quota_messages(to, message, actions);
         }
         let means = self.fleet_means.passed_on();
--- a/crates/admission/src/coordination/quota_ownership.rs
+++ b/crates/admission/src/coordination/quota_ownership.rs
@@ -91,7 +91,7 @@
         let first = GatewayIndex(request.first_gateway as usize);
         let len = request.gateways as usize;
         let gateways = GatewaySet::checked(first, len, self.settings.gateways)?;
-        (gateways.contains(from) && gateways.contains(self.settings.me)).then_some(gateways)
+        (gateways.contains(from) && gateways.contains(self.settings.this_gateway)).then_some(gateways)
     }
 
     /// A quota request in the owner's terms: its units bounded, its wait budget as a time.
--- a/crates/admission/src/coordination/quota_requests.rs
+++ b/crates/admission/src/coordination/quota_requests.rs
@@ -49,7 +49,7 @@
     fn request_quota(&mut self, id: RequestId, retries: u32, actions: &mut Vec<Action>) {
         let Some(active) = self.requests.get(id) else { return };
         let now_ms = self.clock.now_ms();
-        let me = self.settings.me;
+        let this_gateway = self.settings.this_gateway;
         let wait_budget = WaitBudget::from_ms(self.grant_useful_until_ms(active) - now_ms);
         let (tag, previous) = (active.tag, active.quota());
         let (plan, units) = (active.request.plan, active.request.units);
@@ -60,10 +60,10 @@
         let sampling_fraction = SamplingFraction::nearest_above_zero(sampling);
         let Some(gossip) = self.coordination.gossip_mut() else { return };
         let is_suspected = |gateway| gossip.is_suspected(gateway, now_ms);
-        let owner = select_owner(gateways.rendezvous_ranking(tag), is_suspected, me);
+        let owner = select_owner(gateways.rendezvous_ranking(tag), is_suspected, this_gateway);
         let number = gossip.requests.number_for(previous, owner);
         let route = route_quota_request(QuotaRouteInput {
-            owns_quota: owner == me,
+            owns_quota: owner == this_gateway,
             retries,
             sampling: sampling_fraction,
             draw: self.random.next_fraction(),
@@ -96,7 +96,7 @@
     ) {
         let Some(gossip) = self.coordination.gossip_mut() else { return };
         let Some(active) = self.requests.get_mut(id) else { return };
-        if owner != self.settings.me {
+        if owner != self.settings.this_gateway {
             gossip.spend_message_tokens(TOKENS_PER_QUOTA_REQUEST);
         }
         let number = request.number;
--- a/crates/admission/src/event.rs
+++ b/crates/admission/src/event.rs
@@ -37,7 +37,7 @@
     /// Changed entries only.
     Changes,
     /// All entries; an endpoint not among them is gone.
-    Whole,
+    Complete,
     /// All entries, as last cached before a restart of the gateway; they may be old.
     Remembered,
     /// A poll of the list failed; the entries known stay.
@@ -64,9 +64,9 @@
     /// The first of these gateways. The others follow it by number, and number 0 follows the last gateway.
     pub first_gateway: GatewayIndex,
     /// The client marked it as its own retry of a rejected or failed request.
-    pub repeat: bool,
+    pub is_client_retry: bool,
     /// It is a write.
-    pub write: bool,
+    pub is_write: bool,
 }
 
 /// How an attempt ended.
--- a/crates/admission/src/event_handling.rs
+++ b/crates/admission/src/event_handling.rs
@@ -46,7 +46,8 @@
         }
     }
 
-    /// Runs a round of upkeep. In broadcast mode every timer does; in a large fleet one that is early does not.
+    /// Runs a round of upkeep. In broadcast mode every timer does; in a large fleet one that is early does
+    /// not.
     fn on_timer(&mut self, actions: &mut Vec<Action>) {
         match self.coordination.fleet_mode() {
             FleetMode::Broadcast => self.upkeep_in_broadcast_mode(actions),
@@ -69,7 +70,7 @@
         self.refill_warm_up_tokens();
         self.measure_saturation();
         self.finish_overdue_requests(actions);
-        self.rescue_stalled(actions);
+        self.act_on_stalled_attempts(actions);
         self.step_watermark();
         self.broadcast_counts_if_due(actions);
         self.evict_idle_customers_if_due();
@@ -83,7 +84,7 @@
         }
         self.measure_saturation();
         self.finish_overdue_requests(actions);
-        self.rescue_stalled(actions);
+        self.act_on_stalled_attempts(actions);
         if self.review_is_due() {
             self.update_means();
         }
--- a/crates/admission/src/lifecycle/customers.rs
+++ b/crates/admission/src/lifecycle/customers.rs
@@ -51,9 +51,10 @@
     /// This gateway's fraction of a customer's hard ceiling.
     fn ceiling_fraction(&self, tag: CustomerTag, gateways: &GatewaySet) -> f64 {
         match self.coordination {
-            Coordination::Gossip(_) => {
-                ceiling_fraction_by_ranking(gateways.len(), gateways.ranking_position(tag, self.settings.me))
-            }
+            Coordination::Gossip(_) => ceiling_fraction_by_ranking(
+                gateways.len(),
+                gateways.ranking_position(tag, self.settings.this_gateway),
+            ),
             Coordination::Broadcast(_) | Coordination::Counter(_) | Coordination::Isolated => {
                 even_ceiling_fraction(gateways.len())
             }
--- a/crates/admission/src/lifecycle/endpoint_choice.rs
+++ b/crates/admission/src/lifecycle/endpoint_choice.rs
@@ -50,8 +50,10 @@
         &'a self,
         active: &'a ActiveRequest,
     ) -> impl Iterator<Item = &'a Endpoint> + 'a {
-        let scope = self.repeat_scope(active);
-        self.endpoints.sendable().filter(move |endpoint| scope.includes(endpoint, active.risky_attempts()))
+        let scope = self.retry_scope(active);
+        self.endpoints
+            .sendable()
+            .filter(move |endpoint| scope.includes(endpoint, active.attempts_that_may_have_run()))
     }
 
     /// Broadcast mode: an endpoint with what it costs; `None` where it has no warm-up token left.
--- a/crates/admission/src/lifecycle/queue_dispatch.rs
+++ b/crates/admission/src/lifecycle/queue_dispatch.rs
@@ -110,7 +110,7 @@
             peer_in_flight: peers.in_flight,
             busy_peers: peers.busy,
             gateways: customer.gateways().len() as u32,
-            place: customer.gateways().place(active.tag, self.settings.me),
+            place: customer.gateways().place(active.tag, self.settings.this_gateway),
         }
     }
 }
--- a/crates/admission/src/lifecycle/retries.rs
+++ b/crates/admission/src/lifecycle/retries.rs
@@ -1,20 +1,24 @@
-//! What the rules of retries go by, and how retries and rescues are carried out.
+//! What the rules of retries go by, and how retries and the actions on stalled attempts are carried out.
 use crate::action::Action;
 use crate::gateway::Gateway;
 use crate::id::{ClassIndex, RequestId};
 use crate::policy::retry;
 use crate::policy::retry::{
-    PendingAttemptInput, RepeatInput, RepeatScope, Rescue, RescueInput, RetryDecision, RetryInput,
+    PendingAttemptInput, RetryDecision, RetryInput, RetryScope, RetryScopeInput, StalledAction,
+    StalledActionInput,
 };
 use crate::state::{ActiveRequest, AttemptRef, EjectionScope, FleetMode, PendingAttempt};
 
 impl Gateway {
     /// The endpoints at which a request may have another attempt, by what its class and earlier attempts
     /// allow.
-    pub(crate) fn repeat_scope(&self, active: &ActiveRequest) -> RepeatScope {
+    pub(crate) fn retry_scope(&self, active: &ActiveRequest) -> RetryScope {
         let now_ms = self.clock.now_ms();
-        retry::repeat_scope(&RepeatInput {
-            since_first_risky_ms: active.risky_attempts().next().map(|first| now_ms - first.sent_ms),
+        retry::retry_scope(&RetryScopeInput {
+            since_first_possible_run_ms: active
+                .attempts_that_may_have_run()
+                .next()
+                .map(|first| now_ms - first.sent_ms),
             has_attempt_in_flight: active.has_pending(),
             hedging_allowed: self.settings.hedging_allowed,
             idempotency: self.settings.class(active.request.class).idempotency,
@@ -42,7 +46,7 @@
 
     /// Hedges or cancels stalled attempts. In a correlated failure there is no better endpoint to send them
     /// to.
-    pub(crate) fn rescue_stalled(&mut self, actions: &mut Vec<Action>) {
+    pub(crate) fn act_on_stalled_attempts(&mut self, actions: &mut Vec<Action>) {
         if self.outliers.is_correlated_failure() {
             return;
         }
@@ -55,15 +59,15 @@
             }
         };
         for attempt in stalled {
-            self.rescue(attempt, actions);
+            self.act_on_stalled_attempt(attempt, actions);
         }
     }
 
     /// Does what the rule says about a stalled attempt.
-    fn rescue(&mut self, stalled: AttemptRef, actions: &mut Vec<Action>) {
+    fn act_on_stalled_attempt(&mut self, stalled: AttemptRef, actions: &mut Vec<Action>) {
         let AttemptRef { request, attempt } = stalled;
         let Some(active) = self.requests.get(request) else { return };
-        let rescue = retry::rescue(&RescueInput {
+        let action = retry::stalled_action(&StalledActionInput {
             is_closed: active.is_closed(),
             attempts: active.attempt_count(),
             max_attempts: self.settings.max_attempts,
@@ -73,12 +77,12 @@
             cancel_allowed: self.settings.cancel_allowed,
             retry_tokens: self.retries.tokens(),
         });
-        match rescue {
-            Rescue::Hedge => {
+        match action {
+            StalledAction::Hedge => {
                 self.retry(request, actions);
             }
-            Rescue::Cancel => actions.push(Action::Cancel { request, attempt }),
-            Rescue::Leave => {}
+            StalledAction::Cancel => actions.push(Action::Cancel { request, attempt }),
+            StalledAction::Leave => {}
         }
     }
 
--- a/crates/admission/src/messages/counts_message.rs
+++ b/crates/admission/src/messages/counts_message.rs
@@ -47,7 +47,8 @@
 /// Mask of sequence numbers, which have 12 bits.
 const SEQUENCE_MASK: u32 = max_value(SEQUENCE_DIGITS);
 
-/// Half the range of sequence numbers: one that is ahead by less is newer, one that is ahead by more is older.
+/// Half the range of sequence numbers: one that is ahead by less is newer, one that is ahead by more is
+/// older.
 const MAX_SEQUENCE_LEAD: u32 = SEQUENCE_MASK / 2;
 
 /// Mask of incarnations, which have 18 bits.
--- a/crates/admission/src/messages/quota_message.rs
+++ b/crates/admission/src/messages/quota_message.rs
@@ -59,7 +59,7 @@
     Queued,
     /// Over the quota, but plan and ceiling allow it while there is capacity.
     OverQuotaAllowed,
-    /// Over the quota or the ceiling.
+    /// Over the quota or the ceiling, or as many requests wait for a slot as may.
     OverQuota,
 }
 
--- a/crates/admission/src/policy/admission/elapsed_wait.rs
+++ b/crates/admission/src/policy/admission/elapsed_wait.rs
@@ -21,7 +21,7 @@
     pub(crate) votes_for_another_budget: Option<i32>,
     /// Latency objective of the class, in ms.
     pub(crate) latency_objective_ms: f64,
-    /// Whole time that clients of the class wait, in ms.
+    /// How long clients of the class wait in all, in ms.
     pub(crate) deadline_ms: f64,
 }
 
--- a/crates/admission/src/policy/band/band_bounds.rs
+++ b/crates/admission/src/policy/band/band_bounds.rs
@@ -8,9 +8,9 @@
 /// Fraction of the band's middle above which the endpoints are saturated, in both modes.
 pub(crate) const SATURATED_FILL: f64 = 0.5;
 
-/// The stock's position in broadcast mode. A gateway with less in flight than an even fraction of the
-/// lower bound counts as under both bounds, whatever the stock: else peers with a higher watermark could keep it from
-/// sending at all.
+/// The stock's position in broadcast mode. A gateway with less in flight than an even fraction of the lower
+/// bound counts as under both bounds, whatever the stock: else peers with a higher watermark could keep it
+/// from sending at all.
 pub(crate) fn position_in_broadcast_mode(band: &Band) -> BandPosition {
     let lower = band.middle * (1.0 - BAND_DEVIATION);
     let upper = band.middle * (1.0 + BAND_DEVIATION);
--- a/crates/admission/src/policy/outlier/stall.rs
+++ b/crates/admission/src/policy/outlier/stall.rs
@@ -40,8 +40,8 @@
 
 /// Time without any response while attempts are in flight, in multiples of what counts as a stall.
 ///
-/// It is measured against the age of this gateway's attempts at all endpoints, so that none is stalled where
-/// all slow down.
+/// One attempt is a stall after 5 expected response times, two or more are after 2.5. What is expected grows
+/// with the age of this gateway's attempts at all endpoints, so that none is stalled where all slow down.
 pub(crate) fn stall_ratio(input: &StallInput) -> f64 {
     let stalled_ms = input.now_ms - input.oldest_sent_ms.max(input.last_response_ms);
     let relative = input.relative_response_time.max(1.0);
--- a/crates/admission/src/policy/quota_counter/counter_sampling.rs
+++ b/crates/admission/src/policy/quota_counter/counter_sampling.rs
@@ -24,8 +24,8 @@
 pub(crate) struct SampleInput {
     /// Fraction of the requests that the counter is called for, 0 to 1.
     pub(crate) sampling_fraction: f64,
-    /// The client marked the request as a repeat.
-    pub(crate) is_repeat: bool,
+    /// The client marked the request as its own retry.
+    pub(crate) is_client_retry: bool,
     /// A number drawn evenly from 0 to 1.
     pub(crate) draw: f64,
     /// Units of the request.
@@ -43,9 +43,9 @@
 }
 
 /// Units to add to the count for a request and for those that it stands for; `None` where it is not sampled.
-/// A repeat is always sampled: most likely its customer is over the quota.
+/// A client's retry is always sampled: most likely its customer is over the quota.
 pub(crate) fn sample_request(input: SampleInput) -> Option<f64> {
-    let fraction = if input.is_repeat { 1.0 } else { input.sampling_fraction };
+    let fraction = if input.is_client_retry { 1.0 } else { input.sampling_fraction };
     let weight = (1.0 / fraction).min(MAX_SAMPLE_WEIGHT);
     (input.draw < fraction).then_some(input.units * weight)
 }
--- a/crates/admission/src/policy/quota_owner/owner_selection.rs
+++ b/crates/admission/src/policy/quota_owner/owner_selection.rs
@@ -9,15 +9,15 @@
 const SUSPECT_MS: f64 = 2500.0;
 
 /// The owner of a customer's quota: the first gateway of the ranking that is not suspected. Every gateway
-/// computes the same ranking, so they agree on the owner without a message. `me` is this gateway, which
-/// decides itself where all others are suspected.
+/// computes the same ranking, so they agree on the owner without a message. `this_gateway` decides
+/// itself where all others are suspected.
 pub(crate) fn select_owner(
     ranking: impl Iterator<Item = RankedGateway>,
     is_suspected: impl Fn(GatewayIndex) -> bool,
-    me: GatewayIndex,
+    this_gateway: GatewayIndex,
 ) -> GatewayIndex {
     let reachable = ranking.filter(|ranked| !is_suspected(ranked.gateway));
-    reachable.min().map_or(me, |ranked| ranked.gateway)
+    reachable.min().map_or(this_gateway, |ranked| ranked.gateway)
 }
 
 /// Until when a gateway is suspected that has missed this many responses in a row; `None` where it is not.
--- a/crates/admission/src/policy/retry/retry_decision.rs
+++ b/crates/admission/src/policy/retry/retry_decision.rs
@@ -10,10 +10,10 @@
 pub(crate) const MAX_RETRY_TOKENS: f64 = 20.0;
 
 /// Retry tokens that an attempt costs where an earlier one may have run: its work may be done twice.
-pub(crate) const RISKY_RETRY_COST: f64 = 1.0;
+pub(crate) const RETRY_COST_AFTER_POSSIBLE_RUN: f64 = 1.0;
 
 /// Retry tokens that an attempt costs where no earlier one ran.
-const SAFE_RETRY_COST: f64 = 0.2;
+const RETRY_COST_AFTER_NO_RUN: f64 = 0.2;
 
 /// What decides whether a request gets another attempt.
 #[derive(Debug, Clone, Copy)]
@@ -50,7 +50,8 @@
 
 /// Whether a request gets another attempt by its number, its time and the retry budget.
 pub(crate) fn decide_retry(input: &RetryInput) -> RetryDecision {
-    let cost_tokens = if input.may_have_run { RISKY_RETRY_COST } else { SAFE_RETRY_COST };
+    let cost_tokens =
+        if input.may_have_run { RETRY_COST_AFTER_POSSIBLE_RUN } else { RETRY_COST_AFTER_NO_RUN };
     if !has_attempt_left(input.is_closed, input.attempts, input.max_attempts) {
         RetryDecision::NoAttemptLeft
     } else if input.cannot_meet_deadline {
--- a/crates/admission/src/policy/retry/repeat_scope.rs
+++ b/crates/admission/src/policy/retry/retry_scope.rs
@@ -11,9 +11,9 @@
 
 /// What decides where a request may have another attempt.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct RepeatInput {
+pub(crate) struct RetryScopeInput {
     /// Time since the oldest attempt that may have run was sent, in ms; `None` where none may have run.
-    pub since_first_risky_ms: Option<f64>,
+    pub since_first_possible_run_ms: Option<f64>,
     /// An attempt is in flight.
     pub has_attempt_in_flight: bool,
     /// Two attempts of a request may be in flight at once, from the settings.
@@ -26,51 +26,52 @@
 
 /// The endpoints at which a request may have another attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum RepeatScope {
+pub(crate) enum RetryScope {
     /// All.
     AnyEndpoint,
-    /// Those that drop a repeat of the idempotency key of every earlier attempt.
+    /// Those that deduplicate together with the endpoints of all earlier attempts that may have run.
     DedupGroup(DedupGroup),
     /// None.
     NoEndpoint,
 }
 
 /// Where a request may have another attempt. A request that never ran may go anywhere.
-pub(crate) fn repeat_scope(input: &RepeatInput) -> RepeatScope {
-    let Some(since_first_ms) = input.since_first_risky_ms else { return RepeatScope::AnyEndpoint };
+pub(crate) fn retry_scope(input: &RetryScopeInput) -> RetryScope {
+    let Some(since_first_ms) = input.since_first_possible_run_ms else { return RetryScope::AnyEndpoint };
     if !input.hedging_allowed && input.has_attempt_in_flight {
-        return RepeatScope::NoEndpoint;
+        return RetryScope::NoEndpoint;
     }
     match input.idempotency {
-        Idempotency::Idempotent => RepeatScope::AnyEndpoint,
-        Idempotency::NonIdempotent => RepeatScope::NoEndpoint,
+        Idempotency::Idempotent => RetryScope::AnyEndpoint,
+        Idempotency::NonIdempotent => RetryScope::NoEndpoint,
         Idempotency::IdempotencyKey { group, window_ms } => {
             let limit_ms = KEY_WINDOW_FRACTION * window_ms - KEY_WINDOW_ROUNDS * input.tick_ms;
             if since_first_ms < limit_ms {
-                RepeatScope::DedupGroup(group)
+                RetryScope::DedupGroup(group)
             } else {
-                RepeatScope::NoEndpoint
+                RetryScope::NoEndpoint
             }
         }
     }
 }
 
-impl RepeatScope {
-    /// Whether an endpoint is among these. `risky_attempts` are the request's attempts that may have run.
+impl RetryScope {
+    /// Whether an endpoint is among these. `attempts_that_may_have_run` are the request's attempts that may
+    /// have run.
     pub(crate) fn includes<'a>(
         self,
         endpoint: &Endpoint,
-        mut risky_attempts: impl Iterator<Item = &'a Attempt>,
+        mut attempts_that_may_have_run: impl Iterator<Item = &'a Attempt>,
     ) -> bool {
         match self {
-            RepeatScope::AnyEndpoint => true,
-            RepeatScope::NoEndpoint => false,
-            RepeatScope::DedupGroup(DedupGroup::All) => true,
-            RepeatScope::DedupGroup(DedupGroup::Zone) => {
-                risky_attempts.all(|attempt| attempt.zone() == endpoint.zone())
+            RetryScope::AnyEndpoint => true,
+            RetryScope::NoEndpoint => false,
+            RetryScope::DedupGroup(DedupGroup::All) => true,
+            RetryScope::DedupGroup(DedupGroup::Zone) => {
+                attempts_that_may_have_run.all(|attempt| attempt.zone() == endpoint.zone())
             }
-            RepeatScope::DedupGroup(DedupGroup::Cell) => {
-                risky_attempts.all(|attempt| attempt.cell() == endpoint.cell())
+            RetryScope::DedupGroup(DedupGroup::Cell) => {
+                attempts_that_may_have_run.all(|attempt| attempt.cell() == endpoint.cell())
             }
         }
     }
--- a/crates/admission/src/policy/retry/rescue.rs
+++ b/crates/admission/src/policy/retry/stalled_action.rs
@@ -2,12 +2,12 @@
 //!
 //! It guards against hung machines and lost zones: their attempts fail only by the time-out, which is often
 //! too late for a retry. A stall is noticed earlier, whatever its cause.
-use crate::policy::retry::retry_decision::{has_attempt_left, RISKY_RETRY_COST};
+use crate::policy::retry::retry_decision::{has_attempt_left, RETRY_COST_AFTER_POSSIBLE_RUN};
 use crate::settings::Idempotency;
 
 /// What decides about a request with a stalled attempt.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct RescueInput {
+pub(crate) struct StalledActionInput {
     /// The request has its final response, or its client has disconnected.
     pub is_closed: bool,
     /// Attempts that it has had.
@@ -28,7 +28,7 @@
 
 /// What is done about a stalled attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Rescue {
+pub(crate) enum StalledAction {
     /// A hedged request is sent beside it, where a retry is allowed.
     Hedge,
     /// It is cancelled, so that its end brings a retry.
@@ -38,18 +38,18 @@
 }
 
 /// What is done about a stalled attempt. It is cancelled only where a retry can follow.
-pub(crate) fn rescue(input: &RescueInput) -> Rescue {
+pub(crate) fn stalled_action(input: &StalledActionInput) -> StalledAction {
     let has_attempt_left = has_attempt_left(input.is_closed, input.attempts, input.max_attempts);
     let is_hedged = input.in_flight > 1;
     if !has_attempt_left || is_hedged {
-        return Rescue::Leave;
+        return StalledAction::Leave;
     }
     let may_repeat = input.idempotency != Idempotency::NonIdempotent;
     if input.hedging_allowed {
-        Rescue::Hedge
-    } else if input.cancel_allowed && may_repeat && input.retry_tokens >= RISKY_RETRY_COST {
-        Rescue::Cancel
+        StalledAction::Hedge
+    } else if input.cancel_allowed && may_repeat && input.retry_tokens >= RETRY_COST_AFTER_POSSIBLE_RUN {
+        StalledAction::Cancel
     } else {
-        Rescue::Leave
+        StalledAction::Leave
     }
 }
--- a/crates/admission/src/policy/selection/attempt_cost.rs
+++ b/crates/admission/src/policy/selection/attempt_cost.rs
@@ -3,7 +3,7 @@
 use crate::policy::slow_start::{is_warming_up, WARM_UP_BUDGET_FRACTION, WARM_UP_WEIGHT};
 
 /// Factor on the cost of an endpoint that the request was sent to before.
-const REPEAT_COST: f64 = 4.0;
+const ATTEMPTED_BEFORE_COST: f64 = 4.0;
 
 /// Factor on the cost of an endpoint of another zone, in broadcast mode.
 const REMOTE_ZONE_COST: f64 = 1.1;
@@ -42,7 +42,7 @@
 /// that is warming up has no token left.
 pub(crate) fn cost_in_broadcast_mode(input: &BroadcastCostInput) -> Option<f64> {
     let mut cost = (input.in_flight as f64 + 1.0) / input.warm_fraction;
-    cost *= if input.was_attempted { REPEAT_COST } else { 1.0 };
+    cost *= if input.was_attempted { ATTEMPTED_BEFORE_COST } else { 1.0 };
     cost *= if input.is_local { 1.0 } else { REMOTE_ZONE_COST };
     cost *= input.relative_response_time;
     if let Some(warm_up) = input.warm_up {
@@ -74,8 +74,9 @@
 
 /// Large fleets: the cost by own attempts in flight and by what the fleet observes.
 ///
-/// An endpoint that is warming up counts with at least the mean in flight: with few attempts or none it would
-/// otherwise draw most of the work.
+/// The load counts squared, so that a busy endpoint is drawn far more seldom. An endpoint that is warming up
+/// counts with at least the mean in flight: with few attempts or none it would otherwise draw most of the
+/// work.
 pub(crate) fn cost_in_large_fleet(input: &LargeFleetCostInput) -> f64 {
     let is_warming_up = is_warming_up(input.warm_fraction);
     let least_in_flight = if is_warming_up { input.mean_warm_in_flight } else { 0.0 };
@@ -83,7 +84,7 @@
     let warm_up_weight = if is_warming_up { WARM_UP_WEIGHT } else { 1.0 };
     let kind = input.kind;
     let mut cost = load / input.warm_fraction;
-    cost *= if input.was_attempted { REPEAT_COST } else { 1.0 };
+    cost *= if input.was_attempted { ATTEMPTED_BEFORE_COST } else { 1.0 };
     cost *= load * kind.baseline * kind.excess * kind.excess / warm_up_weight;
     cost *= if input.is_unresponsive { UNRESPONSIVE_COST } else { 1.0 };
     cost
--- a/crates/admission/src/policy/selection/weighted_draw.rs
+++ b/crates/admission/src/policy/selection/weighted_draw.rs
@@ -55,6 +55,8 @@
     let capacities = candidates.iter().map(|candidate| (candidate.zone, candidate.capacity()));
     let local_fraction = local_fraction(capacities, context.local_zone);
     apply_warm_up_admission(&mut candidates, context.warm_up);
+    // Upkeep judges all endpoints of the list, but only now and then; these are the candidates of this
+    // request.
     let healthy = candidates.iter().filter(|candidate| !candidate.fitness.is_outlier).count();
     if !context.is_correlated_failure && !is_correlated_failure(healthy, candidates.len()) {
         candidates.retain(|candidate| !candidate.fitness.is_outlier);
--- a/crates/admission/src/policy/slow_start/warm_up_budget.rs
+++ b/crates/admission/src/policy/slow_start/warm_up_budget.rs
@@ -34,8 +34,8 @@
 
 /// The budget of this gateway for an endpoint that is warming up.
 ///
-/// It is the larger of two rates: an even quota of what all gateways may send, and what this gateway sends a
-/// warm endpoint of the kind. Even the sum of both would stay within a warm endpoint's capacity, because
+/// It is the larger of two rates: an even fraction of what all gateways may send, and what this gateway sends
+/// a warm endpoint of the kind. Even the sum of both would stay within a warm endpoint's capacity, because
 /// responses take longer the more it is sent. Attempts in flight show longer responses before these arrive.
 pub(crate) fn warm_up_budget(input: &WarmUpBudgetInput) -> WarmUpBudget {
     let warm_rate = WARM_PEER_FRACTION * input.warm_send_rate;
--- a/crates/admission/src/settings.rs
+++ b/crates/admission/src/settings.rs
@@ -6,7 +6,8 @@
 pub enum Idempotency {
     /// Running it again does no harm.
     Idempotent,
-    /// It has an idempotency key: endpoints of the group do not run a key again for a time after its first use.
+    /// It has an idempotency key: endpoints of the group do not run a key again for a time after its first
+    /// use.
     IdempotencyKey {
         /// The endpoints that deduplicate together.
         group: DedupGroup,
@@ -105,7 +106,7 @@
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Settings {
     /// This gateway's number, from 0.
-    pub me: GatewayIndex,
+    pub this_gateway: GatewayIndex,
     /// How many gateways the fleet has.
     pub gateways: usize,
     /// Shortest time between two rounds of events, in milliseconds.
@@ -136,8 +137,8 @@
     pub cold_start_fraction: f64,
     /// An endpoint is warm this long after its start at the latest, in milliseconds.
     pub warm_up_ms: f64,
-    /// Multiple of its present capacity from which an endpoint that is warming up is overloaded and fails, where
-    /// it is sent that much throughout `overload_window_ms`.
+    /// Multiple of its present capacity from which an endpoint that is warming up is overloaded and fails,
+    /// where it is sent that much throughout `overload_window_ms`.
     pub overload_multiple: f64,
     /// How long such an overload lasts until the endpoint fails, in milliseconds.
     pub overload_window_ms: f64,
@@ -181,7 +182,7 @@
         if self.plans.is_empty() {
             return Err(SettingsError::NoPlans);
         }
-        if self.me.0 >= self.gateways {
+        if self.this_gateway.0 >= self.gateways {
             return Err(SettingsError::NotAmongGateways);
         }
         self.classes.iter().try_for_each(ClassSettings::check)?;
@@ -246,7 +247,7 @@
     /// No plan is given.
     #[error("settings name no plan")]
     NoPlans,
-    /// `me` is not below the number of gateways.
+    /// `this_gateway` is not below the number of gateways.
     #[error("this gateway's number is not below the number of gateways")]
     NotAmongGateways,
     /// The named figure is negative, not finite, or zero where it must not be.
--- a/crates/admission/src/state/fleet/gateway_set.rs
+++ b/crates/admission/src/state/fleet/gateway_set.rs
@@ -6,7 +6,7 @@
 
 /// Numbers of the other gateways of the fleet.
 pub(crate) fn peer_indices(settings: &Settings) -> impl Iterator<Item = GatewayIndex> {
-    let me = settings.me;
+    let me = settings.this_gateway;
     (0..settings.gateways).map(GatewayIndex).filter(move |gateway| *gateway != me)
 }
 
--- a/crates/admission/src/state/request/active_request.rs
+++ b/crates/admission/src/state/request/active_request.rs
@@ -91,13 +91,13 @@
     }
 
     /// Attempts whose endpoint may have done the work or may still do it, oldest first.
-    pub(crate) fn risky_attempts(&self) -> impl Iterator<Item = &Attempt> {
-        self.attempts.iter().filter(|attempt| attempt.is_risky())
+    pub(crate) fn attempts_that_may_have_run(&self) -> impl Iterator<Item = &Attempt> {
+        self.attempts.iter().filter(|attempt| attempt.may_have_run())
     }
 
     /// Whether any endpoint may have done the work or may still do it.
     pub(crate) fn may_have_run(&self) -> bool {
-        self.risky_attempts().next().is_some()
+        self.attempts_that_may_have_run().next().is_some()
     }
 
     /// Attempts in flight, each with its number, oldest first.
--- a/crates/admission/src/state/request/attempt_record.rs
+++ b/crates/admission/src/state/request/attempt_record.rs
@@ -56,7 +56,7 @@
     }
 
     /// Whether the endpoint may have done the work, or may still do it.
-    pub(crate) fn is_risky(&self) -> bool {
+    pub(crate) fn may_have_run(&self) -> bool {
         self.state != AttemptState::NotRun
     }
 
--- a/crates/admission/src/tests/endpoint_rules/retry_rules.rs
+++ b/crates/admission/src/tests/endpoint_rules/retry_rules.rs
@@ -4,41 +4,45 @@
 use crate::id::{EndpointId, MachineKindIndex, ZoneIndex};
 use crate::policy::retry::{
     after_attempt, decide_retry, earned_retry_tokens, has_turned_long, is_stalled, long_response_ms,
-    repeat_scope, rescue, AfterAttempt, EndedAttempt, PendingAttemptInput, RepeatInput, RepeatScope, Rescue,
-    RescueInput, RetryDecision, RetryInput,
+    retry_scope, stalled_action, AfterAttempt, EndedAttempt, PendingAttemptInput, RetryDecision, RetryInput,
+    RetryScope, RetryScopeInput, StalledAction, StalledActionInput,
 };
 use crate::settings::{DedupGroup, Idempotency};
 use crate::state::{Attempt, Endpoint, EndpointSmoothing};
 
 #[test]
 fn idempotency_says_where_another_attempt_may_go() {
-    let idempotent = RepeatInput {
-        since_first_risky_ms: Some(100.0),
+    let idempotent = RetryScopeInput {
+        since_first_possible_run_ms: Some(100.0),
         has_attempt_in_flight: false,
         hedging_allowed: false,
         idempotency: Idempotency::Idempotent,
         tick_ms: 5.0,
     };
-    let non_idempotent = RepeatInput { idempotency: Idempotency::NonIdempotent, ..idempotent };
+    let non_idempotent = RetryScopeInput { idempotency: Idempotency::NonIdempotent, ..idempotent };
     let group = DedupGroup::Zone;
     // 0.9 of 1000 ms, less two rounds of 5 ms: 890 ms of the window are used.
-    let keyed = |since_first_ms| RepeatInput {
-        since_first_risky_ms: Some(since_first_ms),
+    let keyed = |since_first_ms| RetryScopeInput {
+        since_first_possible_run_ms: Some(since_first_ms),
         idempotency: Idempotency::IdempotencyKey { group, window_ms: 1000.0 },
         ..idempotent
     };
-    let hedged = RepeatInput { has_attempt_in_flight: true, ..idempotent };
+    let hedged = RetryScopeInput { has_attempt_in_flight: true, ..idempotent };
     let rows = [
-        ("idempotent", idempotent, RepeatScope::AnyEndpoint),
-        ("second in flight, no hedging", hedged, RepeatScope::NoEndpoint),
-        ("hedged", RepeatInput { hedging_allowed: true, ..hedged }, RepeatScope::AnyEndpoint),
-        ("not idempotent", non_idempotent, RepeatScope::NoEndpoint),
-        ("never ran", RepeatInput { since_first_risky_ms: None, ..non_idempotent }, RepeatScope::AnyEndpoint),
-        ("within the window", keyed(889.0), RepeatScope::DedupGroup(group)),
-        ("after the window", keyed(890.0), RepeatScope::NoEndpoint),
+        ("idempotent", idempotent, RetryScope::AnyEndpoint),
+        ("second in flight, no hedging", hedged, RetryScope::NoEndpoint),
+        ("hedged", RetryScopeInput { hedging_allowed: true, ..hedged }, RetryScope::AnyEndpoint),
+        ("not idempotent", non_idempotent, RetryScope::NoEndpoint),
+        (
+            "never ran",
+            RetryScopeInput { since_first_possible_run_ms: None, ..non_idempotent },
+            RetryScope::AnyEndpoint,
+        ),
+        ("within the window", keyed(889.0), RetryScope::DedupGroup(group)),
+        ("after the window", keyed(890.0), RetryScope::NoEndpoint),
     ];
     for (name, input, expected) in rows {
-        assert_eq!(repeat_scope(&input), expected, "{name}");
+        assert_eq!(retry_scope(&input), expected, "{name}");
     }
 }
 
@@ -59,17 +63,17 @@
 fn a_deduplication_group_must_hold_all_earlier_attempts() {
     let earlier = [Attempt::new(&endpoint(0, 5), 0.0), Attempt::new(&endpoint(0, 6), 0.0)];
     let rows = [
-        (RepeatScope::AnyEndpoint, endpoint(1, 7), true),
-        (RepeatScope::NoEndpoint, endpoint(0, 5), false),
-        (RepeatScope::DedupGroup(DedupGroup::All), endpoint(1, 7), true),
-        (RepeatScope::DedupGroup(DedupGroup::Zone), endpoint(0, 7), true),
-        (RepeatScope::DedupGroup(DedupGroup::Zone), endpoint(1, 5), false),
-        (RepeatScope::DedupGroup(DedupGroup::Cell), endpoint(0, 5), false),
+        (RetryScope::AnyEndpoint, endpoint(1, 7), true),
+        (RetryScope::NoEndpoint, endpoint(0, 5), false),
+        (RetryScope::DedupGroup(DedupGroup::All), endpoint(1, 7), true),
+        (RetryScope::DedupGroup(DedupGroup::Zone), endpoint(0, 7), true),
+        (RetryScope::DedupGroup(DedupGroup::Zone), endpoint(1, 5), false),
+        (RetryScope::DedupGroup(DedupGroup::Cell), endpoint(0, 5), false),
     ];
     for (scope, endpoint, expected) in rows {
         assert_eq!(scope.includes(&endpoint, earlier.iter()), expected, "{scope:?}: {endpoint:?}");
     }
-    let cell = RepeatScope::DedupGroup(DedupGroup::Cell);
+    let cell = RetryScope::DedupGroup(DedupGroup::Cell);
     assert!(cell.includes(&endpoint(1, 5), earlier[..1].iter()));
 }
 
@@ -101,7 +105,7 @@
 
 #[test]
 fn a_stalled_attempt_is_hedged_or_else_cancelled() {
-    let hedging = RescueInput {
+    let hedging = StalledActionInput {
         is_closed: false,
         attempts: 1,
         max_attempts: 2,
@@ -111,19 +115,19 @@
         cancel_allowed: true,
         retry_tokens: 1.0,
     };
-    let cancelling = RescueInput { hedging_allowed: false, ..hedging };
+    let cancelling = StalledActionInput { hedging_allowed: false, ..hedging };
     let rows = [
-        (hedging, Rescue::Hedge),
-        (RescueInput { is_closed: true, ..hedging }, Rescue::Leave),
-        (RescueInput { attempts: 2, ..hedging }, Rescue::Leave),
-        (RescueInput { in_flight: 2, ..hedging }, Rescue::Leave),
-        (cancelling, Rescue::Cancel),
-        (RescueInput { cancel_allowed: false, ..cancelling }, Rescue::Leave),
-        (RescueInput { idempotency: Idempotency::NonIdempotent, ..cancelling }, Rescue::Leave),
-        (RescueInput { retry_tokens: 0.9, ..cancelling }, Rescue::Leave),
+        (hedging, StalledAction::Hedge),
+        (StalledActionInput { is_closed: true, ..hedging }, StalledAction::Leave),
+        (StalledActionInput { attempts: 2, ..hedging }, StalledAction::Leave),
+        (StalledActionInput { in_flight: 2, ..hedging }, StalledAction::Leave),
+        (cancelling, StalledAction::Cancel),
+        (StalledActionInput { cancel_allowed: false, ..cancelling }, StalledAction::Leave),
+        (StalledActionInput { idempotency: Idempotency::NonIdempotent, ..cancelling }, StalledAction::Leave),
+        (StalledActionInput { retry_tokens: 0.9, ..cancelling }, StalledAction::Leave),
     ];
     for (input, expected) in rows {
-        assert_eq!(rescue(&input), expected, "{input:?}");
+        assert_eq!(stalled_action(&input), expected, "{input:?}");
     }
 }
 
--- a/crates/admission/src/tests/quota_rules/counter_rules.rs
+++ b/crates/admission/src/tests/quota_rules/counter_rules.rs
@@ -33,7 +33,7 @@
 
 #[test]
 fn a_sampled_request_stands_for_up_to_three_and_a_repeat_for_itself() {
-    // Sampling fraction, repeat, draw; a request of 2 units.
+    // Sampling fraction, client's retry, draw; a request of 2 units.
     let cases = [
         (1.0, false, 0.99, Some(2.0)),
         (0.5, false, 0.49, Some(4.0)),
@@ -41,8 +41,8 @@
         (0.05, false, 0.04, Some(6.0)),
         (0.05, true, 0.99, Some(2.0)),
     ];
-    for (sampling_fraction, is_repeat, draw, expected) in cases {
-        let input = SampleInput { sampling_fraction, is_repeat, draw, units: 2.0 };
+    for (sampling_fraction, is_client_retry, draw, expected) in cases {
+        let input = SampleInput { sampling_fraction, is_client_retry, draw, units: 2.0 };
         assert_eq!(sample_request(input), expected, "{input:?}");
     }
 }
--- a/crates/admission/tests/it/broadcast.rs
+++ b/crates/admission/tests/it/broadcast.rs
@@ -7,7 +7,7 @@
 fn admitted_after(deliveries: &[&str]) -> usize {
     let mut settings = broadcast_settings(Idempotency::Idempotent);
     settings.plans = vec![plan(0.001, 40.0)];
-    let mut sender = SingleGateway::new(Settings { me: GatewayIndex(1), ..settings.clone() }, 60);
+    let mut sender = SingleGateway::new(Settings { this_gateway: GatewayIndex(1), ..settings.clone() }, 60);
     let mut receiver = SingleGateway::new(settings, 60);
     sender.advance(1100.0);
     receiver.advance(1100.0);
--- a/crates/admission/tests/it/ceiling.rs
+++ b/crates/admission/tests/it/ceiling.rs
@@ -4,7 +4,11 @@
 
 fn broadcast_settings_with_ceiling(me: usize) -> Settings {
     let plan = PlanSettings { ceiling_rate_per_second: 4.0, ceiling_burst_units: 8.0, ..plan(100.0, 400.0) };
-    Settings { me: GatewayIndex(me), plans: vec![plan], ..broadcast_settings(Idempotency::Idempotent) }
+    Settings {
+        this_gateway: GatewayIndex(me),
+        plans: vec![plan],
+        ..broadcast_settings(Idempotency::Idempotent)
+    }
 }
 
 /// Both gateways of a fleet restart again and again, and each time forget what they have sent. If a gateway
--- a/crates/admission/tests/it/common/builders.rs
+++ b/crates/admission/tests/it/common/builders.rs
@@ -88,8 +88,8 @@
         units: 1.0,
         gateway_count: 1,
         first_gateway: GatewayIndex(0),
-        repeat: false,
-        write: false,
+        is_client_retry: false,
+        is_write: false,
     }
 }
 
--- a/crates/admission/tests/it/common/fleet.rs
+++ b/crates/admission/tests/it/common/fleet.rs
@@ -109,12 +109,12 @@
     /// Starts a gateway, or restarts it without its state.
     pub(crate) fn start(&mut self, me: usize) {
         let seed = 7777 * self.seed + 1000 + me as u64 + self.now_ms as u64 * 7919;
-        self.start_with(Settings { me: GatewayIndex(me), ..self.settings.clone() }, seed);
+        self.start_with(Settings { this_gateway: GatewayIndex(me), ..self.settings.clone() }, seed);
     }
 
     /// Starts a gateway with settings of its own.
     pub(crate) fn start_with(&mut self, settings: Settings, seed: u64) {
-        let me = settings.me.0;
+        let me = settings.this_gateway.0;
         self.gateways.insert(me, Gateway::new(settings, seed, self.now_ms).expect("sound settings"));
         let entries = self.endpoints.clone();
         self.event(me, Event::EndpointList { kind: ListKind::Remembered, entries });
--- a/crates/admission/tests/it/dispatch.rs
+++ b/crates/admission/tests/it/dispatch.rs
@@ -33,9 +33,10 @@
     settings.classes[0].priority_weight = 1.0;
     settings.classes[1].priority_weight = 3.0;
     settings.classes.iter_mut().for_each(|c| c.idempotency = Idempotency::NonIdempotent);
-    let mut gateway = SingleGateway::started_at(Settings { me: GatewayIndex(3), ..settings }, SEED, 0.0);
+    let mut gateway =
+        SingleGateway::started_at(Settings { this_gateway: GatewayIndex(3), ..settings }, SEED, 0.0);
     let entries = warm_endpoints(40);
-    let mut actions = gateway.event(Event::EndpointList { kind: ListKind::Whole, entries });
+    let mut actions = gateway.event(Event::EndpointList { kind: ListKind::Complete, entries });
     // The band is over-full: 6 attempts in flight at each endpoint, at a watermark of 4.
     let body = gossip_report(GossipReport { mean_stock_64ths: 240 * 64 / 100, watermark: 4 });
     let (mut submitted, mut sent, mut rejected) = ([0; 2], [0; 2], [0; 2]);
--- a/crates/admission/tests/it/endpoint_selection.rs
+++ b/crates/admission/tests/it/endpoint_selection.rs
@@ -56,7 +56,8 @@
     };
     let mut fleet = Fleet::new(fleet_settings(60, plan(50.0, 400.0)), (0..30).map(entry).collect());
     for me in 0..60 {
-        let settings = Settings { me: GatewayIndex(me), zone: ZoneIndex(me % 3), ..fleet.settings.clone() };
+        let settings =
+            Settings { this_gateway: GatewayIndex(me), zone: ZoneIndex(me % 3), ..fleet.settings.clone() };
         fleet.start_with(settings, 5 + me as u64);
     }
     let mut local = 0;
--- a/crates/admission/tests/it/open_limit.rs
+++ b/crates/admission/tests/it/open_limit.rs
@@ -25,10 +25,11 @@
     for me in 0..8 {
         let mut settings = broadcast_settings(Idempotency::Idempotent);
         settings.plans = vec![PlanSettings { open_limit: 3, ..plan(0.0, 0.0) }];
-        (settings.me, settings.gateways) = (GatewayIndex(me), 8);
+        (settings.this_gateway, settings.gateways) = (GatewayIndex(me), 8);
         let mut gateway = SingleGateway::new(settings.clone(), 10);
         for peer in (0..8).filter(|peer| *peer != me) {
-            let mut other = SingleGateway::new(Settings { me: GatewayIndex(peer), ..settings.clone() }, 10);
+            let mut other =
+                SingleGateway::new(Settings { this_gateway: GatewayIndex(peer), ..settings.clone() }, 10);
             let submitted = other.submit_with(|r| r.gateway_count = 8);
             let mut bodies = vec![];
             for sent in submitted.sends() {
--- a/crates/admission/tests/it/settings_validation.rs
+++ b/crates/admission/tests/it/settings_validation.rs
@@ -14,7 +14,7 @@
     };
     assert_eq!(error_of(|s| s.classes.clear()), Some(SettingsError::NoClasses));
     assert_eq!(error_of(|s| s.plans.clear()), Some(SettingsError::NoPlans));
-    assert_eq!(error_of(|s| s.me = GatewayIndex(2)), Some(SettingsError::NotAmongGateways));
+    assert_eq!(error_of(|s| s.this_gateway = GatewayIndex(2)), Some(SettingsError::NotAmongGateways));
     assert_eq!(error_of(|s| s.tick_ms = f64::NAN), Some(SettingsError::BadFigure("tick_ms")));
     assert_eq!(
         error_of(|s| s.plans[0].rate_per_second = -1.0),
--- a/crates/admission/tests/it/slow_start_fleet/simulation.rs
+++ b/crates/admission/tests/it/slow_start_fleet/simulation.rs
@@ -125,7 +125,7 @@
         let gateways = (0..scenario.gateways)
             .map(|me| {
                 Gateway::new(
-                    Settings { me: GatewayIndex(me), ..settings.clone() },
+                    Settings { this_gateway: GatewayIndex(me), ..settings.clone() },
                     seed ^ (me as u64) << 32,
                     0.0,
                 )
--- a/crates/gateway/src/discovery/watch.rs
+++ b/crates/gateway/src/discovery/watch.rs
@@ -166,7 +166,7 @@
                 "discovery answers again; endpoint list current"
             );
         }
-        let kind = if list.is_complete { ListKind::Whole } else { ListKind::Changes };
+        let kind = if list.is_complete { ListKind::Complete } else { ListKind::Changes };
         self.observer.list_received(kind, list);
         Ok(())
     }
--- a/crates/gateway/src/downstream/request.rs
+++ b/crates/gateway/src/downstream/request.rs
@@ -49,8 +49,8 @@
         units: metering.units,
         gateway_count: metering.gateway_count,
         first_gateway: GatewayIndex(metering.first_gateway),
-        repeat: headers.get(AGAIN).is_some_and(|value| value == "1"),
-        write: class_settings.idempotency != Idempotency::Idempotent,
+        is_client_retry: headers.get(AGAIN).is_some_and(|value| value == "1"),
+        is_write: class_settings.idempotency != Idempotency::Idempotent,
     })
 }
 
--- a/crates/gateway/src/startup.rs
+++ b/crates/gateway/src/startup.rs
@@ -75,8 +75,9 @@
     let gateway = Gateway::new(settings.clone(), config.seed, clock.now_ms())?;
     let upstream = UpstreamPool::new(&socket_settings, budget.upstream);
     let accepted_per_second = settings.peer_messages_per_second;
-    let peers =
-        Rc::new(Peers::bind(config.peer_listen, config.peers, settings.me, accepted_per_second).await?);
+    let peers = Rc::new(
+        Peers::bind(config.peer_listen, config.peers, settings.this_gateway, accepted_per_second).await?,
+    );
     let quota_counter = QuotaCounter::new(config.counter, socket_settings.counter_timeout_ms);
     let dispatcher = Dispatcher::new(gateway, clock, config.names, upstream, peers.clone(), quota_counter);
     let cached_revision = restore_cached_list(&dispatcher, config.cached_list);
--- a/crates/gateway/src/upstream/tests/connections.rs
+++ b/crates/gateway/src/upstream/tests/connections.rs
@@ -103,7 +103,7 @@
             state,
             started_at_ms: None,
         };
-        pool.apply_list(ListKind::Whole, &[DiscoveredEndpoint { entry, addr }]);
+        pool.apply_list(ListKind::Complete, &[DiscoveredEndpoint { entry, addr }]);
     };
     list_endpoint_as(EndpointState::Ready);
     let request = request();
--- a/crates/settings/src/translate.rs
+++ b/crates/settings/src/translate.rs
@@ -36,7 +36,7 @@
             .map(RequestClassSection::translate)
             .collect::<Result<Vec<_>, _>>()?;
         let settings = Settings {
-            me: GatewayIndex(self.gateway_number),
+            this_gateway: GatewayIndex(self.gateway_number),
             gateways: self.gateways,
             tick_ms: self.tick_ms,
             zone,
--- a/crates/settings/tests/settings_document.rs
+++ b/crates/settings/tests/settings_document.rs
@@ -42,7 +42,7 @@
 #[test]
 fn every_key_reaches_its_field() {
     let TranslatedSettings { settings, names } = parse(complete()).translate().expect("a sound document");
-    assert_eq!((settings.gateways, settings.me, settings.zone), (3, GatewayIndex(1), ZoneIndex(1)));
+    assert_eq!((settings.gateways, settings.this_gateway, settings.zone), (3, GatewayIndex(1), ZoneIndex(1)));
     assert_eq!((settings.tick_ms, settings.max_attempts, settings.max_retry_after_ms), (4.0, 4, 500.0));
     assert!(settings.hedging_allowed && settings.cancel_allowed && settings.counter_allowed);
     assert!(!settings.peer_messages_allowed);
--- a/crates/simulator-adapter/src/wire/event.rs
+++ b/crates/simulator-adapter/src/wire/event.rs
@@ -53,7 +53,7 @@
     fn from(kind: EndpointListKind) -> Self {
         match kind {
             EndpointListKind::Changes => ListKind::Changes,
-            EndpointListKind::Whole => ListKind::Whole,
+            EndpointListKind::Complete => ListKind::Complete,
             EndpointListKind::Remembered => ListKind::Remembered,
             EndpointListKind::Failed => ListKind::Failed,
         }
@@ -94,8 +94,8 @@
             units: self.units,
             gateway_count: self.gateway_count,
             first_gateway: GatewayIndex(self.first_gateway),
-            repeat: self.repeat,
-            write: self.write,
+            is_client_retry: self.is_client_retry,
+            is_write: self.write,
         })
     }
 }
--- a/crates/simulator-adapter/src/wire/input.rs
+++ b/crates/simulator-adapter/src/wire/input.rs
@@ -125,7 +125,7 @@
     #[serde(rename = "patch")]
     Changes,
     #[serde(rename = "whole")]
-    Whole,
+    Complete,
     #[serde(rename = "stale_copy")]
     Remembered,
     #[serde(rename = "broken")]
@@ -195,7 +195,7 @@
     pub(super) first_gateway: usize,
     /// Whether it is marked as a client's retry.
     #[serde(rename = "resent", default)]
-    pub(super) repeat: bool,
+    pub(super) is_client_retry: bool,
     /// Whether it is a write.
     #[serde(default)]
     pub(super) write: bool,
--- a/crates/simulator-adapter/src/wire/tests/events.rs
+++ b/crates/simulator-adapter/src/wire/tests/events.rs
@@ -86,7 +86,7 @@
 fn each_kind_of_list_and_state_of_an_endpoint_is_read() {
     let kinds = [
         ("patch", ListKind::Changes),
-        ("whole", ListKind::Whole),
+        ("whole", ListKind::Complete),
         ("stale_copy", ListKind::Remembered),
         ("broken", ListKind::Failed),
     ];
@@ -108,7 +108,7 @@
             started_at_ms: Some(6100.0),
         };
         let message = json!({"msg": "Targets", "gen": 1, "kind": "whole", "hosts": [host]});
-        let expected = Event::EndpointList { kind: ListKind::Whole, entries: vec![entry] };
+        let expected = Event::EndpointList { kind: ListKind::Complete, entries: vec![entry] };
         assert_eq!(translate(message), Ok(expected));
     }
 }
@@ -127,8 +127,8 @@
         units: 2.0,
         gateway_count: 3,
         first_gateway: GatewayIndex(1),
-        repeat: true,
-        write: true,
+        is_client_retry: true,
+        is_write: true,
     };
     assert_eq!(translate(message.clone()), Ok(Event::Request(expected)));
     let mut unknown = message;
