--- a/crates/admission/src/coordination/counter_calls.rs
+++ b/crates/admission/src/coordination/counter_calls.rs
@@ -117,7 +117,7 @@
         let is_rejected = outcome == CounterOutcome::Rejected;
         match (call, total_of_epoch(outcome, name, epoch)) {
             (CounterCall::Request(request), Some(total)) => {
-                self.on_total_of_request(tag, plan, request, total, epoch)
+                self.on_total_of_request(tag, plan, request, total, epoch);
             }
             (CounterCall::Request(request), None) => self.on_no_total(tag, plan, request, is_rejected),
             (CounterCall::CatchUp(raise), Some(total)) => self.on_total_of_raise(tag, raise, total),
--- a/crates/admission/src/coordination/observations.rs
+++ b/crates/admission/src/coordination/observations.rs
@@ -47,7 +47,7 @@
             ObservationKind::Rejected { plan } => self.apply_rejection(observation.endpoint, plan),
             ObservationKind::Failed { class } => self.apply_failure(observation.endpoint, class),
             ObservationKind::Responded { class, response_time } => {
-                self.apply_response(observation.endpoint, class, response_time)
+                self.apply_response(observation.endpoint, class, response_time);
             }
         }
     }
--- a/crates/admission/src/event.rs
+++ b/crates/admission/src/event.rs
@@ -39,7 +39,7 @@
     /// All entries; an endpoint not among them is gone.
     Complete,
     /// All entries, as last cached before a restart of the gateway; they may be old.
-    Remembered,
+    Cached,
     /// A poll of the list failed; the entries known stay.
     Failed,
 }
--- a/crates/admission/src/event_handling.rs
+++ b/crates/admission/src/event_handling.rs
@@ -25,7 +25,7 @@
     fn handle(&mut self, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::EndpointList { kind, entries } => {
-                self.endpoints.apply_list(kind, entries, self.clock.now_ms(), &mut self.random)
+                self.endpoints.apply_list(kind, entries, self.clock.now_ms(), &mut self.random);
             }
             Event::EndpointListExpired => self.endpoints.expire_list(),
             Event::TimeAdvanced => {}
--- a/crates/admission/src/lifecycle/endpoints.rs
+++ b/crates/admission/src/lifecycle/endpoints.rs
@@ -27,7 +27,7 @@
             match verdict {
                 HealthVerdict::Unchanged => {}
                 HealthVerdict::Pause { duration_ms } => {
-                    endpoint.health.pause_until(now_ms + duration_ms * jitter)
+                    endpoint.health.pause_until(now_ms + duration_ms * jitter);
                 }
                 HealthVerdict::Eject => endpoint.health.eject(now_ms, EJECTION, jitter),
             }
--- a/crates/admission/src/lifecycle/requests.rs
+++ b/crates/admission/src/lifecycle/requests.rs
@@ -85,7 +85,7 @@
             QuotaSettlement::Nothing => {}
             QuotaSettlement::SettleWithCounter => self.settle_counted(active, actions),
             QuotaSettlement::Release { owner, number, additional_units } => {
-                self.send_release(owner, active.tag, number, additional_units, actions)
+                self.send_release(owner, active.tag, number, additional_units, actions);
             }
             QuotaSettlement::Withdraw { owner, number, additional_units } => {
                 if let Some(gossip) = self.coordination.gossip_mut() {
--- a/crates/admission/src/lifecycle/response_times.rs
+++ b/crates/admission/src/lifecycle/response_times.rs
@@ -27,10 +27,10 @@
             let learned = &mut endpoint.response_time;
             match relative {
                 Some(ResponseTimeSample::Measured(sample)) => {
-                    learned.record_own(since_response_ms, sample, OWN_RESPONSE_TIME_GAIN)
+                    learned.record_own(since_response_ms, sample, OWN_RESPONSE_TIME_GAIN);
                 }
                 Some(ResponseTimeSample::AtLeast(sample)) => {
-                    learned.record_own_at_least(since_response_ms, sample, OWN_RESPONSE_TIME_GAIN)
+                    learned.record_own_at_least(since_response_ms, sample, OWN_RESPONSE_TIME_GAIN);
                 }
                 None => {}
             }
--- a/crates/admission/tests/it/common/fleet.rs
+++ b/crates/admission/tests/it/common/fleet.rs
@@ -117,7 +117,7 @@
         let me = settings.this_gateway.0;
         self.gateways.insert(me, Gateway::new(settings, seed, self.now_ms).expect("sound settings"));
         let entries = self.endpoints.clone();
-        self.event(me, Event::EndpointList { kind: ListKind::Remembered, entries });
+        self.event(me, Event::EndpointList { kind: ListKind::Cached, entries });
     }
 
     fn schedule(&mut self, after_ms: f64, gateway: usize, event: Event) {
@@ -136,7 +136,7 @@
     fn carry_out(&mut self, me: usize, action: Action) {
         match action {
             Action::SetTimer { at_ms, token } => {
-                self.schedule(at_ms - self.now_ms, me, Event::Timer { token })
+                self.schedule(at_ms - self.now_ms, me, Event::Timer { token });
             }
             Action::AddToCounter { name, amount, ttl_ms } => self.call_counter(me, name, amount, ttl_ms),
             Action::SendPeerMessage { to, body } => self.send_message(me, to, body),
--- a/crates/admission/tests/it/determinism.rs
+++ b/crates/admission/tests/it/determinism.rs
@@ -95,7 +95,7 @@
         for action in &actions {
             match action {
                 Action::Reject { request, .. } | Action::Fail { request } => {
-                    assert!(answered.insert(*request), "{request:?} answered twice")
+                    assert!(answered.insert(*request), "{request:?} answered twice");
                 }
                 Action::Send { request, timeout_ms, .. } => {
                     assert!(!answered.contains(request), "{request:?} sent after its answer");
--- a/crates/admission/tests/it/endpoint_selection.rs
+++ b/crates/admission/tests/it/endpoint_selection.rs
@@ -66,7 +66,7 @@
         let before = fleet.sent.len();
         fleet.submit(me, |r| {
             (r.customer, r.gateway_count, r.first_gateway) =
-                (CustomerId(me as u64 + (5 << 40)), 1, GatewayIndex(me))
+                (CustomerId(me as u64 + (5 << 40)), 1, GatewayIndex(me));
         });
         local += fleet.sent[before..].iter().filter(|s| zone(s.endpoint.0) == me % 3).count();
         fleet.advance(2.0);
--- a/crates/admission/tests/it/outlier_detection.rs
+++ b/crates/admission/tests/it/outlier_detection.rs
@@ -83,7 +83,7 @@
         |_, plan, endpoint| if plan == 0 && endpoint.0 < 16 { Outcome::Overloaded } else { Outcome::Ok };
     for step in 0..2500 {
         fleet.submit(step * 17 % 60, |r| {
-            (r.plan, r.customer) = (PlanIndex(step % 2), CustomerId(step as u64 % 98 + (5 << 40)))
+            (r.plan, r.customer) = (PlanIndex(step % 2), CustomerId(step as u64 % 98 + (5 << 40)));
         });
         fleet.advance(3.0);
     }
@@ -101,7 +101,7 @@
         |class, _, endpoint| if class == 0 && endpoint.0 < 16 { Outcome::TimedOut } else { Outcome::Ok };
     for step in 0..2500 {
         fleet.submit(step * 17 % 60, |r| {
-            (r.class, r.customer) = (ClassIndex(step % 2), CustomerId(step as u64 % 97 + (5 << 40)))
+            (r.class, r.customer) = (ClassIndex(step % 2), CustomerId(step as u64 % 97 + (5 << 40)));
         });
         fleet.advance(3.0);
     }
--- a/crates/admission/tests/it/slow_start_fleet/simulation.rs
+++ b/crates/admission/tests/it/slow_start_fleet/simulation.rs
@@ -218,7 +218,7 @@
         match action {
             Action::SetTimer { at_ms, token } => {
                 let event = Event::Timer { token };
-                self.schedule(at_ms - self.now_ms, DueEvent::Gateway { gateway, event })
+                self.schedule(at_ms - self.now_ms, DueEvent::Gateway { gateway, event });
             }
             Action::SendPeerMessage { to: Some(to), body } => {
                 let delay_ms = self.random.between(2.0, 20.0);
--- a/crates/gateway/src/discovery/tests/list_revision.rs
+++ b/crates/gateway/src/discovery/tests/list_revision.rs
@@ -26,7 +26,7 @@
         let mut revision = ListRevision(cached);
         match revision.advance(received) {
             Ok(()) => {
-                assert!(is_applied && revision == ListRevision(Some(received)), "{cached:?} {received}")
+                assert!(is_applied && revision == ListRevision(Some(received)), "{cached:?} {received}");
             }
             Err(DiscoveryError::WatchInterrupted(CallError::RevisionWentBack)) => {
                 assert!(!is_applied && revision == ListRevision(cached), "{cached:?} {received}");
--- a/crates/gateway/src/downstream/handler.rs
+++ b/crates/gateway/src/downstream/handler.rs
@@ -1,8 +1,8 @@
 //! Handles a request from its head to its response.
 use super::connection::{Connection, ConnectionRole, ConnectionStage};
-use super::request::{parse_request, upstream_request};
 use super::request_body::read_body;
 use super::request_error::RequestError;
+use super::request_parsing::{parse_request, upstream_request};
 use super::request_rules::{body_deadline, close_reason, BodyDeadlineInput, CloseInput};
 use super::response::{error_response, final_response, health_response};
 use super::settings::DownstreamSettings;
--- a/crates/gateway/src/downstream/mod.rs
+++ b/crates/gateway/src/downstream/mod.rs
@@ -8,8 +8,8 @@
 //!   These are the rules, without I/O.
 //! - [`connection`]: one connection's stage, and how a disconnect of its client is noticed; [`flood`]
 //!   discards what a client sends without waiting for a response.
-//! - [`handler`]: takes a request from its head to its response: [`request`] and [`metering`] parse it,
-//!   [`response`] writes what the dispatcher decided.
+//! - [`handler`]: takes a request from its head to its response: [`request_parsing`] and [`metering`] parse
+//!   it, [`response`] writes what the dispatcher decided.
 mod connection;
 mod connection_limit;
 mod connection_table;
@@ -18,9 +18,9 @@
 mod handler;
 mod listener;
 mod metering;
-mod request;
 mod request_body;
 mod request_error;
+mod request_parsing;
 mod request_rules;
 mod response;
 mod server;
--- a/crates/gateway/src/downstream/tests/request_parsing.rs
+++ b/crates/gateway/src/downstream/tests/request_parsing.rs
@@ -1,7 +1,7 @@
 //! Parsing of a request's head: headers, path and method, and what is forwarded to endpoints.
 use super::{names, settings};
-use crate::downstream::request::{parse_request, upstream_request};
 use crate::downstream::request_error::RequestError;
+use crate::downstream::request_parsing::{parse_request, upstream_request};
 use bytes::Bytes;
 use hyper::header::{HeaderName, HeaderValue};
 use hyper::http::request::Parts;
--- a/crates/gateway/src/startup.rs
+++ b/crates/gateway/src/startup.rs
@@ -111,7 +111,7 @@
     let cached = cached?;
     // To continue from an empty list would save discovery no work.
     let revision = (!cached.is_empty()).then_some(cached.revision);
-    dispatcher.list_received(ListKind::Remembered, cached);
+    dispatcher.list_received(ListKind::Cached, cached);
     revision
 }
 
--- a/crates/gateway/src/upstream/attempt.rs
+++ b/crates/gateway/src/upstream/attempt.rs
@@ -1,7 +1,7 @@
 //! A single attempt to serve a request: acquires a connection, sends the request and classifies the outcome.
 use super::outcomes::{failure_outcome, reason_not_to_send, response_outcome, timeout_outcome, SendCheck};
 use super::pool::UpstreamPool;
-use super::request::UpstreamRequest;
+use super::upstream_request::UpstreamRequest;
 use super::MAX_BODY_BYTES;
 use crate::header_names::{LOAD_REPORT, REJECTED, SETTLED};
 use crate::http_connection::WriteStatus;
--- a/crates/gateway/src/upstream/mod.rs
+++ b/crates/gateway/src/upstream/mod.rs
@@ -2,14 +2,14 @@
 mod attempt;
 mod outcomes;
 mod pool;
-mod request;
 mod reuse_delay;
 #[cfg(test)]
 mod tests;
+mod upstream_request;
 
 pub(crate) use self::attempt::AttemptResult;
 pub(crate) use self::pool::{UpstreamPool, IDLE_CHECK_INTERVAL};
-pub(crate) use self::request::UpstreamRequest;
+pub(crate) use self::upstream_request::UpstreamRequest;
 
 /// The maximum size of a request's or response's body, in bytes.
 pub(crate) const MAX_BODY_BYTES: usize = 64 * 1024;
--- a/crates/gateway/tests/it/disconnect_variants.rs
+++ b/crates/gateway/tests/it/disconnect_variants.rs
@@ -178,7 +178,7 @@
     for kind in disconnect_kinds() {
         let endpoint = ScriptedServer::silent();
         let (gateway, _discovery) = start_with_large_quota(&[endpoint.addr], |config| {
-            config["settings"]["ceilings"]["cancel"] = json!(false)
+            config["settings"]["ceilings"]["cancel"] = json!(false);
         });
         let client = DisconnectingClient::submit(&gateway, &ClientRequest::new("read"));
         let connection = endpoint.next_request().connection;
--- a/crates/simulator-adapter/src/wire/event.rs
+++ b/crates/simulator-adapter/src/wire/event.rs
@@ -54,7 +54,7 @@
         match kind {
             EndpointListKind::Changes => ListKind::Changes,
             EndpointListKind::Complete => ListKind::Complete,
-            EndpointListKind::Remembered => ListKind::Remembered,
+            EndpointListKind::Cached => ListKind::Cached,
             EndpointListKind::Failed => ListKind::Failed,
         }
     }
--- a/crates/simulator-adapter/src/wire/input.rs
+++ b/crates/simulator-adapter/src/wire/input.rs
@@ -127,7 +127,7 @@
     #[serde(rename = "whole")]
     Complete,
     #[serde(rename = "stale_copy")]
-    Remembered,
+    Cached,
     #[serde(rename = "broken")]
     Failed,
 }
--- a/crates/simulator-adapter/src/wire/tests/events.rs
+++ b/crates/simulator-adapter/src/wire/tests/events.rs
@@ -87,7 +87,7 @@
     let kinds = [
         ("patch", ListKind::Changes),
         ("whole", ListKind::Complete),
-        ("stale_copy", ListKind::Remembered),
+        ("stale_copy", ListKind::Cached),
         ("broken", ListKind::Failed),
     ];
     for (written, kind) in kinds {
