--- a/crates/admission/src/coordination/counter_calls.rs
+++ b/crates/admission/src/coordination/counter_calls.rs
@@ -70,7 +70,7 @@
     }
 
     /// The call to the counter for a request; `None` where it is not sampled.
-    pub(crate) fn sample_for_counter(
+    fn sample_for_counter(
         &mut self,
         id: RequestId,
         units: f64,
@@ -89,7 +89,7 @@
     }
 
     /// Fraction of the requests that the counter is called for.
-    pub(crate) fn counter_sampling_fraction(&self) -> f64 {
+    fn counter_sampling_fraction(&self) -> f64 {
         match &self.coordination {
             Coordination::Counter(calls) => calls.sampling_fraction(),
             _ => 1.0,
@@ -97,7 +97,7 @@
     }
 
     /// Makes a customer's next call, where none is in flight.
-    pub(crate) fn call_counter(&mut self, tag: CustomerTag, actions: &mut Vec<Action>) {
+    fn call_counter(&mut self, tag: CustomerTag, actions: &mut Vec<Action>) {
         let name = CounterEpoch::at(tag, self.clock.now_ms(), COUNT_EPOCH_MS).name;
         let Some(customer) = self.customers.get_mut(tag) else { return };
         let Coordination::Counter(calls) = &mut self.coordination else { return };
--- a/crates/admission/src/coordination/observations.rs
+++ b/crates/admission/src/coordination/observations.rs
@@ -35,7 +35,7 @@
     }
 
     /// Applies an own observation and retains it for the next messages.
-    pub(crate) fn record_observation(&mut self, endpoint: EndpointId, kind: ObservationKind) {
+    fn record_observation(&mut self, endpoint: EndpointId, kind: ObservationKind) {
         let observation = Observation { endpoint: short_tag(endpoint.0), kind };
         self.apply_observation(observation);
         self.recent_observations.push(observation, MAX_OBSERVATIONS);
--- a/crates/admission/src/lifecycle/queue_dispatch.rs
+++ b/crates/admission/src/lifecycle/queue_dispatch.rs
@@ -25,7 +25,7 @@
     }
 
     /// The queued request to send next. Heads over their quota are removed on the way.
-    pub(crate) fn next_to_dispatch(&mut self, actions: &mut Vec<Action>) -> Option<FlowHead> {
+    fn next_to_dispatch(&mut self, actions: &mut Vec<Action>) -> Option<FlowHead> {
         let mode = self.coordination.fleet_mode();
         let mut next: Option<FlowHead> = None;
         for head in self.queue.heads() {
@@ -54,7 +54,7 @@
     }
 
     /// Removes a request over its quota from the queue, and sends or finishes it.
-    pub(crate) fn dispatch_over_quota(&mut self, head: FlowHead, actions: &mut Vec<Action>) {
+    fn dispatch_over_quota(&mut self, head: FlowHead, actions: &mut Vec<Action>) {
         self.queue.remove(head.tag, head.id);
         let endpoint = if self.may_send_over_quota(head.id) { self.select_endpoint(head.id) } else { None };
         match endpoint {
--- a/crates/gateway/src/downstream/response.rs
+++ b/crates/gateway/src/downstream/response.rs
@@ -39,8 +39,8 @@
     response
 }
 
-/// A rejection: 429 where the admission library advises a wait, because a quota is used up, and 503
-/// otherwise.
+/// A rejection: 429 where the admission library gives a time for a retry, because a quota is used up or there
+/// is no capacity in time, and 503 otherwise.
 fn rejection(retry_after_ms: Option<f64>, max_retry_after_ms: Option<f64>) -> Response<Full<Bytes>> {
     let status = match retry_after_ms {
         Some(_) => StatusCode::TOO_MANY_REQUESTS,
