--- a/crates/admission/src/event.rs
+++ b/crates/admission/src/event.rs
@@ -108,7 +108,8 @@
     pub closed: bool,
     /// Units that the request really counted, where they come with the response.
     pub true_units: Option<f64>,
-    /// The customer's use over all gateways in the meter's last period, in percent of its quota. No rule goes by it.
+    /// The customer's use over all gateways in the meter's last period, in percent of its quota. No rule goes
+    /// by it.
     pub metered_percent: Option<f64>,
     /// The endpoint's load report: figures by name. No rule goes by it.
     pub load: Vec<(String, f64)>,
--- a/crates/gateway/src/dispatcher/active_call.rs
+++ b/crates/gateway/src/dispatcher/active_call.rs
@@ -13,8 +13,8 @@
 pub(crate) enum FinalResponse {
     /// An endpoint's response.
     Served(Response<Bytes>),
-    /// The call was rejected. The client's retry does no harm: the request never ran, or running it again does
-    /// none.
+    /// The call was rejected. The client's retry does no harm: the request never ran, or running it again
+    /// does none.
     Rejected {
         /// How long the client should wait before a retry.
         retry_after_ms: Option<f64>,
