--- a/crates/gateway/tests/it/upstream_connections.rs
+++ b/crates/gateway/tests/it/upstream_connections.rs
@@ -1,5 +1,6 @@
 //! Connections to endpoints: when they are reused, and what malformed responses do.
 use crate::common::*;
+use serde_json::{json, Value};
 use std::time::{Duration, Instant};
 
 /// An endpoint closes its connection after each response. A request written to it would be lost, and one
@@ -61,8 +62,10 @@
         "HTTP/1.1 103 Early Hints\r\n\r\n".repeat(20),
     ];
     let (bad, good) = (ScriptedServer::silent(), ScriptedServer::serving("good"));
-    let (alone, _discovery) = start_gateway(&[&bad]);
-    let (both, _discovery) = start_gateway(&[&bad, &good]);
+    // A pushed list does not expire, however long a busy machine takes for all cases.
+    let push_list = |config: &mut Value| config["settings"]["discovery"] = json!("pushed");
+    let (alone, _discovery) = start_gateway_with(&[bad.addr], push_list);
+    let (both, _discovery) = start_gateway_with(&[bad.addr, good.addr], push_list);
     for text in malformed {
         bad.set_reply(Reply::Response(text.clone()));
         let start = Instant::now();
