--- a/crates/admission/src/action.rs
+++ b/crates/admission/src/action.rs
@@ -47,13 +47,13 @@
         /// The token that the event will carry.
         token: u64,
     },
-    /// Add to a counter of the quota counter service.
+    /// Add to a count of the quota counter service.
     AddToCounter {
-        /// The counter's name.
+        /// The name of the count.
         name: u64,
         /// The units to add; 0 only reads.
         amount: f64,
-        /// Time to live of a new counter, in milliseconds.
+        /// Time to live of a new count, in milliseconds.
         ttl_ms: f64,
     },
 }
--- a/crates/admission/src/coordination/quota_ownership.rs
+++ b/crates/admission/src/coordination/quota_ownership.rs
@@ -85,7 +85,7 @@
     /// The gateways that the requests of a quota request's customer come through.
     ///
     /// Guards against messages that are corrupt or of another fleet, which could spend a quota that this
-    /// gateway does not own: `None` where the gateways are not of this fleet, or the sender or this gateway
+    /// gateway can never own: `None` where the gateways are not of this fleet, or the sender or this gateway
     /// is not among them.
     fn gateways_of(&self, from: GatewayIndex, request: &QuotaRequest) -> Option<GatewaySet> {
         let first = GatewayIndex(request.first_gateway as usize);
--- a/crates/admission/src/event.rs
+++ b/crates/admission/src/event.rs
@@ -165,7 +165,7 @@
     },
     /// A call to the quota counter ended.
     CounterReply {
-        /// The counter's name.
+        /// The name of the count.
         name: u64,
         /// How it ended.
         outcome: CounterOutcome,
--- a/crates/admission/src/id.rs
+++ b/crates/admission/src/id.rs
@@ -19,7 +19,8 @@
         CustomerTag(u64::from(tag))
     }
 
-    /// The low 32 bits, which are the short tag where the key is one.
+    /// The low 32 bits, which are the short tag of 24 bits where the key is one. Customers whose tags are the
+    /// same have one record in common.
     pub(crate) fn short(self) -> u32 {
         self.0 as u32
     }
--- a/crates/admission/src/lifecycle/queue_dispatch.rs
+++ b/crates/admission/src/lifecycle/queue_dispatch.rs
@@ -36,7 +36,8 @@
                 HeadDecision::AwaitsQuota => {}
             }
         }
-        // Heads over their quota that were sent on the way have used up some of the band.
+        // In broadcast mode this is the only check of the band. In a large fleet it was checked for each
+        // head, but heads over their quota that were sent on the way have used up some of it since.
         if !self.band_position(next?.id).permits_queued_request() {
             self.band.block();
             return None;
@@ -108,7 +109,7 @@
         SlotUse {
             in_flight: customer.in_flight(),
             peer_in_flight: peers.in_flight,
-            busy_peers: peers.busy,
+            reporting_peers: peers.busy,
             gateways: customer.gateways().len() as u32,
             place: customer.gateways().place(active.tag, self.settings.this_gateway),
         }
--- a/crates/admission/src/lifecycle/request_admission.rs
+++ b/crates/admission/src/lifecycle/request_admission.rs
@@ -110,7 +110,7 @@
                 self.clock.since_start_ms(),
             ),
         });
-        self.requests.get_mut(id)?.set_quota(QuotaState::LocalBucket { within_quota: check.is_met });
+        self.requests.get_mut(id)?.set_quota(QuotaState::LocalBucket { within_quota: check.is_within_quota });
         Some(check)
     }
 }
--- a/crates/admission/src/lifecycle/request_deadlines.rs
+++ b/crates/admission/src/lifecycle/request_deadlines.rs
@@ -22,8 +22,9 @@
         }
     }
 
-    /// Whether a response can no longer come in time.
-    pub(crate) fn cannot_meet_deadline(&self, active: &ActiveRequest) -> bool {
+    /// Whether a response can no longer come within the latency objective, or the deadline where that is
+    /// sooner.
+    pub(crate) fn is_too_late(&self, active: &ActiveRequest) -> bool {
         self.request_times(active).is_too_late()
     }
 
--- a/crates/admission/src/lifecycle/retries.rs
+++ b/crates/admission/src/lifecycle/retries.rs
@@ -33,7 +33,7 @@
             is_closed: active.is_closed(),
             attempts: active.attempt_count(),
             max_attempts: self.settings.max_attempts,
-            cannot_meet_deadline: self.cannot_meet_deadline(active),
+            is_too_late: self.is_too_late(active),
             may_have_run: active.may_have_run(),
             retry_tokens: self.retries.tokens(),
         });
--- a/crates/admission/src/policy/admission/deadline.rs
+++ b/crates/admission/src/policy/admission/deadline.rs
@@ -25,7 +25,7 @@
     pub(crate) tick_ms: f64,
     /// Mean response time of its class, in ms.
     pub(crate) mean_response_ms: f64,
-    /// Whether the endpoints are saturated: the stock is above half of the band's middle.
+    /// Whether the endpoints count as saturated: the stock is above half of the band's middle.
     pub(crate) endpoints_saturated: bool,
 }
 
--- a/crates/admission/src/policy/admission/local_bucket.rs
+++ b/crates/admission/src/policy/admission/local_bucket.rs
@@ -30,7 +30,7 @@
     let available_units = input.quota_tokens - input.queued_units - input.withheld_units;
     let has_ceiling_units = plan.ceiling_rate_per_second <= 0.0 || input.ceiling_tokens >= input.units;
     LocalBucketCheck {
-        is_met: plan.rate_per_second <= 0.0 || available_units >= input.units,
+        is_within_quota: plan.rate_per_second <= 0.0 || available_units >= input.units,
         may_exceed: plan.pays_over_quota() && has_ceiling_units,
         retry_after_ms: plan.refill_time_ms(input.units - available_units),
     }
--- a/crates/admission/src/policy/admission/new_request.rs
+++ b/crates/admission/src/policy/admission/new_request.rs
@@ -58,7 +58,7 @@
 /// Admits a request in broadcast mode. Within its quota it may be sent up to the band's upper bound; beyond
 /// its quota, where the plan pays for that, only up to the lower bound, which queued requests also keep to.
 pub(crate) fn admit_in_broadcast_mode(input: &AdmissionInput) -> Admission {
-    let may_send = if input.quota.is_met {
+    let may_send = if input.quota.is_within_quota {
         input.band.permits_new_request() && input.limits == LimitDecision::Admit
     } else {
         input.band.permits_queued_request() && input.quota.may_exceed
@@ -72,7 +72,7 @@
 
 /// What becomes of a request in broadcast mode that is not sent now: within its quota it is queued.
 pub(crate) fn queue_or_reject(input: &AdmissionInput) -> Admission {
-    if input.quota.is_met && input.queued_requests < MAX_QUEUED_REQUESTS {
+    if input.quota.is_within_quota && input.queued_requests < MAX_QUEUED_REQUESTS {
         Admission::Queue
     } else {
         Admission::Reject { retry_after_ms: input.quota.retry_after_ms }
@@ -82,7 +82,9 @@
 /// Whether peers are sent a request for units of the customer's ceiling: where only the lack of these keeps
 /// a new request from being sent.
 pub(crate) fn lacks_ceiling_units_only(input: &AdmissionInput) -> bool {
-    input.quota.is_met && input.band.permits_new_request() && input.limits == LimitDecision::WaitForCeiling
+    input.quota.is_within_quota
+        && input.band.permits_new_request()
+        && input.limits == LimitDecision::WaitForCeiling
 }
 
 /// Admits a request in a large fleet: it is queued until its quota is known, unless it comes too late or the
--- a/crates/admission/src/policy/band/band_bounds.rs
+++ b/crates/admission/src/policy/band/band_bounds.rs
@@ -2,7 +2,7 @@
 use crate::state::{Band, BandPosition};
 
 /// Distance of the bounds from the band's middle, as a fraction of it: `percentageDeviationForBounds` of the
-/// queuing design that the module follows, "Inference Gateway Queuing System Design".
+/// published design that the queue follows, "Inference Gateway Queuing System Design".
 const BAND_DEVIATION: f64 = 0.1;
 
 /// Fraction of the band's middle above which the endpoints are saturated, in both modes.
--- a/crates/admission/src/policy/band/watermark.rs
+++ b/crates/admission/src/policy/band/watermark.rs
@@ -2,7 +2,7 @@
 use crate::policy::band::dispatch_credit::LargeFleetBand;
 
 /// Least watermark in broadcast mode, in attempts in flight per ready endpoint, however slow the responses:
-/// `watermarkPerBackend` of the queuing design that the module follows. The band starts with it.
+/// `watermarkPerBackend` of the published design that the queue follows. The band starts with it.
 const MIN_WATERMARK: f64 = 2.0;
 
 /// Factor on the least watermark in a large fleet. Gateways that select endpoints at random spread attempts
--- a/crates/admission/src/policy/queue/customer_limits.rs
+++ b/crates/admission/src/policy/queue/customer_limits.rs
@@ -33,8 +33,8 @@
     pub(crate) in_flight: u32,
     /// Attempts in flight of peers, by their last reports.
     pub(crate) peer_in_flight: u32,
-    /// Peers that these reports are of.
-    pub(crate) busy_peers: u32,
+    /// Peers whose last report of the customer still counts, whether it had attempts in flight or not.
+    pub(crate) reporting_peers: u32,
     /// Gateways that the customer's requests come through.
     pub(crate) gateways: u32,
     /// This gateway's place among them for this customer, from 0.
@@ -87,6 +87,6 @@
 fn open_limit_reached(limit: u32, slots: &SlotUse) -> bool {
     let has_slot = slots.place < (GATEWAYS_PER_GROUP * limit).div_ceil(SLOTS_PER_GROUP);
     let own_slots = (limit / slots.gateways).max(u32::from(has_slot));
-    let unreported = if slots.in_flight < own_slots { 0 } else { slots.busy_peers };
+    let unreported = if slots.in_flight < own_slots { 0 } else { slots.reporting_peers };
     slots.in_flight + slots.peer_in_flight + unreported >= limit
 }
--- a/crates/admission/src/policy/quota_counter/count_catch_up.rs
+++ b/crates/admission/src/policy/quota_counter/count_catch_up.rs
@@ -1,4 +1,5 @@
-//! When a count that lags behind the clock is raised, and what happens when two gateways raise it at once.
+//! When a count is raised that is lower than the rate would have it, and what happens when two gateways raise
+//! it at once.
 //!
 //! A count only grows by what is sent. The rate would let an idle customer save up more than its burst, so a
 //! gateway that sees such a count adds the units that are too many.
--- a/crates/admission/src/policy/quota_counter/count_decision.rs
+++ b/crates/admission/src/policy/quota_counter/count_decision.rs
@@ -15,8 +15,8 @@
 /// Decides on a request over the quota: where its plan pays for that, it may still be sent while there is
 /// capacity. Under a hard ceiling it is not, since no gateway knows how much of the ceiling the others spent.
 pub(crate) fn decide_over_quota(plan: &PlanSettings) -> QuotaState {
-    let within_ceiling = plan.pays_over_quota() && plan.ceiling_rate_per_second <= 0.0;
-    QuotaState::OverQuota { within_ceiling }
+    let may_exceed = plan.pays_over_quota() && plan.ceiling_rate_per_second <= 0.0;
+    QuotaState::OverQuota { may_exceed }
 }
 
 /// Whether a customer cannot have the units of a request, so that no call to the counter is needed.
--- a/crates/admission/src/policy/quota_owner/fallback_decision.rs
+++ b/crates/admission/src/policy/quota_owner/fallback_decision.rs
@@ -1,4 +1,5 @@
-//! What a gateway decides on a request when the owner of the customer's quota cannot be reached.
+//! What a gateway decides on a request without the owner of the customer's quota: the owner did not respond,
+//! is sent a sample of the requests only, or no message may be sent to it now.
 use crate::state::{QuotaExpectation, QuotaState};
 
 /// What is known when a gateway decides without the owner.
@@ -21,6 +22,6 @@
     if input.expectation == QuotaExpectation::Within && input.band_is_ungated && !has_ceiling {
         QuotaState::LocalBucket { within_quota: true }
     } else {
-        QuotaState::OverQuota { within_ceiling: false }
+        QuotaState::OverQuota { may_exceed: false }
     }
 }
--- a/crates/admission/src/policy/quota_owner/owner_selection.rs
+++ b/crates/admission/src/policy/quota_owner/owner_selection.rs
@@ -9,8 +9,8 @@
 const SUSPECT_MS: f64 = 2500.0;
 
 /// The owner of a customer's quota: the first gateway of the ranking that is not suspected. Every gateway
-/// computes the same ranking, so they agree on the owner without a message. `this_gateway` decides
-/// itself where all others are suspected.
+/// computes the same ranking, so that they agree on the owner without a message as long as they suspect the
+/// same gateways. `this_gateway` decides itself where all others are suspected.
 pub(crate) fn select_owner(
     ranking: impl Iterator<Item = RankedGateway>,
     is_suspected: impl Fn(GatewayIndex) -> bool,
--- a/crates/admission/src/policy/retry/retry_decision.rs
+++ b/crates/admission/src/policy/retry/retry_decision.rs
@@ -24,8 +24,8 @@
     pub attempts: usize,
     /// Attempts that it may have at most, from the settings.
     pub max_attempts: u32,
-    /// No response can come within its deadline any more.
-    pub cannot_meet_deadline: bool,
+    /// No response can come any more within its latency objective, or its deadline where that is sooner.
+    pub is_too_late: bool,
     /// An earlier attempt may have run.
     pub may_have_run: bool,
     /// Retry tokens at hand.
@@ -42,7 +42,7 @@
     },
     /// It is closed, or has had all its attempts.
     NoAttemptLeft,
-    /// Its time is over.
+    /// No response can come in time any more.
     TooLate,
     /// The retry budget is exhausted: retries must not add much to the load while many attempts fail.
     BudgetExhausted,
@@ -54,7 +54,7 @@
         if input.may_have_run { RETRY_COST_AFTER_POSSIBLE_RUN } else { RETRY_COST_AFTER_NO_RUN };
     if !has_attempt_left(input.is_closed, input.attempts, input.max_attempts) {
         RetryDecision::NoAttemptLeft
-    } else if input.cannot_meet_deadline {
+    } else if input.is_too_late {
         RetryDecision::TooLate
     } else if input.retry_tokens < cost_tokens {
         RetryDecision::BudgetExhausted
--- a/crates/admission/src/policy/retry/stalled_attempt.rs
+++ b/crates/admission/src/policy/retry/stalled_attempt.rs
@@ -8,8 +8,8 @@
 /// Least time after which an attempt takes long, in latency objectives.
 const LONG_OBJECTIVE_FRACTION: f64 = 0.25;
 
-/// Factor on the time after which an attempt takes long, from which on it is stalled where nothing else
-/// points at its endpoint.
+/// An attempt is stalled after this multiple of the time after which it takes long, where nothing else speaks
+/// against its endpoint.
 const STALLED_FACTOR: f64 = 1.6;
 
 /// What is known of an attempt in flight and of its endpoint.
@@ -39,7 +39,9 @@
     age_ms > long_response_ms && age_ms < long_response_ms + UPKEEP_MS
 }
 
-/// Whether an attempt is stalled.
+/// Whether an attempt is stalled: whatever its age where its endpoint is an outlier or unresponsive, once it
+/// takes long where the endpoint is ejected for the class, and otherwise after `STALLED_FACTOR` times as
+/// long.
 pub(crate) fn is_stalled(input: &PendingAttemptInput) -> bool {
     let factor = if input.is_class_ejected { 1.0 } else { STALLED_FACTOR };
     let limit_ms = input.long_response_ms * factor;
--- a/crates/admission/src/settings.rs
+++ b/crates/admission/src/settings.rs
@@ -45,7 +45,7 @@
 pub struct ClassSettings {
     /// Latency objective: a response within this time has its full value. In milliseconds, above 0.
     pub latency_objective_ms: f64,
-    /// How long a client waits for its response from its first attempt on, in milliseconds, above 0.
+    /// How long a client waits for its response from its first request on, in milliseconds, above 0.
     pub deadline_ms: f64,
     /// Value of a request against that of other classes.
     pub priority_weight: f64,
--- a/crates/admission/src/state/endpoint/observed_health.rs
+++ b/crates/admission/src/state/endpoint/observed_health.rs
@@ -18,7 +18,7 @@
 pub(crate) struct ObservedHealth {
     /// When some gateway last observed a response, in ms.
     last_response_ms: f64,
-    /// Attempts observed since the last response that got none.
+    /// Attempts observed since the last response that failed or took long.
     missed_responses: u32,
     /// Fraction of the requests of each class that failed, smoothed.
     class_failure_fraction: BTreeMap<ClassIndex, f64>,
@@ -53,7 +53,7 @@
         *fraction
     }
 
-    /// Attempts observed since the last response that got none.
+    /// Attempts observed since the last response that failed or took long.
     pub(crate) fn missed_responses(&self) -> u32 {
         self.missed_responses
     }
--- a/crates/admission/src/state/fleet/band_state.rs
+++ b/crates/admission/src/state/fleet/band_state.rs
@@ -17,7 +17,7 @@
     /// Ready endpoints as the band counted them at the last review; one that is warming up counts as a
     /// fraction.
     ready_capacity: f64,
-    /// Requests that this gateway may send by its even quota of the band; below 0 it is overdrawn.
+    /// Requests that this gateway may send by its even fraction of the band; below 0 it is overdrawn.
     dispatch_credit: f64,
     /// When the dispatch credit was last refilled, in milliseconds.
     refilled_ms: f64,
@@ -180,7 +180,7 @@
         self.ready_capacity = ready_capacity;
     }
 
-    /// Requests that this gateway may send by its even quota of the band.
+    /// Requests that this gateway may send by its even fraction of the band.
     pub(crate) fn dispatch_credit(&self) -> f64 {
         self.dispatch_credit
     }
--- a/crates/admission/src/state/fleet/fleet_means.rs
+++ b/crates/admission/src/state/fleet/fleet_means.rs
@@ -19,7 +19,7 @@
 /// Figures of the mean gateway.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct GatewayMeans {
-    /// Attempts in flight.
+    /// Attempts in flight of one gateway in the mean.
     pub(crate) stock: f64,
     /// Good responses per second.
     pub(crate) responses_per_second: f64,
--- a/crates/admission/src/state/quota/customer_record.rs
+++ b/crates/admission/src/state/quota/customer_record.rs
@@ -13,7 +13,8 @@
     plan: Option<PlanIndex>,
     /// The gateways that its requests come through.
     gateways: GatewaySet,
-    /// Units of its quota. Before the plan is known, the fraction of the burst that was last reported.
+    /// Units of its quota. Before the plan is known it has the fraction of the burst that was last reported,
+    /// which `set_plan` turns into units.
     quota: TokenBucket,
     /// Units of this gateway's own fraction of its hard ceiling.
     ceiling: TokenBucket,
--- a/crates/admission/src/state/quota/pending_quota_requests.rs
+++ b/crates/admission/src/state/quota/pending_quota_requests.rs
@@ -13,7 +13,7 @@
     DecideAlone(QuotaExpectation),
 }
 
-/// What is expected of a customer whose quota's owner cannot be reached.
+/// What is expected of a customer on whose request its quota's owner does not decide.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum QuotaExpectation {
     /// It is most likely within its quota.
@@ -63,7 +63,8 @@
         self.pending.remove(&number);
     }
 
-    /// The requests that a response is awaited for, in the order of their numbers.
+    /// The requests of all numbers recorded, in the order of the numbers. Some may have been decided without
+    /// the owner meanwhile.
     pub(crate) fn waiting(&self) -> impl Iterator<Item = RequestId> + '_ {
         self.pending.values().copied()
     }
--- a/crates/admission/src/state/quota/quota_state.rs
+++ b/crates/admission/src/state/quota/quota_state.rs
@@ -5,7 +5,8 @@
 /// Who decides whether a request is within its customer's quota, and what was decided.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum QuotaState {
-    /// This gateway's own token bucket decides, without a message or call.
+    /// This gateway's own token bucket decides, without a message or call. It is checked again when the
+    /// request is to be sent, so that `within_quota` is only what is taken for granted until then.
     LocalBucket { within_quota: bool },
     /// The quota's owner was sent a quota request and has not responded.
     AwaitingOwner { owner: GatewayIndex, number: QuotaRequestNumber, at_ms: f64, retries: u32 },
@@ -13,8 +14,9 @@
     QueuedAtOwner { owner: GatewayIndex, number: QuotaRequestNumber },
     /// The owner granted it. Where the quota is ample, the true units need not be reported.
     GrantedByOwner { owner: GatewayIndex, number: QuotaRequestNumber, ample: bool },
-    /// It is over the quota. Within the ceiling it may still be sent while there is capacity.
-    OverQuota { within_ceiling: bool },
+    /// It is over the quota, or taken to be. Where it `may_exceed` the quota, it is sent while there is
+    /// capacity.
+    OverQuota { may_exceed: bool },
     /// The quota counter was called for it and has not responded.
     AwaitingCounter,
     /// The counter's total admitted it. Where the quota is ample, the true units need not be reported.
@@ -34,8 +36,8 @@
             QuotaVerdict::Granted => QuotaState::GrantedByOwner { owner, number, ample: false },
             QuotaVerdict::GrantedAmple => QuotaState::GrantedByOwner { owner, number, ample: true },
             QuotaVerdict::Queued => QuotaState::QueuedAtOwner { owner, number },
-            QuotaVerdict::OverQuotaAllowed => QuotaState::OverQuota { within_ceiling: true },
-            QuotaVerdict::OverQuota => QuotaState::OverQuota { within_ceiling: false },
+            QuotaVerdict::OverQuotaAllowed => QuotaState::OverQuota { may_exceed: true },
+            QuotaVerdict::OverQuota => QuotaState::OverQuota { may_exceed: false },
         }
     }
 
@@ -81,7 +83,7 @@
 
     /// Whether the request is over its quota, but may still be sent while there is capacity.
     pub(crate) fn may_exceed_quota(&self) -> bool {
-        matches!(self, QuotaState::OverQuota { within_ceiling: true })
+        matches!(self, QuotaState::OverQuota { may_exceed: true })
     }
 
     /// Whether a response of this owner to the quota request of this number is awaited.
@@ -110,7 +112,7 @@
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct LocalBucketCheck {
     /// The request is within the quota.
-    pub(crate) is_met: bool,
+    pub(crate) is_within_quota: bool,
     /// Beyond its quota the request may still be sent while there is capacity.
     pub(crate) may_exceed: bool,
     /// Time until the bucket has filled enough for the request, in ms; `None` where it never does.
--- a/crates/admission/src/tests/endpoint_rules/retry_rules.rs
+++ b/crates/admission/src/tests/endpoint_rules/retry_rules.rs
@@ -83,7 +83,7 @@
         is_closed: false,
         attempts: 1,
         max_attempts: 2,
-        cannot_meet_deadline: false,
+        is_too_late: false,
         may_have_run: true,
         retry_tokens: 1.0,
     };
@@ -95,7 +95,7 @@
         (RetryInput { retry_tokens: 0.1, ..never_ran }, RetryDecision::BudgetExhausted),
         (RetryInput { is_closed: true, ..failed }, RetryDecision::NoAttemptLeft),
         (RetryInput { attempts: 2, ..failed }, RetryDecision::NoAttemptLeft),
-        (RetryInput { cannot_meet_deadline: true, ..failed }, RetryDecision::TooLate),
+        (RetryInput { is_too_late: true, ..failed }, RetryDecision::TooLate),
     ];
     for (input, expected) in rows {
         assert_eq!(decide_retry(&input), expected, "{input:?}");
--- a/crates/admission/src/tests/load_rules/local_bucket_rules.rs
+++ b/crates/admission/src/tests/load_rules/local_bucket_rules.rs
@@ -17,17 +17,17 @@
 #[test]
 fn quota_is_met_by_what_queued_requests_and_peers_leave() {
     let plan = plan();
-    assert!(check_local_bucket(&input(&plan)).is_met);
+    assert!(check_local_bucket(&input(&plan)).is_within_quota);
     let short = check_local_bucket(&LocalBucketInput { queued_units: 6.0, ..input(&plan) });
     // One unit short, at 10 units a second.
-    assert_eq!((short.is_met, short.retry_after_ms), (false, Some(100.0)));
+    assert_eq!((short.is_within_quota, short.retry_after_ms), (false, Some(100.0)));
 }
 
 #[test]
 fn plan_without_a_rate_is_always_met_and_refills_never() {
     let plan = PlanSettings { rate_per_second: 0.0, ..plan() };
     let check = check_local_bucket(&LocalBucketInput { quota_tokens: 0.0, ..input(&plan) });
-    assert_eq!((check.is_met, check.retry_after_ms), (true, None));
+    assert_eq!((check.is_within_quota, check.retry_after_ms), (true, None));
 }
 
 #[test]
--- a/crates/admission/src/tests/load_rules/new_request_rules.rs
+++ b/crates/admission/src/tests/load_rules/new_request_rules.rs
@@ -11,7 +11,7 @@
 
 /// A request within its quota while the stock is under both bounds.
 const ADMITTED: AdmissionInput = AdmissionInput {
-    quota: LocalBucketCheck { is_met: true, may_exceed: false, retry_after_ms: Some(70.0) },
+    quota: LocalBucketCheck { is_within_quota: true, may_exceed: false, retry_after_ms: Some(70.0) },
     limits: LimitDecision::Admit,
     band: BandPosition::UnderLower,
     queue_is_blocked: false,
@@ -47,7 +47,7 @@
 
 #[test]
 fn broadcast_mode_sends_beyond_the_quota_up_to_the_lower_bound_where_the_plan_pays() {
-    let over = LocalBucketCheck { is_met: false, ..ADMITTED.quota };
+    let over = LocalBucketCheck { is_within_quota: false, ..ADMITTED.quota };
     let paying = LocalBucketCheck { may_exceed: true, ..over };
     // The customer's limits bind use within the quota only.
     let limits = LimitDecision::WaitForSlot;
@@ -64,7 +64,7 @@
 
 #[test]
 fn without_an_endpoint_a_request_within_its_quota_is_queued() {
-    let over = LocalBucketCheck { is_met: false, may_exceed: true, ..ADMITTED.quota };
+    let over = LocalBucketCheck { is_within_quota: false, may_exceed: true, ..ADMITTED.quota };
     assert_eq!(queue_or_reject(&ADMITTED), Admission::Queue);
     assert_eq!(queue_or_reject(&AdmissionInput { queued_requests: 4000, ..ADMITTED }), REJECTED);
     assert_eq!(queue_or_reject(&AdmissionInput { quota: over, ..ADMITTED }), REJECTED);
@@ -73,7 +73,7 @@
 #[test]
 fn ceiling_units_are_requested_where_nothing_else_is_lacking() {
     let lacking = AdmissionInput { limits: LimitDecision::WaitForCeiling, ..ADMITTED };
-    let over = LocalBucketCheck { is_met: false, may_exceed: true, ..ADMITTED.quota };
+    let over = LocalBucketCheck { is_within_quota: false, may_exceed: true, ..ADMITTED.quota };
     let cases = [
         (ADMITTED, false),
         (lacking, true),
--- a/crates/admission/src/tests/quota_rules/counter_rules.rs
+++ b/crates/admission/src/tests/quota_rules/counter_rules.rs
@@ -59,7 +59,7 @@
 fn a_count_admits_what_it_has_tokens_for_and_is_ample_above_half_the_burst() {
     let paying = paying_plan(2.0, 8.0);
     let ceiling = PlanSettings { ceiling_rate_per_second: 1.0, ..paying_plan(2.0, 8.0) };
-    let over = |within_ceiling| QuotaState::OverQuota { within_ceiling };
+    let over = |may_exceed| QuotaState::OverQuota { may_exceed };
     let cases = [
         (&paying, 4.1, QuotaState::AdmittedByCounter { ample: true }),
         (&paying, 4.0, QuotaState::AdmittedByCounter { ample: false }),
--- a/crates/admission/src/tests/quota_rules/owner_rules.rs
+++ b/crates/admission/src/tests/quota_rules/owner_rules.rs
@@ -148,7 +148,7 @@
 #[test]
 fn without_the_owner_a_request_is_sent_only_where_nothing_speaks_against_it() {
     let own_bucket = QuotaState::LocalBucket { within_quota: true };
-    let over_quota = QuotaState::OverQuota { within_ceiling: false };
+    let over_quota = QuotaState::OverQuota { may_exceed: false };
     let cases = [
         (QuotaExpectation::Within, true, 0.0, own_bucket),
         (QuotaExpectation::Over, true, 0.0, over_quota),
--- a/crates/gateway/src/discovery/list_lease.rs
+++ b/crates/gateway/src/discovery/list_lease.rs
@@ -15,7 +15,7 @@
 const LEASE_DURATION_AFTER_ADDRESS_CHANGE: Duration =
     CHANGE_KNOWN_AFTER_ADDRESS_CHANGE.saturating_sub(LEASE_MARGIN);
 /// How long a rejected call renews the lease for. The longest pause and a next rejection that is 2 s late fit
-/// in; it includes a fraction of the drain grace.
+/// in. It is longer than a list may be used otherwise, at the cost of some of the drain grace.
 ///
 /// A rejection may come from an overloaded discovery, or from a proxy in front of a discovery that is down. A
 /// gateway cannot distinguish the two, so a rejection renews the lease as an outage does.
--- a/crates/gateway/src/discovery/refresh_schedule.rs
+++ b/crates/gateway/src/discovery/refresh_schedule.rs
@@ -45,7 +45,7 @@
     /// `None` where the list never expires.
     lease: Option<ListLease>,
     backoff: Backoff,
-    /// The last call was rejected, got no response, or got it late.
+    /// The last call was rejected, timed out without a response, or got it late.
     is_overloaded: bool,
 }
 
