--- a/crates/admission/src/event_handling.rs
+++ b/crates/admission/src/event_handling.rs
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Asks for the next round of upkeep.
+    /// Schedules the next round of upkeep.
     fn schedule_tick(&mut self, after_ms: f64, actions: &mut Vec<Action>) {
         let at_ms = self.clock.schedule_tick(after_ms);
         actions.push(Action::SetTimer { at_ms, token: 0 });
--- a/crates/admission/src/policy/coordination_choice.rs
+++ b/crates/admission/src/policy/coordination_choice.rs
@@ -21,7 +21,7 @@
     Broadcast,
     /// Each customer's quota has an owner, and means over the fleet travel with the quota messages.
     Gossip,
-    /// Quotas are held by the shared quota counter.
+    /// Quotas are counted by the quota counter, which all gateways call.
     Counter,
     /// Each gateway goes by what it sees itself.
     Isolated,
--- a/crates/admission/src/policy/queue/flow_weight.rs
+++ b/crates/admission/src/policy/queue/flow_weight.rs
@@ -21,8 +21,8 @@
     units
 }
 
-/// Size of a request in the queue of a gateway of a large fleet: the more its class is worth, the less it
-/// counts, and the sooner it is dispatched.
+/// Size of a request in the queue of a gateway of a large fleet: the higher the priority weight of its
+/// class, the less it counts, and the sooner it is dispatched.
 pub(crate) fn queue_size_in_large_fleet(units: f64, priority_weight: f64) -> f64 {
     units / priority_weight.max(MIN_WEIGHT)
 }
--- a/crates/admission/src/policy/quota_counter/counter_sampling.rs
+++ b/crates/admission/src/policy/quota_counter/counter_sampling.rs
@@ -1,7 +1,7 @@
 //! For which requests the counter is called.
 //!
 //! The counter serves a limited number of calls per second, also calls that nobody waits for any longer. So
-//! the gateways share it as TCP connections share a link, by additive increase and multiplicative decrease:
+//! the gateways divide it as TCP connections divide a link, by additive increase and multiplicative decrease:
 //! each total received raises the fraction of the requests that the counter is called for, each call without
 //! a total lowers it. The sampled requests stand for the others.
 use crate::event::CounterOutcome;
--- a/crates/admission/src/settings.rs
+++ b/crates/admission/src/settings.rs
@@ -216,7 +216,7 @@
             is_amount(self.latency_objective_ms) && self.latency_objective_ms > 0.0,
         )?;
         require("deadline_ms", is_amount(self.deadline_ms) && self.deadline_ms > 0.0)?;
-        require("worth", is_amount(self.priority_weight))?;
+        require("priority_weight", is_amount(self.priority_weight))?;
         match self.idempotency {
             Idempotency::IdempotencyKey { window_ms, .. } => require("window_ms", is_amount(window_ms)),
             Idempotency::Idempotent | Idempotency::NonIdempotent => Ok(()),
--- a/crates/gateway/src/discovery/tests/endpoint_list.rs
+++ b/crates/gateway/src/discovery/tests/endpoint_list.rs
@@ -7,7 +7,7 @@
 const NOW_MS: f64 = 1_000_000.0;
 
 fn names() -> Names {
-    let names = |names: &[&str]| names.iter().map(std::string::ToString::to_string).collect();
+    let names = |names: &[&str]| names.iter().map(ToString::to_string).collect();
     Names {
         classes: Vec::new(),
         plans: Vec::new(),
--- a/crates/gateway/src/downstream/tests/mod.rs
+++ b/crates/gateway/src/downstream/tests/mod.rs
@@ -47,7 +47,7 @@
 }
 
 fn names() -> Names {
-    let names = |names: &[&str]| names.iter().map(std::string::ToString::to_string).collect();
+    let names = |names: &[&str]| names.iter().map(ToString::to_string).collect();
     Names {
         classes: names(&["read", "post", "once"]),
         plans: names(&["basic", "gold"]),
