--- a/crates/admission/src/lifecycle/attempts.rs
+++ b/crates/admission/src/lifecycle/attempts.rs
@@ -3,13 +3,16 @@
 use crate::event::AttemptEnd;
 use crate::gateway::Gateway;
 use crate::id::{EndpointId, RequestId};
+use crate::lifecycle::warm_up::available_warm_up_tokens;
 use crate::policy::customer_usage::{
     usage_at_attempt_end, usage_at_attempt_start, AttemptEndInput, AttemptStartInput, ExcessCharge,
 };
 use crate::policy::peer_messages::report_schedule::REPORT_ROUNDS;
 use crate::policy::retry::{
-    after_attempt, attempt_timeout_ms, earned_retry_tokens, AfterAttempt, EndedAttempt, MAX_RETRY_TOKENS,
+    after_attempt, attempt_timeout_ms, earned_retry_tokens, may_have_run, AfterAttempt, EndedAttempt,
+    MAX_RETRY_TOKENS,
 };
+use crate::policy::slow_start::TOKENS_PER_ATTEMPT;
 use crate::state::InFlightAttempt;
 
 impl Gateway {
@@ -37,7 +40,8 @@
         let Some(active) = self.requests.get_mut(id) else { return };
         let Some(endpoint) = self.endpoints.get_mut(endpoint_id) else { return };
         if let Some(budget) = warm_up_budget {
-            endpoint.warm_up_tokens.take(now_ms, budget);
+            let tokens = available_warm_up_tokens(endpoint, budget, now_ms) - TOKENS_PER_ATTEMPT;
+            endpoint.warm_up_tokens.update(tokens, now_ms);
         }
         let reference = active.start_attempt(endpoint, now_ms);
         endpoint.record_sent(InFlightAttempt { sent_ms: now_ms, reference });
@@ -71,7 +75,7 @@
     /// Records how an attempt ended, and closes its request, retries it, or gives it its final response.
     pub(crate) fn on_attempt_end(&mut self, end: &AttemptEnd, actions: &mut Vec<Action>) {
         let Some(active) = self.requests.get_mut(end.request) else { return };
-        if !active.end_attempt(end.attempt, end.outcome) {
+        if !active.end_attempt(end.attempt, may_have_run(end.outcome)) {
             return;
         }
         let (class, plan) = (active.request.class, active.request.plan);
--- a/crates/admission/src/lifecycle/endpoint_choice.rs
+++ b/crates/admission/src/lifecycle/endpoint_choice.rs
@@ -1,6 +1,7 @@
 //! What the rules of endpoint selection go by.
 use crate::gateway::Gateway;
 use crate::id::{EndpointId, RequestId};
+use crate::lifecycle::warm_up::available_warm_up_tokens;
 use crate::policy::selection;
 use crate::policy::selection::{
     BroadcastCostInput, BroadcastFitnessInput, CostCandidate, DrawCandidate, DrawContext,
@@ -62,7 +63,7 @@
         let in_flight = endpoint.in_flight().len();
         let since_response_ms = endpoint.health.since_response_ms(now_ms);
         let warm_up = self.warm_up_budget(endpoint).map(|budget| WarmUpAllowance {
-            available_tokens: endpoint.warm_up_tokens.available(now_ms, budget),
+            available_tokens: available_warm_up_tokens(endpoint, budget, now_ms),
             max_tokens: budget.max_tokens,
         });
         let cost = selection::cost_in_broadcast_mode(&BroadcastCostInput {
--- a/crates/admission/src/lifecycle/endpoints.rs
+++ b/crates/admission/src/lifecycle/endpoints.rs
@@ -2,8 +2,10 @@
 use crate::event::AttemptEnd;
 use crate::gateway::Gateway;
 use crate::id::{ClassIndex, PlanIndex};
-use crate::policy::outlier::{ejection_jitter, HealthVerdict, EJECTION, ERROR_GAIN};
-use crate::state::{AttemptRef, FleetMode};
+use crate::policy::outlier::{
+    ejection_jitter, health_evidence, HealthEvidence, HealthVerdict, EJECTION, ERROR_GAIN,
+};
+use crate::state::{AttemptRef, EndpointHealth, FleetMode};
 
 impl Gateway {
     /// Records how an attempt ended in its endpoint's response time and health, and ejects the endpoint if
@@ -20,7 +22,7 @@
         let jitter = ejection_jitter(self.random.next_fraction());
         let Some(endpoint) = self.endpoints.get_mut(end.endpoint) else { return };
         endpoint.remove_in_flight(AttemptRef { request: end.request, attempt: end.attempt });
-        endpoint.health.record_outcome(end.outcome, now_ms, ERROR_GAIN);
+        record_health(&mut endpoint.health, health_evidence(end.outcome), now_ms);
         let Some(endpoint) = self.endpoints.get(end.endpoint) else { return };
         let verdict = self.health_verdict(endpoint, end, class);
         if let Some(endpoint) = self.endpoints.get_mut(end.endpoint) {
@@ -35,3 +37,20 @@
         self.endpoints.remove_if_finished(end.endpoint);
     }
 }
+
+/// Records what the end of an attempt shows of its endpoint's health.
+fn record_health(health: &mut EndpointHealth, evidence: HealthEvidence, now_ms: f64) {
+    match evidence {
+        HealthEvidence::Served => {
+            health.record_response(now_ms);
+            health.record_success(ERROR_GAIN);
+        }
+        HealthEvidence::ErrorResponse => {
+            health.record_response(now_ms);
+            health.record_error(ERROR_GAIN);
+        }
+        HealthEvidence::Rejection => health.record_response(now_ms),
+        HealthEvidence::BrokenConnection => health.record_error(ERROR_GAIN),
+        HealthEvidence::None => {}
+    }
+}
--- a/crates/admission/src/lifecycle/warm_up.rs
+++ b/crates/admission/src/lifecycle/warm_up.rs
@@ -63,7 +63,8 @@
         }
         for (id, budget) in budgets {
             if let Some(endpoint) = self.endpoints.get_mut(id) {
-                endpoint.warm_up_tokens.refill(now_ms, budget);
+                let tokens = available_warm_up_tokens(endpoint, budget, now_ms);
+                endpoint.warm_up_tokens.update(tokens, now_ms);
             }
         }
         let rates = self.warm_endpoints().map(|e| (e.kind(), e.send_rate(now_ms)));
@@ -76,3 +77,9 @@
         self.endpoints.ready().filter(|endpoint| !self.is_warming_up(endpoint))
     }
 }
+
+/// Warm-up tokens of an endpoint at `now_ms`.
+pub(crate) fn available_warm_up_tokens(endpoint: &Endpoint, budget: WarmUpBudget, now_ms: f64) -> f64 {
+    let saved = &endpoint.warm_up_tokens;
+    slow_start::available_tokens(saved.saved(), saved.since_update_ms(now_ms), budget)
+}
--- a/crates/admission/src/policy/mod.rs
+++ b/crates/admission/src/policy/mod.rs
@@ -10,6 +10,7 @@
 pub(crate) mod customer_usage;
 pub(crate) mod observation;
 pub(crate) mod outlier;
+pub(crate) mod over_quota_use;
 pub(crate) mod peer_messages;
 pub(crate) mod queue;
 pub(crate) mod quota_counter;
--- a/crates/admission/src/policy/quota_owner/owner_verdict.rs
+++ b/crates/admission/src/policy/quota_owner/owner_verdict.rs
@@ -1,6 +1,7 @@
 //! What the owner of a customer's quota decides on a quota request.
 use crate::messages::quota_message::QuotaVerdict;
 use crate::policy::ample_quota::is_ample;
+use crate::policy::over_quota_use::pays_over_quota;
 use crate::policy::retry::ATTEMPT_TIMEOUT_OBJECTIVES;
 use crate::settings::PlanSettings;
 
@@ -26,7 +27,7 @@
         return QuotaVerdict::OverQuota;
     }
     if plan.rate_per_second > 0.0 && owned.quota_tokens < units {
-        return if plan.pays_over_quota() { QuotaVerdict::OverQuotaAllowed } else { QuotaVerdict::OverQuota };
+        return if pays_over_quota(plan) { QuotaVerdict::OverQuotaAllowed } else { QuotaVerdict::OverQuota };
     }
     if plan.open_limit == 0 || has_free_slot(plan, owned.granted_requests) {
         return QuotaVerdict::Granted;
--- a/crates/admission/src/policy/request_end/final_response.rs
+++ b/crates/admission/src/policy/request_end/final_response.rs
@@ -1,5 +1,5 @@
 //! Whether a request without a good response is rejected or failed.
-use crate::settings::Idempotency;
+use crate::settings::{DedupGroup, Idempotency};
 
 /// The final response to a request without a good response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -12,9 +12,18 @@
 
 /// The final response, by whether some endpoint may have run the request and what its class allows then.
 pub(crate) fn final_response(may_have_run: bool, idempotency: Idempotency) -> FinalResponse {
-    if !may_have_run || idempotency.allows_client_retry() {
+    if !may_have_run || client_retry_is_harmless(idempotency) {
         FinalResponse::Reject
     } else {
         FinalResponse::Fail
     }
 }
+
+/// Whether a client's retry does no harm, to whichever endpoint it goes, once an attempt may have run.
+fn client_retry_is_harmless(idempotency: Idempotency) -> bool {
+    match idempotency {
+        Idempotency::Idempotent => true,
+        Idempotency::IdempotencyKey { group, .. } => group == DedupGroup::All,
+        Idempotency::NonIdempotent => false,
+    }
+}
--- a/crates/admission/src/policy/retry/mod.rs
+++ b/crates/admission/src/policy/retry/mod.rs
@@ -2,6 +2,7 @@
 //! stalled.
 mod after_attempt;
 mod attempt_timeout;
+mod possible_run;
 mod retry_decision;
 mod retry_scope;
 mod stalled_action;
@@ -9,6 +10,7 @@
 
 pub(crate) use after_attempt::{after_attempt, AfterAttempt, EndedAttempt};
 pub(crate) use attempt_timeout::{attempt_timeout_ms, ATTEMPT_TIMEOUT_OBJECTIVES};
+pub(crate) use possible_run::may_have_run;
 pub(crate) use retry_decision::{
     decide_retry, earned_retry_tokens, RetryDecision, RetryInput, INITIAL_RETRY_TOKENS, MAX_RETRY_TOKENS,
 };
--- a/crates/admission/src/policy/selection/attempt_cost.rs
+++ b/crates/admission/src/policy/selection/attempt_cost.rs
@@ -1,6 +1,6 @@
 //! What an attempt at an endpoint is expected to cost. A cost has no unit: only ratios count.
 use crate::policy::response_time::KindDeviation;
-use crate::policy::slow_start::{is_warming_up, WARM_UP_BUDGET_FRACTION, WARM_UP_WEIGHT};
+use crate::policy::slow_start::{is_warming_up, TOKENS_PER_ATTEMPT, WARM_UP_BUDGET_FRACTION, WARM_UP_WEIGHT};
 
 /// Factor on the cost of an endpoint that the request was sent to before.
 const ATTEMPTED_BEFORE_COST: f64 = 4.0;
@@ -46,7 +46,7 @@
     cost *= if input.is_local { 1.0 } else { REMOTE_ZONE_COST };
     cost *= input.relative_response_time;
     if let Some(warm_up) = input.warm_up {
-        if warm_up.available_tokens < 1.0 {
+        if warm_up.available_tokens < TOKENS_PER_ATTEMPT {
             return None;
         }
         // The rarer the tokens, the lower the cost: a token that comes seldom is used while it is there.
--- a/crates/admission/src/policy/slow_start/mod.rs
+++ b/crates/admission/src/policy/slow_start/mod.rs
@@ -8,4 +8,6 @@
     warm_fraction, WARM_UP_BUDGET_FRACTION, WARM_UP_WEIGHT,
 };
 pub(crate) use warm_up_admission::{warm_up_admission, warm_up_draw, SendCapacity, WarmUpAdmission};
-pub(crate) use warm_up_budget::{warm_up_budget, WarmUpBudgetInput, SEND_RATE_SPAN_S};
+pub(crate) use warm_up_budget::{
+    available_tokens, warm_up_budget, WarmUpBudgetInput, SEND_RATE_SPAN_S, TOKENS_PER_ATTEMPT,
+};
--- a/crates/admission/src/policy/slow_start/warm_up_budget.rs
+++ b/crates/admission/src/policy/slow_start/warm_up_budget.rs
@@ -46,3 +46,19 @@
     let tokens_per_second = multiple * input.warm_fraction * warm_rate.max(even_rate);
     WarmUpBudget { tokens_per_second, max_tokens: tokens_per_second * window_s }
 }
+
+/// Warm-up tokens that an attempt takes.
+pub(crate) const TOKENS_PER_ATTEMPT: f64 = 1.0;
+
+/// Warm-up tokens of an endpoint, `since_update_ms` after it had `saved_tokens`.
+///
+/// Where less than one token may be saved up, a full token is there only for a while, at a time of this
+/// gateway's own, and then expires. Without that every gateway of the fleet would have one ready when a burst
+/// comes, and together they would overload the endpoint.
+pub(crate) fn available_tokens(saved_tokens: f64, since_update_ms: f64, budget: WarmUpBudget) -> f64 {
+    let tokens = saved_tokens + budget.tokens_per_second * since_update_ms / 1000.0;
+    if budget.max_tokens >= TOKENS_PER_ATTEMPT {
+        return tokens.min(budget.max_tokens);
+    }
+    tokens - (tokens - budget.max_tokens).floor().max(0.0)
+}
--- a/crates/admission/src/settings.rs
+++ b/crates/admission/src/settings.rs
@@ -18,17 +18,6 @@
     NonIdempotent,
 }
 
-impl Idempotency {
-    /// Whether a client's retry does no harm, to whichever endpoint it goes, once an attempt may have run.
-    pub(crate) fn allows_client_retry(&self) -> bool {
-        match self {
-            Idempotency::Idempotent => true,
-            Idempotency::IdempotencyKey { group, .. } => *group == DedupGroup::All,
-            Idempotency::NonIdempotent => false,
-        }
-    }
-}
-
 /// The endpoints that share their memory of idempotency keys.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DedupGroup {
@@ -81,11 +70,6 @@
         time_ms.is_finite().then_some(time_ms)
     }
 
-    /// Whether use beyond the quota earns more than it costs. Plans with an open limit permit none.
-    pub(crate) fn pays_over_quota(&self) -> bool {
-        self.over_quota_value > self.over_quota_cost && self.open_limit == 0
-    }
-
     /// Checks a plan's figures.
     fn check(&self) -> Result<(), SettingsError> {
         require("rate_per_second", is_amount(self.rate_per_second) && is_amount(self.burst_units))?;
--- a/crates/admission/src/state/endpoint/endpoint_health.rs
+++ b/crates/admission/src/state/endpoint/endpoint_health.rs
@@ -1,5 +1,4 @@
 //! An endpoint's health as this gateway's own attempts show it.
-use crate::event::Outcome;
 use crate::mechanism::backoff::{Backoff, BackoffLimits};
 use crate::mechanism::smoothing::smooth;
 
@@ -20,23 +19,21 @@
         EndpointHealth { last_response_ms: now_ms, error_fraction: 0.0, ejection: Backoff::default() }
     }
 
-    /// Records how an own attempt ended. A response of any kind shows that the endpoint is
-    /// alive. Errors and broken connections have the weight `error_gain` in the smoothed fraction.
-    pub(crate) fn record_outcome(&mut self, outcome: Outcome, now_ms: f64, error_gain: f64) {
-        match outcome {
-            Outcome::Ok => {
-                self.last_response_ms = now_ms;
-                self.ejection.reset_failures();
-                self.error_fraction *= 1.0 - error_gain;
-            }
-            Outcome::Error => {
-                self.last_response_ms = now_ms;
-                smooth(&mut self.error_fraction, 1.0, error_gain);
-            }
-            Outcome::Overloaded => self.last_response_ms = now_ms,
-            Outcome::ConnectFailed | Outcome::Reset => smooth(&mut self.error_fraction, 1.0, error_gain),
-            Outcome::TimedOut | Outcome::Cancelled | Outcome::TooLate => {}
-        }
+    /// Records a response of any kind, which shows that the endpoint is alive.
+    pub(crate) fn record_response(&mut self, now_ms: f64) {
+        self.last_response_ms = now_ms;
+    }
+
+    /// Records a good response with the weight `error_gain` in the smoothed fraction. It ends a row of
+    /// failures.
+    pub(crate) fn record_success(&mut self, error_gain: f64) {
+        self.ejection.reset_failures();
+        self.error_fraction *= 1.0 - error_gain;
+    }
+
+    /// Records an error or a broken connection with the weight `error_gain` in the smoothed fraction.
+    pub(crate) fn record_error(&mut self, error_gain: f64) {
+        smooth(&mut self.error_fraction, 1.0, error_gain);
     }
 
     /// Fraction of own attempts that ended in errors or broken connections, smoothed.
--- a/crates/admission/src/state/endpoint/warm_up_tokens.rs
+++ b/crates/admission/src/state/endpoint/warm_up_tokens.rs
@@ -11,13 +11,12 @@
     pub(crate) max_tokens: f64,
 }
 
-/// Tokens for attempts at an endpoint that is warming up. The budget is given with each call, since it grows
-/// as the endpoint warms up.
+/// Tokens for attempts at an endpoint that is warming up, as of their last update.
 #[derive(Debug)]
 pub(crate) struct WarmUpTokens {
     /// Tokens at `updated_ms`.
     tokens: f64,
-    /// When the tokens were last refilled, in ms.
+    /// When the tokens were last updated, in ms.
     updated_ms: f64,
 }
 
@@ -27,29 +26,20 @@
         WarmUpTokens { tokens, updated_ms: now_ms }
     }
 
-    /// Tokens at `now_ms`.
-    ///
-    /// Where less than one token may be saved up, a full token is there only for a while, at a time of this
-    /// gateway's own, and then expires. Without that every gateway of the fleet would have one ready when a
-    /// burst comes, and together they would overload the endpoint.
-    pub(crate) fn available(&self, now_ms: f64, budget: WarmUpBudget) -> f64 {
-        let tokens = self.tokens + budget.tokens_per_second * (now_ms - self.updated_ms) / 1000.0;
-        if budget.max_tokens >= 1.0 {
-            return tokens.min(budget.max_tokens);
-        }
-        tokens - (tokens - budget.max_tokens).floor().max(0.0)
+    /// Tokens as of the last update.
+    pub(crate) fn saved(&self) -> f64 {
+        self.tokens
     }
 
-    /// Brings the tokens up to `now_ms`.
-    pub(crate) fn refill(&mut self, now_ms: f64, budget: WarmUpBudget) {
-        self.tokens = self.available(now_ms, budget);
-        self.updated_ms = now_ms;
+    /// Time since the last update, in ms.
+    pub(crate) fn since_update_ms(&self, now_ms: f64) -> f64 {
+        now_ms - self.updated_ms
     }
 
-    /// Takes one token for an attempt.
-    pub(crate) fn take(&mut self, now_ms: f64, budget: WarmUpBudget) {
-        self.refill(now_ms, budget);
-        self.tokens -= 1.0;
+    /// Replaces the tokens by those at `now_ms`.
+    pub(crate) fn update(&mut self, tokens: f64, now_ms: f64) {
+        self.tokens = tokens;
+        self.updated_ms = now_ms;
     }
 }
 
--- a/crates/admission/src/state/request/active_request.rs
+++ b/crates/admission/src/state/request/active_request.rs
@@ -1,5 +1,5 @@
 //! Active requests: received, and not yet answered with all attempts ended.
-use crate::event::{Outcome, Request};
+use crate::event::Request;
 use crate::id::{CustomerTag, EndpointId, RequestId};
 use crate::state::{Attempt, AttemptRef, Endpoint, PendingAttempt, QuotaState};
 use std::collections::BTreeMap;
@@ -106,10 +106,10 @@
     }
 
     /// Marks an attempt as ended. `false` where no such attempt is in flight.
-    pub(crate) fn end_attempt(&mut self, number: u32, outcome: Outcome) -> bool {
+    pub(crate) fn end_attempt(&mut self, number: u32, may_have_run: bool) -> bool {
         let attempt = self.attempts.get_mut(number as usize).filter(|attempt| attempt.is_pending());
         let Some(attempt) = attempt else { return false };
-        attempt.end(outcome);
+        attempt.end(may_have_run);
         true
     }
 
--- a/crates/admission/src/state/request/attempt_record.rs
+++ b/crates/admission/src/state/request/attempt_record.rs
@@ -1,5 +1,4 @@
 //! Attempts of a request.
-use crate::event::Outcome;
 use crate::id::{ClassIndex, EndpointId, RequestId, ZoneIndex};
 use crate::state::Endpoint;
 
@@ -45,14 +44,9 @@
         self.state == AttemptState::Pending
     }
 
-    /// Marks it as ended.
-    pub(crate) fn end(&mut self, outcome: Outcome) {
-        self.state = match outcome {
-            Outcome::Overloaded | Outcome::ConnectFailed | Outcome::TooLate => AttemptState::NotRun,
-            Outcome::Ok | Outcome::Error | Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled => {
-                AttemptState::MayHaveRun
-            }
-        };
+    /// Marks it as ended. `may_have_run`: the endpoint may have done the work, or may still do it.
+    pub(crate) fn end(&mut self, may_have_run: bool) {
+        self.state = if may_have_run { AttemptState::MayHaveRun } else { AttemptState::NotRun };
     }
 
     /// Whether the endpoint may have done the work, or may still do it.
--- a/crates/admission/src/tests/endpoint_rules/outlier_rules.rs
+++ b/crates/admission/src/tests/endpoint_rules/outlier_rules.rs
@@ -3,9 +3,10 @@
 use crate::event::Outcome;
 use crate::id::ClassIndex;
 use crate::policy::outlier::{
-    ejection_jitter, fails_class, is_correlated_failure, is_outlier, is_unresponsive, reference_ms,
-    stall_ratio, typical_age_ms, verdict_in_broadcast_mode, verdict_in_large_fleet, AttemptFailureInput,
-    HealthVerdict, StallInput, Symptoms, UnresponsiveInput, CLASS_FAILURE_GAIN, ERROR_GAIN,
+    ejection_jitter, fails_class, health_evidence, is_correlated_failure, is_outlier, is_unresponsive,
+    reference_ms, stall_ratio, typical_age_ms, verdict_in_broadcast_mode, verdict_in_large_fleet,
+    AttemptFailureInput, HealthEvidence, HealthVerdict, StallInput, Symptoms, UnresponsiveInput,
+    CLASS_FAILURE_GAIN, ERROR_GAIN,
 };
 use crate::state::{EndpointHealth, ObservedHealth};
 
@@ -159,7 +160,8 @@
 fn the_fourth_error_in_a_row_ejects_an_endpoint_and_the_second_failure_a_class() {
     let mut health = EndpointHealth::new(0.0);
     let verdicts = [0.0; 4].map(|now_ms| {
-        health.record_outcome(Outcome::Error, now_ms, ERROR_GAIN);
+        health.record_response(now_ms);
+        health.record_error(ERROR_GAIN);
         let error_fraction = health.error_fraction();
         verdict_in_broadcast_mode(&AttemptFailureInput { error_fraction, ..ended(Outcome::Error) })
     });
@@ -169,3 +171,20 @@
     let mut fails = || fails_class(observed.record_failure(ClassIndex(0), CLASS_FAILURE_GAIN));
     assert_eq!([fails(), fails()], [false, true]);
 }
+
+#[test]
+fn only_responses_show_that_an_endpoint_is_alive_and_only_good_ones_end_its_failures() {
+    let rows = [
+        (Outcome::Ok, HealthEvidence::Served),
+        (Outcome::Error, HealthEvidence::ErrorResponse),
+        (Outcome::Overloaded, HealthEvidence::Rejection),
+        (Outcome::ConnectFailed, HealthEvidence::BrokenConnection),
+        (Outcome::Reset, HealthEvidence::BrokenConnection),
+        (Outcome::TimedOut, HealthEvidence::None),
+        (Outcome::Cancelled, HealthEvidence::None),
+        (Outcome::TooLate, HealthEvidence::None),
+    ];
+    for (outcome, evidence) in rows {
+        assert_eq!(health_evidence(outcome), evidence, "{outcome:?}");
+    }
+}
--- a/crates/admission/src/tests/endpoint_rules/retry_rules.rs
+++ b/crates/admission/src/tests/endpoint_rules/retry_rules.rs
@@ -4,8 +4,8 @@
 use crate::id::{EndpointId, MachineKindIndex, ZoneIndex};
 use crate::policy::retry::{
     after_attempt, decide_retry, earned_retry_tokens, has_turned_long, is_stalled, long_response_ms,
-    retry_scope, stalled_action, AfterAttempt, EndedAttempt, PendingAttemptInput, RetryDecision, RetryInput,
-    RetryScope, RetryScopeInput, StalledAction, StalledActionInput,
+    may_have_run, retry_scope, stalled_action, AfterAttempt, EndedAttempt, PendingAttemptInput,
+    RetryDecision, RetryInput, RetryScope, RetryScopeInput, StalledAction, StalledActionInput,
 };
 use crate::settings::{DedupGroup, Idempotency};
 use crate::state::{Attempt, Endpoint, EndpointSmoothing};
@@ -176,3 +176,15 @@
         assert_eq!(after_attempt(&input), expected, "{input:?}");
     }
 }
+
+/// A request that must not run twice may be retried only where its attempt certainly did not run.
+#[test]
+fn only_rejections_and_attempts_never_written_certainly_did_not_run() {
+    use Outcome::{Cancelled, ConnectFailed, Error, Ok, Overloaded, Reset, TimedOut, TooLate};
+    for outcome in [Overloaded, ConnectFailed, TooLate] {
+        assert!(!may_have_run(outcome), "{outcome:?}");
+    }
+    for outcome in [Ok, Error, TimedOut, Reset, Cancelled] {
+        assert!(may_have_run(outcome), "{outcome:?}");
+    }
+}
--- a/crates/admission/src/tests/endpoint_rules/slow_start_rules.rs
+++ b/crates/admission/src/tests/endpoint_rules/slow_start_rules.rs
@@ -2,9 +2,11 @@
 use super::is_close;
 use crate::id::RequestId;
 use crate::policy::slow_start::{
-    has_warmed_up, send_fraction_in_broadcast_mode, send_fraction_in_large_fleet, warm_fraction,
-    warm_up_admission, warm_up_budget, warm_up_draw, SendCapacity, WarmUpAdmission, WarmUpBudgetInput,
+    available_tokens, has_warmed_up, send_fraction_in_broadcast_mode, send_fraction_in_large_fleet,
+    warm_fraction, warm_up_admission, warm_up_budget, warm_up_draw, SendCapacity, WarmUpAdmission,
+    WarmUpBudgetInput,
 };
+use crate::state::WarmUpBudget;
 
 #[test]
 fn capacity_rises_evenly_from_the_initial_fraction_to_1() {
@@ -82,3 +84,20 @@
         assert!((0.0..1.0).contains(&other));
     }
 }
+
+#[test]
+fn saved_tokens_are_bounded_and_a_full_token_expires_where_less_than_one_may_be_saved() {
+    let budget = |tokens_per_second, max_tokens| WarmUpBudget { tokens_per_second, max_tokens };
+    // Tokens saved, time since in ms, budget, and the tokens expected.
+    let rows = [
+        (0.5, 1000.0, budget(2.0, 3.0), 2.5),
+        (2.5, 1000.0, budget(2.0, 3.0), 3.0),
+        (0.9, 500.0, budget(0.4, 0.2), 1.1),
+        (0.9, 1000.0, budget(0.4, 0.2), 0.3),
+        (-0.5, 1000.0, budget(0.4, 0.2), -0.1),
+    ];
+    for (saved, since_ms, budget, expected) in rows {
+        let tokens = available_tokens(saved, since_ms, budget);
+        assert!(is_close(tokens, expected), "{tokens} of {saved} after {since_ms} ms, {budget:?}");
+    }
+}
