--- a/crates/simulator-adapter/src/wire/event.rs
+++ b/crates/simulator-adapter/src/wire/event.rs
@@ -1,9 +1,12 @@
 //! From messages of the wire to events of the admission library.
 
-use super::input::{
-    AttemptEndedMessage, CounterOutcomeMessage, CounterReplyMessage, EndpointEntryMessage, EndpointListKind,
-    EndpointListMessage, EndpointStateMessage, EventMessage, OutcomeMessage, RequestMessage,
+use super::endpoint_list_messages::{
+    EndpointEntryMessage, EndpointListKind, EndpointListMessage, EndpointStateMessage,
 };
+use super::event_messages::{
+    AttemptEndedMessage, CounterOutcomeMessage, CounterReplyMessage, OutcomeMessage, RequestMessage,
+};
+use super::input::EventMessage;
 use irishinge_admission::{
     AttemptEnd, CounterOutcome, CustomerId, EndpointEntry, EndpointState, Event, GatewayIndex, ListKind,
     Outcome, Request, RequestId,
