--- a/crates/admission/src/lifecycle/attempts.rs
+++ b/crates/admission/src/lifecycle/attempts.rs
@@ -7,7 +7,6 @@
 use crate::policy::customer_usage::{
     usage_at_attempt_end, usage_at_attempt_start, AttemptEndInput, AttemptStartInput, ExcessCharge,
 };
-use crate::policy::peer_messages::report_schedule::REPORT_ROUNDS;
 use crate::policy::retry::{
     after_attempt, attempt_timeout_ms, earned_retry_tokens, may_have_run, AfterAttempt, EndedAttempt,
     MAX_RETRY_TOKENS,
@@ -50,7 +49,8 @@
     /// Counts a new attempt to its customer, unless another gateway owns the quota.
     fn count_attempt(&mut self, id: RequestId) {
         let Some(active) = self.requests.get(id) else { return };
-        let Some(customer) = self.customers.get_mut(active.tag) else { return };
+        let tag = active.tag;
+        let Some(customer) = self.customers.get_mut(tag) else { return };
         let plan = self.settings.plan(active.request.plan);
         let usage = usage_at_attempt_start(&AttemptStartInput {
             quota: active.quota(),
@@ -68,7 +68,7 @@
             customer.consume_quota(active.request.units);
         }
         if usage.is_reported {
-            self.customers.schedule_report(active.tag, REPORT_ROUNDS);
+            self.schedule_report(tag);
         }
     }
 
@@ -115,7 +115,8 @@
         if let ExcessCharge::Request { excess_units } = usage.charge {
             active.settle(excess_units);
         }
-        let Some(customer) = self.customers.get_mut(active.tag) else { return };
+        let tag = active.tag;
+        let Some(customer) = self.customers.get_mut(tag) else { return };
         if usage.frees_slot {
             customer.end_attempt();
         }
@@ -123,7 +124,7 @@
             customer.consume_quota(excess_units);
         }
         if usage.is_reported {
-            self.customers.schedule_report(active.tag, REPORT_ROUNDS);
+            self.schedule_report(tag);
         }
     }
 }
--- a/crates/admission/src/lifecycle/customers.rs
+++ b/crates/admission/src/lifecycle/customers.rs
@@ -3,6 +3,7 @@
 use crate::id::{CustomerId, CustomerTag, PlanIndex};
 use crate::mechanism::splitmix64::short_tag;
 use crate::policy::customer_retention::{idle_limit_ms, is_evicted};
+use crate::policy::peer_messages::report_schedule::REPORT_ROUNDS;
 use crate::policy::quota_owner::ceiling_fraction::{ceiling_fraction_by_ranking, even_ceiling_fraction};
 use crate::settings::PlanSettings;
 use crate::state::{Coordination, Customer, FleetMode, GatewaySet};
@@ -61,12 +62,24 @@
         }
     }
 
-    /// Evicts idle customers, so that one-off customers leave nothing behind.
-    pub(crate) fn evict_idle_customers(&mut self) {
+    /// Has a customer's count reported to its other gateways, in the mode in which gateways report counts.
+    pub(crate) fn schedule_report(&mut self, tag: CustomerTag) {
+        match self.coordination.fleet_mode() {
+            FleetMode::Broadcast => self.customers.schedule_report(tag, REPORT_ROUNDS),
+            FleetMode::LargeFleet => {}
+        }
+    }
+
+    /// Has peers sent a request for units of a customer's ceiling, in the mode in which they can give some.
+    pub(crate) fn schedule_ceiling_request(&mut self, tag: CustomerTag) {
         match self.coordination.fleet_mode() {
-            FleetMode::Broadcast => {}
-            FleetMode::LargeFleet => self.customers.clear_unreported(),
+            FleetMode::Broadcast => self.customers.schedule_ceiling_request(tag),
+            FleetMode::LargeFleet => {}
         }
+    }
+
+    /// Evicts idle customers, so that one-off customers leave nothing behind.
+    pub(crate) fn evict_idle_customers(&mut self) {
         let now_ms = self.clock.now_ms();
         let customers = self.customers.len();
         let settings = &self.settings;
--- a/crates/admission/src/lifecycle/queue_dispatch.rs
+++ b/crates/admission/src/lifecycle/queue_dispatch.rs
@@ -82,7 +82,7 @@
         self.customers.refill(tag, plan, self.clock.now_ms());
         let Some(limits) = self.customer_limits(id) else { return QuotaDecision::OverQuota };
         if limits == LimitDecision::WaitForCeiling {
-            self.customers.schedule_ceiling_request(tag);
+            self.schedule_ceiling_request(tag);
         }
         limits.quota_decision()
     }
--- a/crates/admission/src/lifecycle/request_admission.rs
+++ b/crates/admission/src/lifecycle/request_admission.rs
@@ -33,7 +33,7 @@
             queued_requests: self.queue.len(),
         };
         if lacks_ceiling_units_only(&input) {
-            self.customers.schedule_ceiling_request(tag);
+            self.schedule_ceiling_request(tag);
         }
         let is_applied = self.apply_admission(id, admit_in_broadcast_mode(&input), actions);
         if !is_applied {
--- a/crates/admission/src/state/quota/customer_table.rs
+++ b/crates/admission/src/state/quota/customer_table.rs
@@ -77,11 +77,6 @@
         self.unreported.remove(&tag);
     }
 
-    /// Drops all that is to be sent, in a fleet that broadcasts no counts.
-    pub(crate) fn clear_unreported(&mut self) {
-        self.unreported.clear();
-    }
-
     /// How many customers are known.
     pub(crate) fn len(&self) -> usize {
         self.by_tag.len()
