--- a/crates/gateway/src/dispatcher/active_call.rs
+++ b/crates/gateway/src/dispatcher/active_call.rs
@@ -1,28 +1,13 @@
 //! The state of an active call: the channel for its response, and its attempts.
 use super::call_deadlines::CallDeadlines;
+use super::final_response::FinalResponse;
 use crate::upstream::{AttemptResult, UpstreamRequest};
-use bytes::Bytes;
-use hyper::Response;
 use irishinge_admission::{AttemptEnd, EndpointId, Event, Outcome, RequestId};
 use std::rc::Rc;
 use tokio::sync::oneshot;
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
-/// The final response to a call.
-pub(crate) enum FinalResponse {
-    /// An endpoint's response.
-    Served(Response<Bytes>),
-    /// The call was rejected. The client's retry does no harm: the request never ran, or running it again
-    /// does none.
-    Rejected {
-        /// How long the client should wait before a retry.
-        retry_after_ms: Option<f64>,
-    },
-    /// The call failed, and may have been processed.
-    Failed,
-}
-
 /// Sends a call's final response. Sending consumes it, so that there can be no second response.
 pub(super) struct Responder(oneshot::Sender<FinalResponse>);
 
--- a/crates/gateway/src/dispatcher/call_deadlines.rs
+++ b/crates/gateway/src/dispatcher/call_deadlines.rs
@@ -1,5 +1,5 @@
 //! The deadlines of a call, and the response to one that has none when its time is over.
-use super::active_call::FinalResponse;
+use super::final_response::FinalResponse;
 use crate::clock::duration_from_ms;
 use tokio::time::Instant;
 
--- a/crates/gateway/src/dispatcher/mod.rs
+++ b/crates/gateway/src/dispatcher/mod.rs
@@ -4,13 +4,14 @@
 mod actions;
 mod active_call;
 mod call_deadlines;
+mod final_response;
 #[cfg(test)]
 mod tests;
 mod timers;
 
-pub(crate) use self::active_call::FinalResponse;
 use self::active_call::{ActiveCall, EndedAttempt};
 use self::call_deadlines::{response_without_result, CallDeadlines};
+pub(crate) use self::final_response::FinalResponse;
 use self::timers::{Due, Rearm, TimerQueue};
 use crate::clock::Clock;
 use crate::discovery::{EndpointList, EndpointListObserver};
--- a/crates/gateway/src/downstream/connection_limit.rs
+++ b/crates/gateway/src/downstream/connection_limit.rs
@@ -1,6 +1,10 @@
 //! What becomes of a new connection, by how many are open.
 use super::connection_table::Eviction;
 
+/// The maximum number of connections that are accepted beyond the limit, only to reject the requests on
+/// them, so that their clients get a response.
+pub(crate) const MAX_REJECTING_CONNECTIONS: usize = 8;
+
 /// The limits on open connections.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct ConnectionLimit {
--- a/crates/gateway/src/downstream/listener.rs
+++ b/crates/gateway/src/downstream/listener.rs
@@ -9,9 +9,6 @@
 use tokio::task::yield_now;
 use tokio::time::sleep;
 
-/// The maximum number of connections that are accepted beyond the limit, only to reject the requests on
-/// them, so that their clients get a response.
-pub(crate) const MAX_REJECTING_CONNECTIONS: usize = 8;
 /// The pause after a failed accept, which would fail again at once while there is no free descriptor.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
--- a/crates/gateway/src/downstream/mod.rs
+++ b/crates/gateway/src/downstream/mod.rs
@@ -29,6 +29,6 @@
 #[cfg(test)]
 mod tests;
 
-pub(crate) use self::listener::MAX_REJECTING_CONNECTIONS;
+pub(crate) use self::connection_limit::MAX_REJECTING_CONNECTIONS;
 pub(crate) use self::server::DownstreamServer;
 pub(crate) use self::settings::DownstreamSettings;
--- a/crates/gateway/src/downstream/server.rs
+++ b/crates/gateway/src/downstream/server.rs
@@ -1,9 +1,8 @@
 //! The server for clients: serves each connection, and drains them all at the end.
 use super::connection::{Connection, ConnectionRole, ConnectionStage};
-use super::connection_limit::ConnectionLimit;
+use super::connection_limit::{ConnectionLimit, MAX_REJECTING_CONNECTIONS};
 use super::connection_table::ConnectionTable;
 use super::handler::RequestHandler;
-use super::listener::MAX_REJECTING_CONNECTIONS;
 use super::settings::DownstreamSettings;
 use crate::dispatcher::Dispatcher;
 use crate::logging::target;
