--- a/crates/admission/src/policy/peer_messages/quota_message_budget.rs
+++ b/crates/admission/src/policy/peer_messages/quota_message_budget.rs
@@ -9,7 +9,7 @@
 const MIN_QUOTA_MESSAGE_FRACTION: f64 = 0.2;
 
 /// Message tokens for quota requests that a gateway starts with.
-pub(crate) const INITIAL_QUOTA_MESSAGES: f64 = 10.0;
+pub(crate) const INITIAL_MESSAGE_TOKENS: f64 = 10.0;
 
 /// Quota requests per second that this gateway may send: what others' messages leave free for the responses.
 /// `accepted_per_second` is how many messages a gateway accepts, `received_per_second` how many others send.
--- a/crates/admission/src/startup.rs
+++ b/crates/admission/src/startup.rs
@@ -4,7 +4,7 @@
 use crate::messages::counts_message::incarnation;
 use crate::policy::band::dispatch_credit::INITIAL_DISPATCH_CREDIT;
 use crate::policy::coordination_choice::{choose_coordination_mode, CoordinationMode, CoordinationModeInput};
-use crate::policy::peer_messages::quota_message_budget::INITIAL_QUOTA_MESSAGES;
+use crate::policy::peer_messages::quota_message_budget::INITIAL_MESSAGE_TOKENS;
 use crate::policy::response_time::{
     INITIAL_OBJECTIVE_FRACTION, LATENCY_FLOORS, LATENCY_GAINS, RESPONSE_TIME_HALF_LIFE_MS,
 };
@@ -60,7 +60,7 @@
     });
     match mode {
         CoordinationMode::Broadcast => Coordination::Broadcast(Broadcast::new(settings)),
-        CoordinationMode::Gossip => Coordination::Gossip(Gossip::new(settings, INITIAL_QUOTA_MESSAGES)),
+        CoordinationMode::Gossip => Coordination::Gossip(Gossip::new(settings, INITIAL_MESSAGE_TOKENS)),
         CoordinationMode::Counter => Coordination::Counter(CounterCalls::new()),
         CoordinationMode::Isolated => Coordination::Isolated,
     }
