--- a/crates/admission/src/coordination/counter_calls.rs
+++ b/crates/admission/src/coordination/counter_calls.rs
@@ -213,7 +213,7 @@
 
     /// Corrects the count by what an admitted request consumed in the end: all its units are given back where
     /// it was never sent.
-    pub(crate) fn settle_counted(&mut self, active: &ActiveRequest, actions: &mut Vec<Action>) {
+    pub(crate) fn settle_with_counter(&mut self, active: &ActiveRequest, actions: &mut Vec<Action>) {
         let unsent = active.is_unsent();
         let correction_units = if unsent {
             -self.refund_units(active.request.units)
--- a/crates/admission/src/lifecycle/requests.rs
+++ b/crates/admission/src/lifecycle/requests.rs
@@ -83,7 +83,7 @@
         };
         match settlement_at_end(&ended) {
             QuotaSettlement::Nothing => {}
-            QuotaSettlement::SettleWithCounter => self.settle_counted(active, actions),
+            QuotaSettlement::SettleWithCounter => self.settle_with_counter(active, actions),
             QuotaSettlement::Release { owner, number, additional_units } => {
                 self.send_release(owner, active.tag, number, additional_units, actions);
             }
