--- a/crates/admission/src/policy/quota_owner/fallback_decision.rs
+++ b/crates/admission/src/policy/quota_owner/fallback_decision.rs
@@ -1,22 +1,23 @@
-//! What a gateway decides on a request without the owner of the customer's quota: the owner did not respond,
-//! is sent a sample of the requests only, or no message may be sent to it now.
+//! What a gateway decides on a request without the quota owner: when the owner did not respond, when it wants
+//! quota requests for a sample of the requests only, or when no message token is left.
 use crate::state::{QuotaExpectation, QuotaState};
 
-/// What is known when a gateway decides without the owner.
+/// What a gateway knows about a request that it decides on without the quota owner.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct FallbackInput {
-    /// What is expected of the customer.
+    /// Whether the customer is most likely within its quota or over it.
     pub(crate) expectation: QuotaExpectation,
-    /// The fleet has so few attempts in flight that requests are sent without dispatch credit.
+    /// Whether the fleet has so few attempts in flight that requests are sent without dispatch credit.
     pub(crate) band_is_ungated: bool,
-    /// Rate of the plan's hard ceiling in units per second; 0: no ceiling.
+    /// Rate of the plan's hard ceiling in units per second; 0 if the plan has no ceiling.
     pub(crate) ceiling_rate_per_second: f64,
 }
 
-/// Decides on a request without the owner. Most customers are well inside their quota, so while the endpoints
-/// have spare capacity this gateway's own token bucket decides. It does not where the owner recently granted
-/// less than was requested. Under a hard ceiling nothing is sent, since only the owner knows how much of it
-/// is spent.
+/// Decides on a request without the quota owner.
+///
+/// Most customers are well within their quota, so this gateway's own token bucket decides while the endpoints
+/// have spare capacity. It doesn't if the owner recently granted less than was requested. Under a hard
+/// ceiling nothing is sent, because only the owner knows how much of the ceiling is spent.
 pub(crate) fn decide_without_owner(input: FallbackInput) -> QuotaState {
     let has_ceiling = input.ceiling_rate_per_second > 0.0;
     if input.expectation == QuotaExpectation::Within && input.band_is_ungated && !has_ceiling {
--- a/crates/admission/src/policy/quota_owner/owner_sampling.rs
+++ b/crates/admission/src/policy/quota_owner/owner_sampling.rs
@@ -1,29 +1,30 @@
-//! For which fraction of a customer's requests the owner of the quota wants quota requests. A customer far
-//! over its quota would otherwise cost a message for each request that is rejected in the end.
+//! The fraction of a customer's requests for which other gateways send the owner quota requests. Without
+//! sampling, a customer far over its quota would cost one message for each request that is rejected in the
+//! end.
 
-/// Span over which an owner smooths the rates of units requested and granted, in seconds.
+/// Time constant of the smoothed rates of units, messages received and good responses, in seconds.
 pub(crate) const QUOTA_RATE_SPAN_S: f64 = 1.5;
 
-/// Where more is requested than granted, the owner wants quota requests for this multiple of the units it
-/// grants.
+/// Units that the owner wants quota requests for, as a multiple of the units that it grants, when more is
+/// requested than granted.
 const SAMPLING_HEADROOM: f64 = 1.5;
 
-/// Smallest fraction of the requests that an owner wants quota requests for.
+/// Lower bound of the fraction of requests that an owner wants quota requests for.
 const MIN_SAMPLING_FRACTION: f64 = 0.05;
 
-/// The fraction while the quota is ample: all requests.
+/// Sampling fraction while the quota is ample: a quota request is sent for every request.
 pub(crate) const AMPLE_SAMPLING_FRACTION: f64 = 1.0;
 
-/// The fraction received from an owner returns evenly to 1 over this time, in ms.
+/// Time, in ms, in which the fraction that an owner sent rises linearly back to 1.
 const SAMPLING_TTL_MS: f64 = 3000.0;
 
-/// Units that a grant counts in the rate of grants when it is for a request that waited for a slot.
+/// Units that a grant to a waiting request adds to the rate of units granted: its own units are not stored.
 pub(crate) const SLOT_GRANT_UNITS: f64 = 1.0;
 
-/// What the owner recently received and granted for one customer.
+/// Units that were recently requested and granted for one customer, as the owner knows them.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct QuotaDemand {
-    /// Units requested per second, those of requests not sampled included; above 0.
+    /// Units requested per second, including those of requests that were not sampled; above 0.
     pub(crate) requested_per_second: f64,
     /// Units granted per second.
     pub(crate) granted_per_second: f64,
@@ -31,15 +32,16 @@
     pub(crate) plan_rate_per_second: f64,
 }
 
-/// The fraction of the requests that the owner wants quota requests for.
+/// Returns the fraction of a customer's requests that the owner wants quota requests for.
 pub(crate) fn wanted_sampling_fraction(demand: QuotaDemand) -> f64 {
     let wanted_per_second = SAMPLING_HEADROOM * demand.granted_per_second.max(demand.plan_rate_per_second);
     (wanted_per_second / demand.requested_per_second).clamp(MIN_SAMPLING_FRACTION, 1.0)
 }
 
-/// The fraction of the requests for which a gateway sends quota requests, given the fraction that the owner
-/// sent and how long ago that was, in ms. It returns to 1, so that the owner receives all requests of a
-/// customer again that is no longer over its quota.
+/// Returns the fraction of a customer's requests for which a gateway sends quota requests. `sent_fraction` is
+/// the fraction that the owner last sent, and `age_ms` is the time since then. The fraction returns to 1, so
+/// that the owner again receives quota requests for all requests of a customer that is no longer over its
+/// quota.
 pub(crate) fn sampling_fraction_at_age(sent_fraction: f64, age_ms: f64) -> f64 {
     let age = age_ms / SAMPLING_TTL_MS;
     1.0 - (1.0 - sent_fraction) * (1.0 - age).max(0.0)
--- a/crates/admission/src/policy/quota_owner/owner_selection.rs
+++ b/crates/admission/src/policy/quota_owner/owner_selection.rs
@@ -2,15 +2,17 @@
 use crate::id::GatewayIndex;
 use crate::state::RankedGateway;
 
-/// A gateway is suspected to be down after this many missed responses in a row.
+/// Number of consecutive missed responses after which a gateway is suspected to be down.
 const SUSPECT_MISSED_RESPONSES: u32 = 2;
 
-/// A suspected gateway is sent no quota requests for this time, in ms.
+/// Time, in ms, for which a suspected gateway is sent no quota requests.
 const SUSPECT_MS: f64 = 2500.0;
 
-/// The owner of a customer's quota: the first gateway of the ranking that is not suspected. Every gateway
-/// computes the same ranking, so that they agree on the owner without a message as long as they suspect the
-/// same gateways. `this_gateway` decides itself where all others are suspected.
+/// Returns the owner of a customer's quota: the gateway with the lowest rank that is not suspected, or
+/// `this_gateway` if all gateways of the ranking are suspected.
+///
+/// Every gateway computes the same ranking, so gateways that suspect the same gateways agree on the owner
+/// without a message.
 pub(crate) fn select_owner(
     ranking: impl Iterator<Item = RankedGateway>,
     is_suspected: impl Fn(GatewayIndex) -> bool,
@@ -20,10 +22,11 @@
     reachable.min().map_or(this_gateway, |ranked| ranked.gateway)
 }
 
-/// Until when a gateway is suspected that has missed this many responses in a row; `None` where it is not.
+/// Returns until when a gateway is suspected that has missed this many consecutive responses, or `None` if it
+/// isn't suspected.
 ///
-/// Guards against an owner that crashed or hangs: without it each request of its customers would wait for the
-/// response time-out. One missed response may be a lost datagram, so it is not enough.
+/// Guards against an owner that crashed or hangs: each request of its customers would otherwise wait for the
+/// response time-out. One missed response is not enough, because it may be a lost datagram.
 pub(crate) fn suspected_until_ms(missed_responses: u32, now_ms: f64) -> Option<f64> {
     (missed_responses >= SUSPECT_MISSED_RESPONSES).then_some(now_ms + SUSPECT_MS)
 }
--- a/crates/admission/src/policy/quota_owner/owner_verdict.rs
+++ b/crates/admission/src/policy/quota_owner/owner_verdict.rs
@@ -1,27 +1,29 @@
-//! What the owner of a customer's quota decides on a quota request.
+//! What the owner of a customer's quota decides on a quota request. A slot is one of the attempts that a plan
+//! lets a customer have in flight, up to `open_limit`.
 use crate::messages::quota_message::QuotaVerdict;
 use crate::policy::ample_quota::is_ample;
 use crate::policy::over_quota_use::pays_over_quota;
 use crate::policy::retry::ATTEMPT_TIMEOUT_OBJECTIVES;
 use crate::settings::PlanSettings;
 
-/// Requests that may wait at the owner for each slot of the plan.
+/// Maximum number of requests that wait at the owner, per slot of the plan.
 const MAX_WAITING_PER_SLOT: usize = 4;
 
-/// What the owner knows of a customer when a quota request comes in.
+/// What the owner knows about a customer when a quota request arrives.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct OwnedQuota {
-    /// Units that the quota's token bucket has.
+    /// Tokens of the quota, in units.
     pub(crate) quota_tokens: f64,
-    /// Units that this gateway's fraction of the hard ceiling has.
+    /// Tokens of this gateway's fraction of the hard ceiling, in units.
     pub(crate) ceiling_tokens: f64,
-    /// Requests that are granted and have not ended.
+    /// Number of requests that are granted and have not ended.
     pub(crate) granted_requests: usize,
-    /// Requests that wait for a slot.
+    /// Number of requests that wait for a slot.
     pub(crate) waiting_requests: usize,
 }
 
-/// Decides on a new quota request of these units, by ceiling, quota and slots in this order.
+/// Decides on a new quota request for `units`. The hard ceiling is checked first, then the quota, then the
+/// slots.
 pub(crate) fn decide_quota_request(plan: &PlanSettings, owned: OwnedQuota, units: f64) -> QuotaVerdict {
     if plan.ceiling_rate_per_second > 0.0 && owned.ceiling_tokens < units {
         return QuotaVerdict::OverQuota;
@@ -39,13 +41,13 @@
     }
 }
 
-/// Whether a customer has fewer requests granted than slots; never in a plan without slots.
+/// Returns whether a customer has fewer granted requests than slots; `false` if its plan has no slots.
 pub(crate) fn has_free_slot(plan: &PlanSettings, granted_requests: usize) -> bool {
     granted_requests < plan.open_limit as usize
 }
 
-/// The verdict to respond with, given the tokens that are left once it is applied: a grant from an ample
-/// quota says that the true units need not be reported.
+/// Returns the verdict to respond with, given the quota tokens left after it is applied. A grant from an
+/// ample quota becomes `GrantedAmple`, which tells the sender that the true units need not be reported.
 pub(crate) fn verdict_to_send(
     plan: &PlanSettings,
     verdict: QuotaVerdict,
@@ -60,9 +62,10 @@
     }
 }
 
-/// How long a grant counts beyond the time that its request may wait: as long as an attempt may take. In ms.
+/// Returns how long a grant counts after the time until which its request may wait, in ms: as long as an
+/// attempt may take.
 ///
-/// Guards against a lost release, after which a slot would stay taken for ever.
+/// Guards against a lost release, after which a slot would stay occupied for ever.
 pub(crate) fn grant_lifetime_ms(longest_objective_ms: f64) -> f64 {
     ATTEMPT_TIMEOUT_OBJECTIVES * longest_objective_ms
 }
--- a/crates/admission/src/policy/quota_owner/quota_request_route.rs
+++ b/crates/admission/src/policy/quota_owner/quota_request_route.rs
@@ -3,41 +3,41 @@
 use crate::messages::quota_message::SamplingFraction;
 use crate::state::{QuotaExpectation, QuotaRoute};
 
-/// How long a gateway waits for an owner's response, as a fraction of the shortest latency objective.
+/// Time that a gateway waits for an owner's response, as a fraction of the shortest latency objective.
 const RESPONSE_WAIT_FRACTION: f64 = 0.1;
 
 /// Shortest wait for an owner's response, in ms.
 const MIN_RESPONSE_WAIT_MS: f64 = 60.0;
 
-/// How often a quota request is sent again at most.
+/// Maximum number of times that a quota request is sent again.
 const MAX_QUOTA_RETRIES: u32 = 3;
 
-/// A quota request is sent again only while more than this fraction of the message tokens is left.
+/// Fraction of the maximum message tokens that must be exceeded for a quota request to be sent again.
 const RETRY_TOKENS_FRACTION: f64 = 0.5;
 
-/// Mean response times that must be left once a request is granted: a later grant is of no use.
+/// Time that a granted request must have left, in mean response times. A later grant is of no use.
 const RESERVED_RESPONSE_TIMES: f64 = 0.8;
 
-/// Message tokens that a quota request to another gateway costs.
+/// Number of message tokens that a quota request to another gateway costs.
 pub(crate) const TOKENS_PER_QUOTA_REQUEST: f64 = 1.0;
 
 /// What decides whether the owner is sent a quota request.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct QuotaRouteInput {
-    /// This gateway owns the quota itself, so that no message is needed.
+    /// Whether this gateway owns the quota itself, so that no message is needed.
     pub(crate) owns_quota: bool,
-    /// How often the quota request was sent before without a response.
+    /// Number of times that the quota request was already sent without a response.
     pub(crate) retries: u32,
-    /// Fraction of the requests that the owner wants quota requests for.
+    /// Fraction of the customer's requests for which this gateway sends quota requests.
     pub(crate) sampling: SamplingFraction,
-    /// A number drawn evenly from 0 to 1.
+    /// Random number, uniformly distributed from 0 to 1.
     pub(crate) draw: f64,
-    /// Messages that this gateway may send now.
+    /// Message tokens of this gateway: the number of quota requests that it may send now.
     pub(crate) message_tokens: f64,
 }
 
-/// Whether the owner is sent a quota request. Where it wants them for some requests only, the requests that
-/// are not sampled are most likely over the quota.
+/// Returns whether the owner is sent a quota request. If the owner wants quota requests for some requests
+/// only, the requests that are not sampled are most likely over the quota.
 pub(crate) fn route_quota_request(input: QuotaRouteInput) -> QuotaRoute {
     let is_sampled = input.draw <= input.sampling.fraction();
     if input.owns_quota {
@@ -56,14 +56,15 @@
     }
 }
 
-/// How long an owner may take to respond, in ms.
+/// Returns how long a gateway waits for an owner's response, in ms.
 pub(crate) fn response_wait_ms(shortest_objective_ms: f64) -> f64 {
     (RESPONSE_WAIT_FRACTION * shortest_objective_ms).max(MIN_RESPONSE_WAIT_MS)
 }
 
-/// Whether a quota request that missed its response is sent to the owner once more. `retries` is how often it
-/// was sent again already, `max_message_tokens` how many message tokens a gateway may save up. An owner that
-/// does not respond says nothing against the customer, which is most likely within its quota.
+/// Returns whether a quota request is sent again after the owner did not respond in time. `retries` is the
+/// number of times that it was already sent again, and `max_message_tokens` is the number of message tokens
+/// that a gateway may save up. A missing response says nothing about the customer, which is most likely
+/// within its quota.
 pub(crate) fn route_after_missed_response(
     retries: u32,
     message_tokens: f64,
@@ -76,7 +77,8 @@
     }
 }
 
-/// Until when a grant is of use to a request, in ms of the clock that objective and deadline are given in.
+/// Returns until when a grant is of use to a request, in ms on the clock of `objective_at_ms` and
+/// `deadline_at_ms`.
 pub(crate) fn grant_useful_until_ms(objective_at_ms: f64, deadline_at_ms: f64, mean_response_ms: f64) -> f64 {
     objective_at_ms.min(deadline_at_ms) - RESERVED_RESPONSE_TIMES * mean_response_ms
 }
