--- a/crates/admission/src/coordination/count_reports.rs
+++ b/crates/admission/src/coordination/count_reports.rs
@@ -1,4 +1,4 @@
-//! Broadcast mode: each gateway sends its counts to every other.
+//! Broadcast mode: each gateway reports its counts to every other gateway.
 use crate::action::Action;
 use crate::gateway::Gateway;
 use crate::id::{CustomerTag, GatewayIndex};
@@ -10,25 +10,26 @@
 use crate::policy::peer_messages::count_merge::{quota_fill, quota_tokens_after_report};
 use crate::policy::peer_messages::message_capacity::MAX_MESSAGE_BYTES;
 use crate::policy::peer_messages::report_schedule::{
-    max_saved_reports, report_interval_ms, reports_per_second, should_send_report, ReportInput,
+    max_report_credit, report_interval_ms, reports_per_second, should_send_report, ReportInput,
     CREDIT_PER_REPORT,
 };
 use crate::state::{BroadcastPeer, Coordination, Customer, PeerCount};
 use std::collections::BTreeMap;
 
-/// Messages to each peer in one round of reports, without their heads.
+/// The messages to each peer in one round of reports. Their heads are filled in when they are sent.
 struct ReportRound {
-    /// Messages by the peer that they go to.
+    /// The messages to each peer.
     messages: BTreeMap<GatewayIndex, Vec<CountsMessage>>,
 }
 
 impl ReportRound {
-    /// A round in which each peer gets one message at least.
+    /// Creates a round with one message, still empty, to each peer.
     fn new(peers: impl Iterator<Item = GatewayIndex>) -> Self {
         ReportRound { messages: peers.map(|peer| (peer, vec![CountsMessage::default()])).collect() }
     }
 
-    /// The message to a peer that another customer fits into; `None` where there is no such peer.
+    /// Returns the message to a peer that another customer's entries fit into, and begins a new message if
+    /// the last one is full. Returns `None` if there is no such peer.
     fn message_with_space(&mut self, peer: GatewayIndex) -> Option<&mut CountsMessage> {
         let messages = self.messages.get_mut(&peer)?;
         if messages.last().is_none_or(|m| m.len() + MAX_CUSTOMER_LEN > MAX_MESSAGE_BYTES) {
@@ -37,7 +38,8 @@
         messages.last_mut()
     }
 
-    /// Adds what is to be reported of a customer to the messages to its gateways.
+    /// Adds a customer's due entries (its count, a ceiling request, a ceiling transfer) to the messages to
+    /// the gateways that its requests come through.
     fn add(&mut self, customer: &mut Customer, entry: CountEntry) {
         for peer in customer.gateways().members() {
             let Some(message) = self.message_with_space(peer) else { continue };
@@ -55,8 +57,7 @@
 }
 
 impl Gateway {
-    /// Where a round of reports is due, sends each peer what changed since the last one, within the peer's
-    /// budget of messages.
+    /// Sends each peer what has changed, within the peer's report credit, if a round of reports is due.
     pub(crate) fn broadcast_counts_if_due(&mut self, actions: &mut Vec<Action>) {
         let Coordination::Broadcast(broadcast) = &mut self.coordination else { return };
         let interval_ms = report_interval_ms(self.settings.gateways, self.settings.peer_messages_per_second);
@@ -67,7 +68,7 @@
         self.send_reports(round, stock, actions);
     }
 
-    /// Packs what is to be reported of customers into messages.
+    /// Packs what is to be reported about customers into messages.
     fn collect_reports(&mut self, mut round: ReportRound) -> ReportRound {
         for tag in self.customers.unreported() {
             let Some(customer) = self.customers.get_mut(tag) else {
@@ -91,14 +92,14 @@
         round
     }
 
-    /// Completes the messages of a round, and sends those that are due.
+    /// Fills in the heads of a round's messages, and sends the messages that are due.
     fn send_reports(&mut self, round: ReportRound, stock: u32, actions: &mut Vec<Action>) {
         let now_ms = self.clock.now_ms();
         let Coordination::Broadcast(broadcast) = &mut self.coordination else { return };
         let per_second = reports_per_second(self.settings.gateways, self.settings.peer_messages_per_second);
         for (to, messages) in round.messages {
             let Some(peer) = broadcast.peer_mut(to) else { continue };
-            peer.accrue_credit(per_second, max_saved_reports(per_second), now_ms);
+            peer.accrue_credit(per_second, max_report_credit(per_second), now_ms);
             for mut message in messages {
                 message.incarnation = self.incarnation;
                 message.stock = stock;
@@ -155,8 +156,9 @@
 
     /// Transfers units of a customer's ceiling to a peer that requests them.
     ///
-    /// Guards against units that exist at two gateways at once, which would let the ceiling be passed: they
-    /// are taken off here before the message with them is sent, so a lost message loses units instead.
+    /// Guards against units that exist at two gateways at once, with which the ceiling could be exceeded.
+    /// They are deducted here before the message that carries them is sent, so a lost message loses units
+    /// instead.
     fn on_ceiling_request(&mut self, from: GatewayIndex, tag: CustomerTag) {
         let Some(customer) = self.customers.get_mut(tag) else { return };
         let Some(plan) = customer.plan().map(|p| self.settings.plan(p)) else { return };
@@ -167,7 +169,7 @@
         }
     }
 
-    /// Adds units of a customer's ceiling that a peer transferred.
+    /// Adds the units of a customer's ceiling that a peer transferred.
     fn on_ceiling_transfer(&mut self, transfer: &CeilingTransfer) {
         let Some(customer) = self.customers.get_mut(CustomerTag::from_short(transfer.tag)) else { return };
         let Some(plan) = customer.plan().map(|p| self.settings.plan(p)) else { return };
@@ -177,12 +179,12 @@
     }
 }
 
-/// What decides whether a report is sent to a peer.
+/// Returns what decides whether a report is sent to a peer.
 fn report_input(peer: &BroadcastPeer, message: &CountsMessage, now_ms: f64) -> ReportInput {
     ReportInput {
-        message_credit: peer.credit(),
-        has_no_customers: message.is_empty(),
-        has_same_stock: peer.sent_stock() == message.stock,
+        report_credit: peer.credit(),
+        has_no_entries: message.is_empty(),
+        has_same_in_flight: peer.sent_stock() == message.stock,
         since_last_ms: peer.since_sent_ms(now_ms),
     }
 }
--- a/crates/admission/src/coordination/counter_calls.rs
+++ b/crates/admission/src/coordination/counter_calls.rs
@@ -1,14 +1,16 @@
-//! Counter mode: calls to the shared quota counter, one at a time for each customer, and what its replies
-//! lead to.
+//! Counter mode: calls to the shared quota counter, one at a time for each customer, and how its replies are
+//! applied.
 use crate::action::Action;
 use crate::event::CounterOutcome;
 use crate::gateway::Gateway;
 use crate::id::{CustomerTag, PlanIndex, RequestId};
-use crate::policy::quota_counter::count_catch_up::{catch_up_units, is_double_raise, COUNT_EPOCH_MS};
+use crate::policy::quota_counter::count_catch_up::{catch_up_units, is_duplicate_catch_up, COUNT_EPOCH_MS};
 use crate::policy::quota_counter::count_decision::{
-    assumed_tokens, decide_by_count, decide_over_quota, is_surely_over_quota,
+    assumed_tokens, decide_by_count, decide_over_quota, is_certainly_over_quota,
+};
+use crate::policy::quota_counter::count_settlement::{
+    consumed_units, may_call_immediately, settlement_units,
 };
-use crate::policy::quota_counter::count_settlement::{consumed_units, may_call_at_once, settlement_units};
 use crate::policy::quota_counter::counter_sampling::{
     refund_units, sample_request, sampling_fraction_after, SampleInput,
 };
@@ -16,10 +18,10 @@
     ActiveRequest, CatchUp, Coordination, CountedRequest, CounterCall, CounterEpoch, GatewaySet, QuotaState,
 };
 
-/// A call to the counter that has ended.
+/// A completed call to the counter.
 #[derive(Debug, Clone, Copy)]
 struct CompletedCall {
-    /// The customer that it was for.
+    /// The customer whose count was called.
     tag: CustomerTag,
     /// The customer's plan.
     plan: PlanIndex,
@@ -28,9 +30,10 @@
 }
 
 impl Gateway {
-    /// Begins the quota check of a queued request: calls the counter for it, or decides by what was last
-    /// seen, since the customer cannot have more tokens than the rate has added since.
-    pub(crate) fn request_from_counter(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+    /// Begins the quota check of a queued request. Decides without a call if the customer cannot have enough
+    /// tokens, which follows from the counter's last reply and what the rate has added since. Calls the
+    /// counter if the request is sampled, and admits it uncounted if not.
+    pub(crate) fn check_quota_at_counter(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(active) = self.requests.get(id) else { return };
         let (tag, plan_index) = (active.tag, active.request.plan);
         let (units, is_client_retry) = (active.request.units, active.request.is_client_retry);
@@ -41,7 +44,7 @@
             return;
         }
         let tokens_at_most = customer.counter.tokens_at_most(plan, now_ms);
-        let quota = if is_surely_over_quota(tokens_at_most, units) {
+        let quota = if is_certainly_over_quota(tokens_at_most, units) {
             decide_over_quota(plan)
         } else {
             self.call_or_admit(tag, id, units, is_client_retry)
@@ -52,7 +55,7 @@
         self.call_counter(tag, actions);
     }
 
-    /// Queues a call for a request where it is sampled; else admits it uncounted.
+    /// Queues a call to the counter if a request is sampled, or else admits the request uncounted.
     fn call_or_admit(
         &mut self,
         tag: CustomerTag,
@@ -69,7 +72,7 @@
         QuotaState::AwaitingCounter
     }
 
-    /// The call to the counter for a request; `None` where it is not sampled.
+    /// Decides whether a request is sampled. Returns it with the units to add, or `None` if it isn't sampled.
     fn sample_for_counter(
         &mut self,
         id: RequestId,
@@ -82,13 +85,14 @@
         Some(CountedRequest { id, units, added_units })
     }
 
-    /// Units to give back for a request whose units were counted but not used.
+    /// Returns the units to give back for a request whose units were counted but not used; 0 if the refund is
+    /// not sampled.
     pub(crate) fn refund_units(&mut self, units: f64) -> f64 {
         let sampling_fraction = self.counter_sampling_fraction();
         refund_units(units, sampling_fraction, self.random.next_fraction())
     }
 
-    /// Fraction of the requests that the counter is called for.
+    /// Returns the fraction of requests that the counter is called for.
     fn counter_sampling_fraction(&self) -> f64 {
         match &self.coordination {
             Coordination::Counter(calls) => calls.sampling_fraction(),
@@ -96,7 +100,7 @@
         }
     }
 
-    /// Makes a customer's next call, where none is in flight.
+    /// Makes a customer's next call, unless one is in flight.
     fn call_counter(&mut self, tag: CustomerTag, actions: &mut Vec<Action>) {
         let name = CounterEpoch::at(tag, self.clock.now_ms(), COUNT_EPOCH_MS).name;
         let Some(customer) = self.customers.get_mut(tag) else { return };
@@ -117,21 +121,21 @@
         let is_rejected = outcome == CounterOutcome::Rejected;
         match (call, total_of_epoch(outcome, name, epoch)) {
             (CounterCall::Request(request), Some(total)) => {
-                self.on_total_of_request(tag, plan, request, total, epoch);
+                self.on_request_total(tag, plan, request, total, epoch);
             }
-            (CounterCall::Request(request), None) => self.on_no_total(tag, plan, request, is_rejected),
-            (CounterCall::CatchUp(raise), Some(total)) => self.on_total_of_raise(tag, raise, total),
-            (CounterCall::Settle, Some(total)) => self.on_total_of_settlement(tag, plan, total, epoch),
+            (CounterCall::Request(request), None) => self.on_missing_total(tag, plan, request, is_rejected),
+            (CounterCall::CatchUp(catch_up), Some(total)) => self.on_catch_up_total(tag, catch_up, total),
+            (CounterCall::Settle, Some(total)) => self.on_settlement_total(tag, plan, total, epoch),
             (CounterCall::CatchUp(_) | CounterCall::Settle, None) => {}
         }
         let has_queued_calls = self.customers.get(tag).is_some_and(|c| c.counter.has_queued());
-        if may_call_at_once(is_rejected, has_queued_calls) {
+        if may_call_immediately(is_rejected, has_queued_calls) {
             self.call_counter(tag, actions);
         }
     }
 
-    /// Ends the call in flight to a count, and adapts the sampling fraction. Corrections that a rejected call
-    /// carried are due again.
+    /// Completes the call in flight to the count `name`, and adapts the sampling fraction. Corrections that a
+    /// rejected call carried become due again. Returns `None` if no such call is in flight.
     fn complete_counter_call(&mut self, name: u64, outcome: CounterOutcome) -> Option<CompletedCall> {
         let Coordination::Counter(calls) = &mut self.coordination else { return None };
         let tag = calls.complete(name)?;
@@ -145,8 +149,9 @@
         Some(CompletedCall { tag, plan, call: ended.call })
     }
 
-    /// Decides on a request by the total after its units were added, and queues a raise of a count that lags.
-    fn on_total_of_request(
+    /// Decides on a request from the total after its units were added, and queues a catch-up if the count
+    /// lags.
+    fn on_request_total(
         &mut self,
         tag: CustomerTag,
         plan: PlanIndex,
@@ -157,15 +162,22 @@
         let settings = self.settings.plan(plan);
         let tokens = epoch.tokens(settings, total - request.added_units);
         let burst_units = settings.burst_units;
-        let raise_units = catch_up_units(burst_units, tokens);
-        if let (Some(units), Some(customer)) = (raise_units, self.customers.get_mut(tag)) {
+        let lag_units = catch_up_units(burst_units, tokens);
+        if let (Some(units), Some(customer)) = (lag_units, self.customers.get_mut(tag)) {
             customer.counter.push_first(CounterCall::CatchUp(CatchUp { units, seen_total: total }));
         }
         self.decide_counted(tag, plan, request, tokens.min(burst_units));
     }
 
-    /// Decides on a request for which the counter gave no total.
-    fn on_no_total(&mut self, tag: CustomerTag, plan: PlanIndex, request: CountedRequest, is_rejected: bool) {
+    /// Decides on a request for which the counter returned no total. If the call was rejected, the request's
+    /// units are due as a correction.
+    fn on_missing_total(
+        &mut self,
+        tag: CustomerTag,
+        plan: PlanIndex,
+        request: CountedRequest,
+        is_rejected: bool,
+    ) {
         let Some(customer) = self.customers.get_mut(tag) else { return };
         let settings = self.settings.plan(plan);
         let tokens_at_most = customer.counter.tokens_at_most(settings, self.clock.now_ms());
@@ -176,23 +188,24 @@
         self.decide_counted(tag, plan, request, tokens);
     }
 
-    /// Takes a raise back where another gateway raised the count at the same time.
-    fn on_total_of_raise(&mut self, tag: CustomerTag, raise: CatchUp, total: f64) {
+    /// Takes a catch-up back if another gateway made the same catch-up at the same time.
+    fn on_catch_up_total(&mut self, tag: CustomerTag, catch_up: CatchUp, total: f64) {
         let Some(customer) = self.customers.get_mut(tag) else { return };
-        if is_double_raise(raise, total) {
-            customer.counter.correct(-raise.units);
+        if is_duplicate_catch_up(catch_up, total) {
+            customer.counter.correct(-catch_up.units);
         }
     }
 
-    /// Records the tokens that the total of a settlement shows.
-    fn on_total_of_settlement(&mut self, tag: CustomerTag, plan: PlanIndex, total: f64, epoch: CounterEpoch) {
+    /// Records the customer's tokens from the total after a settlement.
+    fn on_settlement_total(&mut self, tag: CustomerTag, plan: PlanIndex, total: f64, epoch: CounterEpoch) {
         let Some(customer) = self.customers.get_mut(tag) else { return };
         let settings = self.settings.plan(plan);
         let tokens = epoch.tokens(settings, total).min(settings.burst_units);
         customer.counter.record_tokens(tokens, self.clock.now_ms());
     }
 
-    /// Decides on a request, given the customer's tokens before it, and records what it consumes.
+    /// Decides on a counted request, given the customer's tokens before it, and records the tokens left. The
+    /// units of a request that isn't admitted, or that no longer waits for the counter, are given back.
     fn decide_counted(&mut self, tag: CustomerTag, plan: PlanIndex, request: CountedRequest, tokens: f64) {
         let refund_units = self.refund_units(request.units);
         let active = self.requests.get_mut(request.id).filter(|active| active.awaits_counter());
@@ -211,8 +224,8 @@
         }
     }
 
-    /// Corrects the count by what an admitted request consumed in the end: all its units are given back where
-    /// it was never sent.
+    /// Corrects the count by what an admitted request consumed in the end. All its units are given back if it
+    /// was never sent.
     pub(crate) fn settle_with_counter(&mut self, active: &ActiveRequest, actions: &mut Vec<Action>) {
         let unsent = active.is_unsent();
         let correction_units = if unsent {
@@ -228,10 +241,10 @@
     }
 }
 
-/// The total that a call showed of the present epoch; `None` where it showed none.
+/// Returns the total of the customer's count in the current epoch, or `None` if the call returned none.
 ///
-/// Guards against a reply that comes after its epoch has ended: its total is of the old count, and would show
-/// the customer far over its quota. The name of the count differs in each epoch.
+/// Guards against a reply that arrives after its epoch has ended: its total is that of the old count, and
+/// would show the customer far over its quota. The name of the count differs in each epoch.
 fn total_of_epoch(outcome: CounterOutcome, name: u64, epoch: CounterEpoch) -> Option<f64> {
     match outcome {
         CounterOutcome::Total(total) if total.is_finite() && epoch.name == name => Some(total),
--- a/crates/admission/src/coordination/gossip_exchange.rs
+++ b/crates/admission/src/coordination/gossip_exchange.rs
@@ -1,21 +1,21 @@
-//! Gossip mode: means over the fleet and observations of endpoints travel with the quota messages.
+//! Gossip mode: exchange of fleet means and endpoint observations, which are carried by the quota messages.
 use crate::action::Action;
 use crate::gateway::Gateway;
 use crate::id::GatewayIndex;
 use crate::messages::gossip_message::{GossipMessage, MeansOnWire};
 use crate::policy::band::watermark::bounded_watermark;
 use crate::policy::peer_messages::fleet_mean_rules::{
-    mean_attempt_age_ms, MEAN_GAIN, MEAN_GAIN_PER_SECOND, RECEIVED_MEAN_GAIN,
+    mean_attempt_age_ms, OWN_MEAN_GAIN_PER_SECOND, PASSED_ON_MEAN_GAIN, RECEIVED_MEAN_GAIN,
 };
-use crate::policy::peer_messages::quota_message_budget::{max_quota_messages, quota_messages_per_second};
+use crate::policy::peer_messages::quota_message_budget::{max_message_tokens, quota_messages_per_second};
 use crate::policy::quota_owner::owner_sampling::QUOTA_RATE_SPAN_S;
 use crate::state::{peer_indices, Coordination, GatewayMeans};
 
 impl Gateway {
     /// Applies a peer's message: its means, its observations, and its quota messages.
     ///
-    /// Guards against datagrams that no gateway of this fleet sent: one that does not decode, or whose sender
-    /// is not among the peers, changes nothing.
+    /// Guards against datagrams that no gateway of this fleet sent: a message that cannot be decoded, or
+    /// whose sender is not among the peers, is ignored.
     pub(crate) fn on_gossip_message(&mut self, from: GatewayIndex, body: &str, actions: &mut Vec<Action>) {
         let Some(message) = GossipMessage::decode(body) else { return };
         if !peer_indices(&self.settings).any(|peer| peer == from) {
@@ -32,16 +32,16 @@
     }
 
     /// Moves this gateway's means towards those of a peer. The watermark is bounded, so that a corrupt
-    /// message cannot take it beyond what this gateway's own steps could reach.
+    /// message cannot move it beyond what this gateway's own steps could reach.
     fn apply_means(&mut self, means: &MeansOnWire) {
         let watermark = bounded_watermark(means.watermark(), self.watermark_floor());
-        self.band.follow_watermark(watermark, MEAN_GAIN);
+        self.band.follow_watermark(watermark, PASSED_ON_MEAN_GAIN);
         let means = GatewayMeans { stock: means.stock(), responses_per_second: means.responses_per_second() };
-        self.fleet_means.apply(means, MEAN_GAIN, RECEIVED_MEAN_GAIN);
+        self.fleet_means.apply(means, PASSED_ON_MEAN_GAIN, RECEIVED_MEAN_GAIN);
     }
 
-    /// Sends a message, with this gateway's means and observations added. A message to this gateway itself is
-    /// applied at once.
+    /// Sends a message with this gateway's means and recent observations added. A message to this gateway
+    /// itself is applied immediately instead.
     pub(crate) fn send_gossip(
         &mut self,
         to: GatewayIndex,
@@ -57,25 +57,26 @@
         actions.push(Action::SendPeerMessage { to, body: message.encode() });
     }
 
-    /// Adds the message tokens of the seconds that have passed.
+    /// Adds the message tokens for the time that has passed, in seconds.
     pub(crate) fn refill_message_tokens(&mut self, seconds: f64) {
         let Some(gossip) = self.coordination.gossip_mut() else { return };
         let received = gossip.received_per_second(self.clock.now_ms(), QUOTA_RATE_SPAN_S);
         let accepted = self.settings.peer_messages_per_second;
         let accrued = quota_messages_per_second(accepted, received) * seconds;
-        gossip.add_message_tokens(accrued, max_quota_messages(accepted));
+        gossip.add_message_tokens(accrued, max_message_tokens(accepted));
     }
 
-    /// Moves the fleet's means towards this gateway's own figures.
+    /// Moves the fleet means towards this gateway's own measurements, and updates the typical age of
+    /// attempts.
     pub(crate) fn update_means(&mut self) {
         let load = self.band_load();
         self.band.set_ready_capacity(load.ready_capacity);
         let own_stock = f64::from(load.in_flight);
         let now_ms = self.clock.now_ms();
-        self.fleet_means.measure(own_stock, now_ms, MEAN_GAIN_PER_SECOND, QUOTA_RATE_SPAN_S);
+        self.fleet_means.measure(own_stock, now_ms, OWN_MEAN_GAIN_PER_SECOND, QUOTA_RATE_SPAN_S);
         match self.coordination {
             Coordination::Gossip(_) => {}
-            // Nothing is received: this gateway's figures stand for the others'.
+            // No means are received in these modes, so this gateway's own are used for the others'.
             Coordination::Broadcast(_) | Coordination::Counter(_) | Coordination::Isolated => {
                 self.fleet_means.receive_own();
             }
--- a/crates/admission/src/coordination/mod.rs
+++ b/crates/admission/src/coordination/mod.rs
@@ -1,4 +1,4 @@
-//! How gateways exchange what they know of the fleet.
+//! How gateways exchange what they know about the fleet, and how they enforce quotas over all gateways.
 pub(crate) mod count_reports;
 pub(crate) mod counter_calls;
 pub(crate) mod gossip_exchange;
--- a/crates/admission/src/coordination/observations.rs
+++ b/crates/admission/src/coordination/observations.rs
@@ -1,4 +1,4 @@
-//! Large fleets: what gateways observe of endpoints, and learn from each other's observations.
+//! Large fleets: what gateways observe about endpoints, and how they apply each other's observations.
 use crate::event::{AttemptEnd, Outcome};
 use crate::gateway::Gateway;
 use crate::id::{ClassIndex, EndpointId, PlanIndex};
@@ -12,7 +12,7 @@
 use crate::state::{EjectionScope, PendingAttempt};
 
 impl Gateway {
-    /// Records what an own attempt's end shows of its endpoint.
+    /// Records what the end of an attempt of this gateway shows about its endpoint.
     pub(crate) fn observe_attempt(&mut self, end: &AttemptEnd, class: ClassIndex, plan: PlanIndex) {
         if end.outcome == Outcome::Ok {
             self.fleet_means.record_response(self.clock.now_ms(), QUOTA_RATE_SPAN_S);
@@ -26,7 +26,8 @@
         }
     }
 
-    /// Large fleets: reports own attempts that have begun to take long since the last round of upkeep.
+    /// Records a failed observation for each attempt of this gateway that has begun to take long since the
+    /// last round of upkeep.
     pub(crate) fn report_long_attempts(&mut self) {
         let turned_long = self.requests.pending_attempts().filter(|pending| self.turned_long(pending));
         for PendingAttempt { endpoint, class, .. } in turned_long.collect::<Vec<_>>() {
@@ -34,14 +35,14 @@
         }
     }
 
-    /// Applies an own observation and retains it for the next messages.
+    /// Applies an observation of this gateway, and keeps it to be sent with the next messages.
     fn record_observation(&mut self, endpoint: EndpointId, kind: ObservationKind) {
         let observation = Observation { endpoint: short_tag(endpoint.0), kind };
         self.apply_observation(observation);
         self.recent_observations.push(observation, MAX_OBSERVATIONS);
     }
 
-    /// Learns from an observation, own or received.
+    /// Applies an observation, whether made by this gateway or received from a peer.
     pub(crate) fn apply_observation(&mut self, observation: Observation) {
         match observation.kind {
             ObservationKind::Rejected { plan } => self.apply_rejection(observation.endpoint, plan),
@@ -52,7 +53,7 @@
         }
     }
 
-    /// An endpoint rejected a request of a plan: it is ejected for this plan.
+    /// Ejects an endpoint for a plan after it rejected a request of this plan.
     fn apply_rejection(&mut self, tag: u32, plan: PlanIndex) {
         let (now_ms, jitter) = (self.clock.now_ms(), self.observation_jitter(tag));
         if let Some(endpoint) = self.endpoints.get_by_tag_mut(tag) {
@@ -60,7 +61,7 @@
         }
     }
 
-    /// An endpoint failed a request of a class: once it fails many, it is ejected for this class.
+    /// Records that an endpoint failed a request of a class, and ejects it for this class if it fails many.
     fn apply_failure(&mut self, tag: u32, class: ClassIndex) {
         let (now_ms, jitter) = (self.clock.now_ms(), self.observation_jitter(tag));
         let Some(endpoint) = self.endpoints.get_by_tag_mut(tag) else { return };
@@ -70,7 +71,7 @@
         }
     }
 
-    /// An endpoint responded to a request of a class.
+    /// Records that an endpoint responded to a request of a class.
     fn apply_response(&mut self, tag: u32, class: ClassIndex, response_time: ResponseTimeCode) {
         let now_ms = self.clock.now_ms();
         let Some(endpoint) = self.endpoints.get_by_tag_mut(tag) else { return };
@@ -86,8 +87,8 @@
         }
     }
 
-    /// Factor on the length of an ejection for a class or plan. It is a hash and takes no random number, so
-    /// that messages do not change what is drawn next.
+    /// Returns the factor on the length of an ejection for a class or plan. It is a hash rather than the next
+    /// random number, so that messages don't change the sequence of random numbers.
     fn observation_jitter(&self, tag: u32) -> f64 {
         ejection_jitter((self.random.hash(u64::from(tag)) % 1000) as f64 / 1000.0)
     }
--- a/crates/admission/src/coordination/quota_ownership.rs
+++ b/crates/admission/src/coordination/quota_ownership.rs
@@ -1,4 +1,4 @@
-//! Gossip mode, as the owner of a customer's quota: responses to the quota requests of other gateways.
+//! Gossip mode, the quota owner's side: responses to the quota requests of other gateways.
 use crate::action::Action;
 use crate::gateway::Gateway;
 use crate::id::{CustomerTag, GatewayIndex, PlanIndex};
@@ -16,25 +16,25 @@
 use crate::settings::PlanSettings;
 use crate::state::{Customer, GatewaySet, Grant};
 
-/// A quota request in the owner's terms.
+/// A quota request as the owner handles it: its units bounded, and its times on this gateway's clock.
 #[derive(Debug, Clone, Copy)]
-struct ReceivedRequest {
-    /// The gateway that sent it.
+struct ReceivedQuotaRequest {
+    /// The gateway that sent the quota request.
     gateway: GatewayIndex,
-    /// Its number there.
+    /// The quota request's number at its sender.
     number: QuotaRequestNumber,
-    /// Units, at most what a request may count.
+    /// Units of the request that the quota request is for, at most what one request may count.
     units: f64,
-    /// Units of all requests that it stands for.
+    /// Units of all requests that the sampled request represents, itself included.
     represented_units: f64,
-    /// Until when it may wait for a slot.
+    /// Until when the request may wait for a slot, in ms.
     waits_until_ms: f64,
-    /// Until when it counts once it is granted.
+    /// Until when the grant counts if the request is granted, in ms.
     expires_ms: f64,
 }
 
 impl Gateway {
-    /// How long a grant counts beyond the time that its request may wait.
+    /// Returns how long a grant counts after the time until which its request may wait, in ms.
     pub(crate) fn grant_lifetime_ms(&self) -> f64 {
         grant_lifetime_ms(self.settings.longest_objective_ms())
     }
@@ -59,16 +59,16 @@
         }
     }
 
-    /// Decides on a quota request as the owner. Granted units are taken from quota, slots and ceiling before
-    /// the response is sent. `None` for a request that its sender must not send here.
+    /// Decides on a quota request as the owner. A grant's units and slot are taken before the response is
+    /// sent. Returns `None` if the sender must not send this quota request to this gateway.
     fn respond_as_owner(&mut self, from: GatewayIndex, request: &QuotaRequest) -> Option<QuotaResponse> {
         let plan_index = PlanIndex(request.plan as usize);
         if plan_index.0 >= self.settings.plans.len() {
             return None;
         }
-        let gateways = self.gateways_of(from, request)?;
+        let gateways = self.checked_gateways(from, request)?;
         let now_ms = self.clock.now_ms();
-        let received = self.received_request(from, request);
+        let received = self.received_quota_request(from, request);
         let tag = CustomerTag(request.customer);
         let (customer, plan) = self.customer_with_plan(tag, plan_index, gateways);
         customer.grants.expire(now_ms);
@@ -82,23 +82,25 @@
         Some(QuotaResponse { number: request.number, verdict, sampling_fraction })
     }
 
-    /// The gateways that the requests of a quota request's customer come through.
+    /// Returns the gateways that the customer's requests come through, as the quota request states them.
+    /// Returns `None` if they are not gateways of this fleet, or if the sender or this gateway is not among
+    /// them.
     ///
     /// Guards against messages that are corrupt or of another fleet, which could spend a quota that this
-    /// gateway can never own: `None` where the gateways are not of this fleet, or the sender or this gateway
-    /// is not among them.
-    fn gateways_of(&self, from: GatewayIndex, request: &QuotaRequest) -> Option<GatewaySet> {
+    /// gateway can never own.
+    fn checked_gateways(&self, from: GatewayIndex, request: &QuotaRequest) -> Option<GatewaySet> {
         let first = GatewayIndex(request.first_gateway as usize);
         let len = request.gateways as usize;
         let gateways = GatewaySet::checked(first, len, self.settings.gateways)?;
         (gateways.contains(from) && gateways.contains(self.settings.this_gateway)).then_some(gateways)
     }
 
-    /// A quota request in the owner's terms: its units bounded, its wait budget as a time.
-    fn received_request(&self, from: GatewayIndex, request: &QuotaRequest) -> ReceivedRequest {
+    /// Converts a quota request to what the owner handles: bounds its units, and turns its wait budget into a
+    /// time.
+    fn received_quota_request(&self, from: GatewayIndex, request: &QuotaRequest) -> ReceivedQuotaRequest {
         let units = bounded_request_units(f64::from(request.units), self.settings.max_units);
         let waits_until_ms = self.clock.now_ms() + request.wait_budget.ms();
-        ReceivedRequest {
+        ReceivedQuotaRequest {
             gateway: from,
             number: request.number,
             units,
@@ -108,7 +110,7 @@
         }
     }
 
-    /// Applies, as the owner, that a request has ended: settles its units, and grants its slot to a waiting
+    /// Applies the release of a request that has ended: settles its units, and grants its slot to a waiting
     /// request.
     fn on_quota_release(&mut self, from: GatewayIndex, release: QuotaRelease, actions: &mut Vec<Action>) {
         let Some(customer) = self.customers.get_mut(CustomerTag(release.customer)) else { return };
@@ -145,15 +147,15 @@
 
 /// Decides on a received quota request and records it.
 ///
-/// Guards against a lost response, after which the same quota request comes again: it would be charged twice.
-/// By its number it is recognized as granted or waiting, and gets the same verdict at no cost.
+/// Guards against a lost response, after which the sender repeats the quota request and it would be charged
+/// twice. Its number shows that it is already granted or waiting, and it gets the same verdict at no cost.
 fn apply_quota_request(
     customer: &mut Customer,
     plan: &PlanSettings,
-    request: &ReceivedRequest,
+    request: &ReceivedQuotaRequest,
     now_ms: f64,
 ) -> QuotaVerdict {
-    let &ReceivedRequest { gateway, number, units, .. } = request;
+    let &ReceivedQuotaRequest { gateway, number, units, .. } = request;
     if customer.grants.is_granted(gateway, number) {
         return QuotaVerdict::Granted;
     }
@@ -183,7 +185,7 @@
     verdict
 }
 
-/// What the owner recently received and granted for a customer.
+/// Returns the units that were recently requested and granted for a customer.
 fn quota_demand(customer: &Customer, plan: &PlanSettings, now_ms: f64) -> QuotaDemand {
     QuotaDemand {
         requested_per_second: customer.grants.requested_per_second(now_ms, QUOTA_RATE_SPAN_S),
--- a/crates/admission/src/coordination/quota_requests.rs
+++ b/crates/admission/src/coordination/quota_requests.rs
@@ -1,4 +1,5 @@
-//! Gossip mode: quota requests to the owner of a customer's quota, and what its responses lead to.
+//! The quota check of a queued request in all modes. In gossip mode: quota requests to the owner of a
+//! customer's quota, and how its responses are applied.
 use crate::action::Action;
 use crate::gateway::Gateway;
 use crate::id::{GatewayIndex, RequestId};
@@ -6,7 +7,7 @@
 use crate::messages::quota_message::{
     QuotaRequest, QuotaResponse, QuotaVerdict, SamplingFraction, WaitBudget,
 };
-use crate::policy::peer_messages::quota_message_budget::max_quota_messages;
+use crate::policy::peer_messages::quota_message_budget::max_message_tokens;
 use crate::policy::quota_owner::fallback_decision::{decide_without_owner, FallbackInput};
 use crate::policy::quota_owner::owner_sampling::sampling_fraction_at_age;
 use crate::policy::quota_owner::owner_selection::{select_owner, suspected_until_ms};
@@ -19,21 +20,21 @@
 /// A quota request that the owner did not respond to in time.
 #[derive(Debug, Clone, Copy)]
 struct MissedResponse {
-    /// The request that it was sent for.
+    /// The request that the quota request was sent for.
     id: RequestId,
-    /// The owner that it was sent to.
+    /// The owner that the quota request was sent to.
     owner: GatewayIndex,
-    /// How often it had been sent before.
+    /// Number of times that the quota request had already been sent again.
     retries: u32,
 }
 
 impl Gateway {
-    /// Begins the quota check of a queued request, in the way of the fleet's mode: by the quota's owner, by
-    /// the counter, or by this gateway's own token bucket.
+    /// Begins the quota check of a queued request. Depending on the fleet's mode, the quota owner, the quota
+    /// counter or this gateway's own token bucket decides.
     pub(crate) fn check_quota(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         match self.coordination {
             Coordination::Gossip(_) => self.request_quota(id, 0, actions),
-            Coordination::Counter(_) => self.request_from_counter(id, actions),
+            Coordination::Counter(_) => self.check_quota_at_counter(id, actions),
             Coordination::Broadcast(_) | Coordination::Isolated => {
                 let Some(active) = self.requests.get_mut(id) else { return };
                 active.set_quota(QuotaState::LocalBucket { within_quota: true });
@@ -44,8 +45,8 @@
         }
     }
 
-    /// Requests quota for a queued request from the owner, or decides alone. `retries` counts the earlier
-    /// quota requests for it that got no response.
+    /// Sends the quota owner a quota request for a queued request, or decides without the owner. `retries` is
+    /// the number of earlier quota requests for it that got no response.
     fn request_quota(&mut self, id: RequestId, retries: u32, actions: &mut Vec<Action>) {
         let Some(active) = self.requests.get(id) else { return };
         let now_ms = self.clock.now_ms();
@@ -117,13 +118,14 @@
         }));
     }
 
-    /// Until when a grant is of use to a request.
+    /// Returns until when a grant is of use to a request, in ms.
     fn grant_useful_until_ms(&self, active: &ActiveRequest) -> f64 {
         let mean_response_ms = self.latency.response_ms(active.request.class);
         grant_useful_until_ms(active.objective_at_ms, active.deadline_at_ms, mean_response_ms)
     }
 
-    /// Sends quota requests again that were not responded to in time, or decides without the owner.
+    /// Sends quota requests again that got no response in time, or decides without the owner. Records the
+    /// missed responses, after which an owner may be suspected to be down.
     pub(crate) fn retry_quota_requests(&mut self, actions: &mut Vec<Action>) {
         let now_ms = self.clock.now_ms();
         for missed in self.missed_responses() {
@@ -134,7 +136,7 @@
                     peer.suspect(until_ms);
                 }
             }
-            let max_tokens = max_quota_messages(self.settings.peer_messages_per_second);
+            let max_tokens = max_message_tokens(self.settings.peer_messages_per_second);
             match route_after_missed_response(missed.retries, gossip.message_tokens(), max_tokens) {
                 QuotaRoute::ToOwner => self.request_quota(missed.id, missed.retries + 1, actions),
                 QuotaRoute::DecideAlone(expectation) => self.decide_without_owner(missed.id, expectation),
@@ -142,7 +144,7 @@
         }
     }
 
-    /// Quota requests that have waited too long for a response.
+    /// Returns the quota requests that have waited too long for a response.
     fn missed_responses(&self) -> Vec<MissedResponse> {
         let Some(gossip) = self.coordination.gossip() else { return Vec::new() };
         let wait_ms = response_wait_ms(self.settings.shortest_objective_ms());
@@ -154,7 +156,7 @@
         missed.collect()
     }
 
-    /// Applies what the owner decided on a request that waits for it.
+    /// Applies the owner's decision to the request that waits for it.
     pub(crate) fn on_quota_response(&mut self, from: GatewayIndex, response: QuotaResponse) {
         let number = response.number;
         let Some(gossip) = self.coordination.gossip_mut() else { return };
--- a/crates/admission/src/policy/peer_messages/count_merge.rs
+++ b/crates/admission/src/policy/peer_messages/count_merge.rs
@@ -1,8 +1,8 @@
-//! Broadcast mode: what a peer's report changes in this gateway's token bucket of a customer.
+//! Broadcast mode: what a peer's report about a customer changes in this gateway's token bucket for it.
 use crate::state::ReportedConsumption;
 
-/// Tokens of the quota after a peer's report. `max_overdraft_units` is how far below 0 a report may bring
-/// them.
+/// Returns the tokens of a quota after a peer's report of what it consumed. `max_overdraft_units` is how far
+/// below 0 a report may reduce them.
 pub(crate) fn quota_tokens_after_report(
     tokens: f64,
     consumption: ReportedConsumption,
@@ -17,7 +17,7 @@
     }
 }
 
-/// The fraction of the burst that a quota holds, as it is reported to peers. A plan without a quota is full.
+/// Returns a quota's tokens as a fraction of the burst, as reported to peers; 1 if the plan has no quota.
 pub(crate) fn quota_fill(tokens: f64, burst_units: f64) -> f64 {
     if burst_units > 0.0 {
         tokens / burst_units
--- a/crates/admission/src/policy/peer_messages/fleet_mean_rules.rs
+++ b/crates/admission/src/policy/peer_messages/fleet_mean_rules.rs
@@ -1,25 +1,25 @@
-//! How the means over a fleet follow received and own figures, and the age of attempts that follows from
-//! them.
+//! How the means over a fleet follow received means and this gateway's own measurements, and the mean age of
+//! attempts that results from them.
 use crate::state::GatewayMeans;
 
-/// Weight of each received mean in the means that this gateway passes on.
-pub(crate) const MEAN_GAIN: f64 = 0.5;
+/// Weight of a received mean in the means that this gateway passes on to peers, the watermark included.
+pub(crate) const PASSED_ON_MEAN_GAIN: f64 = 0.5;
 
-/// Weight of each received mean in the means that the in-flight band goes by. These leave out this gateway's
-/// own figures, which are few and jump.
+/// Weight of a received mean in the means that the in-flight band is computed from. These exclude this
+/// gateway's own measurements, which are few and noisy.
 pub(crate) const RECEIVED_MEAN_GAIN: f64 = 0.15;
 
-/// How fast the means that are passed on follow this gateway's own figures, per second.
-pub(crate) const MEAN_GAIN_PER_SECOND: f64 = 2.0;
+/// Rate, per second, at which the means that this gateway passes on follow its own measurements.
+pub(crate) const OWN_MEAN_GAIN_PER_SECOND: f64 = 2.0;
 
-/// Lower bound of the age of attempts, in mean response times.
+/// Lower bound of the mean age of attempts, in mean response times.
 const MIN_AGE_RESPONSE_TIMES: f64 = 0.5;
 
-/// Upper bound of the age of attempts, in longest latency objectives.
+/// Upper bound of the mean age of attempts, as a multiple of the longest latency objective.
 const MAX_AGE_OBJECTIVES: f64 = 2.0;
 
-/// How long attempts are in flight on the mean, in ms: attempts in flight over responses per second, by
-/// Little's law. This shows a jam earlier than the response times do.
+/// Returns the mean time that attempts are in flight, in ms: attempts in flight divided by responses per
+/// second, by Little's law. It shows congestion earlier than the response times do.
 pub(crate) fn mean_attempt_age_ms(
     means: GatewayMeans,
     mean_response_ms: f64,
--- a/crates/admission/src/policy/peer_messages/mod.rs
+++ b/crates/admission/src/policy/peer_messages/mod.rs
@@ -1,4 +1,4 @@
-//! Messages between gateways: how often each is sent, and what the received figures change.
+//! Messages between gateways: how often each is sent, and what a received message changes.
 pub(crate) mod ceiling_transfer;
 pub(crate) mod count_merge;
 pub(crate) mod fleet_mean_rules;
--- a/crates/admission/src/policy/peer_messages/quota_message_budget.rs
+++ b/crates/admission/src/policy/peer_messages/quota_message_budget.rs
@@ -1,24 +1,26 @@
-//! Gossip mode: how many quota requests a gateway may send.
+//! Gossip mode: how many quota requests a gateway may send. Each costs a message token.
 use crate::policy::peer_messages::message_capacity::peer_messages_per_second;
 
-/// Fraction of the messages a gateway accepts that the quota requests of others and the responses to its own
-/// may use together.
+/// Fraction of the messages accepted by a gateway that its peers' quota requests and releases and the
+/// responses to its own quota requests may use together.
 const QUOTA_MESSAGE_FRACTION: f64 = 0.9;
 
-/// Fraction of the messages a gateway accepts that the responses to its own quota requests may use at least.
+/// Lower bound of the fraction of accepted messages that the responses to own quota requests may use.
 const MIN_QUOTA_MESSAGE_FRACTION: f64 = 0.2;
 
-/// Message tokens for quota requests that a gateway starts with.
+/// Number of message tokens that a gateway starts with.
 pub(crate) const INITIAL_MESSAGE_TOKENS: f64 = 10.0;
 
-/// Quota requests per second that this gateway may send: what others' messages leave free for the responses.
-/// `accepted_per_second` is how many messages a gateway accepts, `received_per_second` how many others send.
+/// Returns the quota requests per second that this gateway may send, so that it can accept the responses in
+/// addition to its peers' messages. `accepted_per_second` is the number of messages that a gateway accepts,
+/// and `received_per_second` the number of quota requests and releases that peers send.
 pub(crate) fn quota_messages_per_second(accepted_per_second: f64, received_per_second: f64) -> f64 {
     let free_per_second = QUOTA_MESSAGE_FRACTION * accepted_per_second - received_per_second;
     free_per_second.max(MIN_QUOTA_MESSAGE_FRACTION * accepted_per_second)
 }
 
-/// Message tokens that may be saved up: as many as all peers of a gateway may send it in a second.
-pub(crate) fn max_quota_messages(accepted_per_second: f64) -> f64 {
+/// Returns the number of message tokens that a gateway may save up: the number of messages that all its peers
+/// may send it in a second.
+pub(crate) fn max_message_tokens(accepted_per_second: f64) -> f64 {
     peer_messages_per_second(accepted_per_second)
 }
--- a/crates/admission/src/policy/quota_counter/count_settlement.rs
+++ b/crates/admission/src/policy/quota_counter/count_settlement.rs
@@ -1,8 +1,9 @@
-//! How a count is corrected once it is known what a counted request really consumed.
+//! Correction of a count once it is known what a counted request consumed.
 use crate::state::{CountedRequest, QuotaState};
 
-/// Units that a counted request consumes. A request that is not admitted consumes none of its own, but those
-/// of the requests that it stands for stay counted: they were admitted without a call.
+/// Returns the units that a counted request and the requests that it represents consume. A request that is
+/// not admitted consumes none of its own units. Those of the requests that it represents stay counted,
+/// because these were admitted without a call.
 pub(crate) fn consumed_units(request: CountedRequest, is_admitted: bool) -> f64 {
     if is_admitted {
         request.added_units
@@ -11,9 +12,9 @@
     }
 }
 
-/// Units by which the count is too low once a request that was sent has ended. `excess_units` is by how much
-/// its true units passed the estimate. While the quota is ample nothing is corrected: estimates are as often
-/// too high as too low.
+/// Returns the units by which the count is too low after a request that was sent has ended. `excess_units` is
+/// the request's true units less the estimate. Nothing is corrected while the quota is ample, because
+/// estimates are as often too high as too low.
 pub(crate) fn settlement_units(quota: QuotaState, excess_units: f64) -> f64 {
     match quota {
         QuotaState::AdmittedByCounter { ample: false } => excess_units,
@@ -21,8 +22,8 @@
     }
 }
 
-/// Whether a customer's next call is made at once after a reply. A counter that rejects calls is not called
-/// again only to settle corrections.
-pub(crate) fn may_call_at_once(is_rejected: bool, has_queued_calls: bool) -> bool {
+/// Returns whether a customer's next call to the counter is made immediately after a reply. After a rejected
+/// call, the counter is not called again for corrections alone.
+pub(crate) fn may_call_immediately(is_rejected: bool, has_queued_calls: bool) -> bool {
     !is_rejected || has_queued_calls
 }
--- a/crates/admission/src/tests/quota_rules/counter_rules.rs
+++ b/crates/admission/src/tests/quota_rules/counter_rules.rs
@@ -3,11 +3,13 @@
 use super::is_close;
 use crate::event::CounterOutcome;
 use crate::id::RequestId;
-use crate::policy::quota_counter::count_catch_up::{catch_up_units, is_double_raise};
+use crate::policy::quota_counter::count_catch_up::{catch_up_units, is_duplicate_catch_up};
 use crate::policy::quota_counter::count_decision::{
-    assumed_tokens, decide_by_count, decide_over_quota, is_surely_over_quota,
+    assumed_tokens, decide_by_count, decide_over_quota, is_certainly_over_quota,
+};
+use crate::policy::quota_counter::count_settlement::{
+    consumed_units, may_call_immediately, settlement_units,
 };
-use crate::policy::quota_counter::count_settlement::{consumed_units, may_call_at_once, settlement_units};
 use crate::policy::quota_counter::counter_sampling::{
     refund_units, sample_request, sampling_fraction_after, SampleInput,
 };
@@ -78,7 +80,7 @@
 fn without_a_total_a_customer_has_what_it_had_at_most_or_a_full_burst() {
     assert_eq!([None, Some(1.5)].map(|seen| assumed_tokens(8.0, seen)), [8.0, 1.5]);
     assert_eq!(
-        [None, Some(1.5), Some(1.4)].map(|seen| is_surely_over_quota(seen, 1.5)),
+        [None, Some(1.5), Some(1.4)].map(|seen| is_certainly_over_quota(seen, 1.5)),
         [false, false, true]
     );
 }
@@ -97,7 +99,10 @@
 #[test]
 fn a_raise_is_doubled_where_others_added_more_than_half_as_much() {
     let raise = CatchUp { units: 80.0, seen_total: 5.0 };
-    assert_eq!([85.0, 125.0, 125.1, 165.0].map(|t| is_double_raise(raise, t)), [false, false, true, true]);
+    assert_eq!(
+        [85.0, 125.0, 125.1, 165.0].map(|t| is_duplicate_catch_up(raise, t)),
+        [false, false, true, true]
+    );
 }
 
 #[test]
@@ -118,6 +123,6 @@
 fn a_rejecting_counter_is_not_called_at_once_for_corrections_alone() {
     let cases = [(false, false, true), (false, true, true), (true, true, true), (true, false, false)];
     for (is_rejected, has_queued_calls, expected) in cases {
-        assert_eq!(may_call_at_once(is_rejected, has_queued_calls), expected);
+        assert_eq!(may_call_immediately(is_rejected, has_queued_calls), expected);
     }
 }
--- a/crates/admission/src/tests/quota_rules/peer_message_rules.rs
+++ b/crates/admission/src/tests/quota_rules/peer_message_rules.rs
@@ -4,9 +4,9 @@
 use crate::policy::peer_messages::ceiling_transfer::{ceiling_transfer_units, max_ceiling_units};
 use crate::policy::peer_messages::count_merge::{quota_fill, quota_tokens_after_report};
 use crate::policy::peer_messages::fleet_mean_rules::mean_attempt_age_ms;
-use crate::policy::peer_messages::quota_message_budget::{max_quota_messages, quota_messages_per_second};
+use crate::policy::peer_messages::quota_message_budget::{max_message_tokens, quota_messages_per_second};
 use crate::policy::peer_messages::report_schedule::{
-    max_saved_reports, report_interval_ms, reports_per_second, should_send_report, ReportInput,
+    max_report_credit, report_interval_ms, reports_per_second, should_send_report, ReportInput,
 };
 use crate::state::{GatewayMeans, ReportedConsumption};
 
@@ -39,7 +39,7 @@
     assert!(is_close(report_interval_ms(8, 40.0), 250.0));
     assert_eq!(report_interval_ms(2, 400.0), 40.0, "no shorter");
     assert_eq!(report_interval_ms(2, 0.0), 10_000.0, "finite without messages");
-    assert_eq!([0.5, 4.0].map(max_saved_reports), [1.0, 4.0]);
+    assert_eq!([0.5, 4.0].map(max_report_credit), [1.0, 4.0]);
 }
 
 #[test]
@@ -52,8 +52,8 @@
         (1.0, true, true, 400.0, true),
         (0.9, false, false, 400.0, false),
     ];
-    for (message_credit, has_no_customers, has_same_stock, since_last_ms, expected) in cases {
-        let input = ReportInput { message_credit, has_no_customers, has_same_stock, since_last_ms };
+    for (report_credit, has_no_entries, has_same_in_flight, since_last_ms, expected) in cases {
+        let input = ReportInput { report_credit, has_no_entries, has_same_in_flight, since_last_ms };
         assert_eq!(should_send_report(input), expected, "{input:?}");
     }
 }
@@ -62,7 +62,7 @@
 fn quota_requests_use_what_others_leave_and_a_fifth_at_least() {
     assert!(is_close(quota_messages_per_second(60.0, 14.0), 40.0));
     assert!(is_close(quota_messages_per_second(60.0, 50.0), 12.0));
-    assert!(is_close(max_quota_messages(60.0), 42.0));
+    assert!(is_close(max_message_tokens(60.0), 42.0));
 }
 
 /// Units that stood at two gateways at once would let the ceiling be passed.
