--- a/crates/admission/src/tests/quota_rules/counter_rules.rs
+++ b/crates/admission/src/tests/quota_rules/counter_rules.rs
@@ -1,4 +1,4 @@
-//! Counter mode: for which requests the counter is called, what its totals decide, and how counts are
+//! Counter mode: which requests the counter is called for, what its totals decide, and how counts are
 //! corrected.
 use super::is_close;
 use crate::event::CounterOutcome;
@@ -17,9 +17,9 @@
 use crate::state::{CatchUp, CountedRequest, QuotaState};
 use crate::tests::plan_builder::{paying_plan, quota_plan};
 
-/// Were the fraction ever 0, a gateway would not notice that the counter responds again.
+/// With a fraction of 0, a gateway would not notice that the counter responds again.
 #[test]
-fn the_sampling_fraction_rises_with_totals_and_falls_without_down_to_a_twentieth() {
+fn sampling_fraction_rises_with_each_total_and_falls_without() {
     let cases = [
         (CounterOutcome::Total(9.0), 0.5, 0.51),
         (CounterOutcome::Total(9.0), 0.995, 1.0),
@@ -34,8 +34,8 @@
 }
 
 #[test]
-fn a_sampled_request_stands_for_up_to_three_and_a_repeat_for_itself() {
-    // Sampling fraction, client's retry, draw; a request of 2 units.
+fn sampled_request_counts_for_up_to_three_and_client_retry_for_one() {
+    // Sampling fraction, whether it is a client's retry, draw, expected units to add; a request of 2 units.
     let cases = [
         (1.0, false, 0.99, Some(2.0)),
         (0.5, false, 0.49, Some(4.0)),
@@ -50,15 +50,17 @@
 }
 
 #[test]
-fn a_refund_stands_for_up_to_three() {
+fn sampled_refund_counts_for_up_to_three() {
     let cases = [(1.0, 0.99, 2.0), (0.5, 0.49, 4.0), (0.5, 0.5, 0.0), (0.05, 0.3, 6.0), (0.05, 0.34, 0.0)];
     for (fraction, draw, expected) in cases {
         assert!(is_close(refund_units(2.0, fraction, draw), expected), "{fraction} {draw}");
     }
 }
 
+/// The quota is ample above half the burst, and only a plan that pays for it and has no hard ceiling may
+/// exceed it.
 #[test]
-fn a_count_admits_what_it_has_tokens_for_and_is_ample_above_half_the_burst() {
+fn count_admits_request_if_tokens_suffice() {
     let paying = paying_plan(2.0, 8.0);
     let ceiling = PlanSettings { ceiling_rate_per_second: 1.0, ..paying_plan(2.0, 8.0) };
     let over = |may_exceed| QuotaState::OverQuota { may_exceed };
@@ -77,7 +79,7 @@
 }
 
 #[test]
-fn without_a_total_a_customer_has_what_it_had_at_most_or_a_full_burst() {
+fn missing_total_is_replaced_by_last_known_tokens_or_full_burst() {
     assert_eq!([None, Some(1.5)].map(|seen| assumed_tokens(8.0, seen)), [8.0, 1.5]);
     assert_eq!(
         [None, Some(1.5), Some(1.4)].map(|seen| is_certainly_over_quota(seen, 1.5)),
@@ -87,40 +89,40 @@
 
 /// An idle customer would otherwise save up far more than its burst.
 #[test]
-fn a_count_is_raised_where_it_lags_by_more_than_a_quarter_of_the_burst() {
+fn count_catches_up_if_it_lags_by_over_a_quarter_of_the_burst() {
     assert_eq!(
         [7.0, 10.0, 10.03125, 88.0].map(|t| catch_up_units(8.0, t)),
         [None, None, Some(2.03125), Some(80.0)]
     );
 }
 
-/// Two gateways that see the same lag both raise the count; one of them must take its raise back, or the
-/// customer is rejected until the rate has made up for it.
+/// Two gateways that see the same lag both catch up the count. One of them must take its catch-up back, or
+/// the customer's requests are rejected until the rate has made up for it.
 #[test]
-fn a_raise_is_doubled_where_others_added_more_than_half_as_much() {
-    let raise = CatchUp { units: 80.0, seen_total: 5.0 };
+fn catch_up_is_duplicate_if_others_added_over_half_of_it() {
+    let catch_up = CatchUp { units: 80.0, seen_total: 5.0 };
     assert_eq!(
-        [85.0, 125.0, 125.1, 165.0].map(|t| is_duplicate_catch_up(raise, t)),
+        [85.0, 125.0, 125.1, 165.0].map(|t| is_duplicate_catch_up(catch_up, t)),
         [false, false, true, true]
     );
 }
 
 #[test]
-fn a_request_that_is_not_admitted_consumes_only_for_those_it_stands_for() {
+fn request_not_admitted_consumes_only_represented_units() {
     let request = CountedRequest { id: RequestId(1), units: 2.0, added_units: 6.0 };
     assert_eq!([true, false].map(|admitted| consumed_units(request, admitted)), [6.0, 4.0]);
 }
 
 #[test]
-fn true_units_are_settled_only_while_tokens_are_few() {
+fn true_units_are_settled_unless_quota_is_ample() {
     let admitted = |ample| QuotaState::AdmittedByCounter { ample };
     assert_eq!([false, true].map(|ample| settlement_units(admitted(ample), 1.5)), [1.5, 0.0]);
     assert_eq!(settlement_units(QuotaState::AdmittedUncounted, 1.5), 0.0);
 }
 
-/// A counter that rejects calls would be called again and again for the same correction.
+/// Otherwise a counter that rejects calls would be called again and again for the same correction.
 #[test]
-fn a_rejecting_counter_is_not_called_at_once_for_corrections_alone() {
+fn rejected_call_is_not_repeated_for_corrections_alone() {
     let cases = [(false, false, true), (false, true, true), (true, true, true), (true, false, false)];
     for (is_rejected, has_queued_calls, expected) in cases {
         assert_eq!(may_call_immediately(is_rejected, has_queued_calls), expected);
--- a/crates/admission/src/tests/quota_rules/message_bounds.rs
+++ b/crates/admission/src/tests/quota_rules/message_bounds.rs
@@ -1,4 +1,4 @@
-//! The bounds of the figures that messages between gateways carry.
+//! Ranges and rounding of the values that messages between gateways carry.
 use crate::id::{ClassIndex, PlanIndex};
 use crate::messages::counts_message::{
     CeilingRequest, CeilingTransfer, ConsumedUnits, CountEntry, CountsMessage, QuotaFill, WatermarkOnWire,
@@ -9,17 +9,17 @@
     QuarterUnits, QuotaRelease, QuotaRequestNumber, SamplingFraction, WaitBudget,
 };
 
-/// What a receiver makes of an observation.
+/// Encodes an observation and returns what the receiver decodes.
 fn received(kind: ObservationKind) -> ObservationKind {
     let mut text = String::new();
     Observation { endpoint: 7, kind }.encode(&mut text);
     Observation::decode(&mut text.bytes()).expect("all digits are there").kind
 }
 
-/// Codes of classes end where those of plans begin. A failure of class 62 or beyond arrives as a rejection of
-/// a plan.
+/// The codes of classes end where those of plans begin, so a failure of class 62 or above is received as the
+/// rejection of a plan.
 #[test]
-fn classes_beyond_61_and_plans_beyond_95_have_no_code_of_their_own() {
+fn classes_above_61_and_plans_above_95_share_codes() {
     let failed = |class| ObservationKind::Failed { class: ClassIndex(class) };
     let rejected = |plan| ObservationKind::Rejected { plan: PlanIndex(plan) };
     let cases = [
@@ -37,16 +37,18 @@
     }
 }
 
+/// Units are divided by a received sampling fraction, so 0 counts as 1/63.
 #[test]
-fn sampling_fractions_are_63rds_above_zero_where_they_divide() {
+fn sampling_fractions_are_rounded_to_63rds() {
     assert_eq!(SamplingFraction::nearest(1.0), SamplingFraction::ALL);
     assert_eq!(SamplingFraction::nearest_above_zero(0.001).fraction(), 1.0 / 63.0);
     assert_eq!(SamplingFraction::at_most(0.999).fraction(), 62.0 / 63.0);
     assert_eq!(SamplingFraction::nearest(0.0).extrapolate(2.0), 126.0);
 }
 
+/// A wait budget has at most 4095 steps of 16 ms.
 #[test]
-fn wait_budgets_are_steps_of_16_ms_up_to_4095() {
+fn wait_budgets_are_rounded_down_to_16_ms() {
     let cases = [(-5.0, 0.0), (15.9, 0.0), (16.0, 16.0), (1e9, 65_520.0)];
     for (ms, expected) in cases {
         assert_eq!(WaitBudget::from_ms(ms).ms(), expected, "{ms}");
@@ -54,7 +56,7 @@
 }
 
 #[test]
-fn released_units_arrive_in_quarters_within_512() {
+fn released_units_are_rounded_to_quarters_within_512() {
     let cases = [(-600.0, -512.0), (-1.1, -1.0), (0.0, 0.0), (2.6, 2.5), (600.0, 511.75)];
     for (units, expected) in cases {
         let number = QuotaRequestNumber::default();
@@ -66,9 +68,10 @@
     }
 }
 
-/// Figures beyond what their digits carry count as the largest, and units transferred are rounded down.
+/// A value that is too large for its digits is sent as the largest one, and transferred units are rounded
+/// down.
 #[test]
-fn a_counts_message_has_this_text() {
+fn counts_message_has_fixed_encoding() {
     let message = CountsMessage {
         incarnation: 1,
         sequence: 2,
--- a/crates/admission/src/tests/quota_rules/mod.rs
+++ b/crates/admission/src/tests/quota_rules/mod.rs
@@ -1,4 +1,4 @@
-//! Rules on quotas, and on the messages and calls by which gateways agree on them.
+//! Rules for quotas, and for the messages and calls by which gateways agree on them.
 mod counter_rules;
 mod message_bounds;
 mod owner_rules;
--- a/crates/admission/src/tests/quota_rules/owner_rules.rs
+++ b/crates/admission/src/tests/quota_rules/owner_rules.rs
@@ -1,4 +1,5 @@
-//! Gossip mode: who owns a quota, what the owner decides, and what a gateway does without a response.
+//! Gossip mode: which gateway owns a quota, what the owner decides, and what a gateway does without a
+//! response.
 use super::is_close;
 use crate::id::{CustomerTag, GatewayIndex};
 use crate::messages::quota_message::{QuotaVerdict, SamplingFraction};
@@ -21,11 +22,12 @@
 use crate::tests::plan_builder::{paying_plan, quota_plan};
 
 #[test]
-fn verdict_goes_by_ceiling_then_quota_then_slots() {
+fn verdict_checks_ceiling_then_quota_then_slots() {
     let quota = quota_plan(10.0, 40.0);
     let ceiling = PlanSettings { ceiling_rate_per_second: 5.0, ..paying_plan(10.0, 40.0) };
     let slots = PlanSettings { open_limit: 3, ..quota_plan(0.0, 0.0) };
-    // Plan, quota tokens, ceiling tokens, granted and waiting requests; a request of 2 units.
+    // Plan, quota tokens, ceiling tokens, granted and waiting requests, expected verdict; a request of 2
+    // units.
     let cases = [
         (&quota, 2.0, 0.0, 9, 9, QuotaVerdict::Granted),
         (&quota, 1.9, 0.0, 0, 0, QuotaVerdict::OverQuota),
@@ -46,7 +48,7 @@
 }
 
 #[test]
-fn a_grant_is_ample_above_half_the_burst_of_a_plan_without_slots() {
+fn grant_is_ample_above_half_the_burst_without_slots() {
     let quota = quota_plan(10.0, 40.0);
     let slots = PlanSettings { open_limit: 3, ..quota_plan(10.0, 40.0) };
     let cases = [
@@ -61,9 +63,10 @@
     }
 }
 
+/// The fraction stays between a twentieth and 1.
 #[test]
-fn the_owner_wants_half_more_than_it_grants_within_a_twentieth_and_all() {
-    // Units requested and granted per second, of a rate of 4.
+fn wanted_sampling_fraction_covers_one_and_a_half_times_the_grants() {
+    // Units requested and granted per second, expected fraction; a plan with a rate of 4 units per second.
     let cases = [(6.0, 4.0, 1.0), (12.0, 4.0, 0.5), (12.0, 0.0, 0.5), (12.0, 6.0, 0.75), (1000.0, 4.0, 0.05)];
     for (requested_per_second, granted_per_second, expected) in cases {
         let demand = QuotaDemand { requested_per_second, granted_per_second, plan_rate_per_second: 4.0 };
@@ -71,44 +74,47 @@
     }
 }
 
-/// The owner sees none of the requests that are not sampled, so the fraction must rise again by itself.
+/// The owner doesn't see the requests that are not sampled, so the fraction must rise again by itself.
 #[test]
-fn the_sampling_fraction_returns_to_all_within_three_seconds() {
+fn sampling_fraction_returns_to_1_within_3_s() {
     for (age_ms, expected) in [(0.0, 0.2), (1500.0, 0.6), (3000.0, 1.0), (9000.0, 1.0)] {
         assert!(is_close(sampling_fraction_at_age(0.2, age_ms), expected), "{age_ms}");
     }
 }
 
 #[test]
-fn the_first_in_the_ranking_that_is_not_suspected_owns_the_quota() {
+fn owner_is_lowest_ranked_gateway_that_is_not_suspected() {
     let ranking =
         || [(30, 5), (10, 6), (20, 7)].map(|(rank, n)| RankedGateway { rank, gateway: GatewayIndex(n) });
-    let me = GatewayIndex(9);
-    let owner = |suspected: &[usize]| select_owner(ranking().into_iter(), |g| suspected.contains(&g.0), me).0;
+    let this_gateway = GatewayIndex(9);
+    let owner = |suspected: &[usize]| {
+        select_owner(ranking().into_iter(), |g| suspected.contains(&g.0), this_gateway).0
+    };
     assert_eq!([owner(&[]), owner(&[6]), owner(&[6, 7]), owner(&[5, 6, 7])], [6, 7, 5, 9]);
 }
 
-/// Gateways that rank differently would each grant the customer's whole quota.
+/// If gateways ranked differently, several of them would each grant the customer's whole quota.
 #[test]
-fn the_ranking_names_one_owner_at_every_gateway() {
+fn every_gateway_selects_the_same_owner() {
     let (set, tag) = (GatewaySet::new(GatewayIndex(90), 20, 100), CustomerTag(7));
-    let owners = set.members().map(|me| select_owner(set.rendezvous_ranking(tag), |_| false, me));
+    let owners = set.members().map(|gateway| select_owner(set.rendezvous_ranking(tag), |_| false, gateway));
     let owners: Vec<GatewayIndex> = owners.collect();
     assert!(owners.iter().all(|owner| *owner == owners[0]), "{owners:?}");
     assert_eq!(set.ranking_position(tag, owners[0]), 0);
 }
 
-/// One lost datagram must not move a quota to another owner; a second missed response shows a silent gateway.
+/// One lost datagram must not move a quota to another owner. After a second missed response, the gateway is
+/// taken to be down.
 #[test]
-fn a_gateway_is_suspected_for_2500_ms_from_the_second_missed_response_on() {
+fn gateway_is_suspected_for_2500_ms_after_two_missed_responses() {
     assert_eq!([1, 2, 3].map(|missed| suspected_until_ms(missed, 100.0)), [None, Some(2600.0), Some(2600.0)]);
 }
 
 #[test]
-fn a_quota_request_goes_to_the_owner_if_sampled_and_a_message_token_is_left() {
+fn quota_request_is_sent_if_sampled_and_a_message_token_is_left() {
     let (all, half) = (SamplingFraction::ALL, SamplingFraction::nearest(0.5));
     let alone = QuotaRoute::DecideAlone;
-    // Owned here, retries, sampling, draw, message tokens.
+    // Whether this gateway owns the quota, retries, sampling fraction, draw, message tokens, expected route.
     let cases = [
         (true, 0, half, 0.9, 0.0, QuotaRoute::ToOwner),
         (false, 0, half, 0.4, 1.0, QuotaRoute::ToOwner),
@@ -125,7 +131,7 @@
 }
 
 #[test]
-fn a_quota_request_is_retried_three_times_while_half_the_message_tokens_are_left() {
+fn quota_request_is_retried_three_times_above_half_the_message_tokens() {
     let alone = QuotaRoute::DecideAlone(QuotaExpectation::Within);
     let cases =
         [(0, 21.1, QuotaRoute::ToOwner), (2, 21.1, QuotaRoute::ToOwner), (3, 21.1, alone), (0, 21.0, alone)];
@@ -135,10 +141,10 @@
 }
 
 #[test]
-fn times_of_quota_requests_and_grants() {
-    // A tenth of the shortest objective, 60 ms at least.
+fn response_wait_and_grant_times_follow_objectives() {
+    // A tenth of the shortest objective, but at least 60 ms.
     assert_eq!([500.0, 600.0, 1000.0].map(response_wait_ms), [60.0, 60.0, 100.0]);
-    // 0.8 response times before the objective or the deadline.
+    // 0.8 mean response times before the objective or the deadline, whichever is earlier.
     assert!(is_close(grant_useful_until_ms(900.0, 2000.0, 50.0), 860.0));
     assert!(is_close(grant_useful_until_ms(900.0, 700.0, 50.0), 660.0));
     // As long as an attempt may take: two objectives.
@@ -146,7 +152,7 @@
 }
 
 #[test]
-fn without_the_owner_a_request_is_sent_only_where_nothing_speaks_against_it() {
+fn without_owner_local_bucket_decides_if_band_ungated_and_no_ceiling() {
     let own_bucket = QuotaState::LocalBucket { within_quota: true };
     let over_quota = QuotaState::OverQuota { may_exceed: false };
     let cases = [
@@ -161,25 +167,25 @@
     }
 }
 
-/// A corrupt message must not empty a quota, nor fill it for nothing.
+/// A corrupt message must not empty a quota, nor fill it although nothing was consumed.
 #[test]
-fn units_of_quota_messages_stay_within_what_one_request_may_count() {
+fn quota_message_units_are_limited_to_one_request() {
     assert_eq!([3.0, 63.0].map(|units| bounded_request_units(units, 4.0)), [3.0, 4.0]);
     assert_eq!([-9.0, 3.0, 9.0].map(|units| bounded_release_units(units, 4.0)), [-4.0, 3.0, 4.0]);
-    assert_eq!(bounded_request_units(9.0, 0.0), 1.0, "a request counts one unit at least");
+    assert_eq!(bounded_request_units(9.0, 0.0), 1.0, "a message may always carry one unit");
 }
 
 #[test]
-fn a_plan_without_slots_has_no_free_slot() {
+fn plan_without_slots_has_no_free_slot() {
     let slots = PlanSettings { open_limit: 3, ..quota_plan(0.0, 0.0) };
     assert_eq!([2, 3].map(|granted| has_free_slot(&slots, granted)), [true, false]);
     assert!(!has_free_slot(&quota_plan(1.0, 1.0), 0));
 }
 
-/// While a silent owner may still be alive, it and its successor both spend: together no more than the
-/// ceiling.
+/// An owner that doesn't respond may still be running. It and its successor then both spend, together at most
+/// the ceiling.
 #[test]
-fn ceiling_fractions_add_up_to_the_ceiling() {
+fn ceiling_fractions_add_up_to_one() {
     assert_eq!(ceiling_fraction_by_ranking(1, 0), 1.0);
     assert_eq!([0, 1, 2, 3].map(|position| ceiling_fraction_by_ranking(4, position)), [0.6, 0.4, 0.0, 0.0]);
     assert_eq!([1, 4].map(even_ceiling_fraction), [1.0, 0.25]);
--- a/crates/admission/src/tests/quota_rules/peer_message_rules.rs
+++ b/crates/admission/src/tests/quota_rules/peer_message_rules.rs
@@ -10,9 +10,9 @@
 };
 use crate::state::{GatewayMeans, ReportedConsumption};
 
-/// With 40 messages a second, seven tenths of them are 28, and 11.2 in 400 ms: eleven peers can report.
+/// Seven tenths of 40 messages per second are 28 per second, or 11.2 in 400 ms, so eleven peers can report.
 #[test]
-fn the_mode_follows_from_messages_counter_and_size() {
+fn mode_follows_from_fleet_size_messages_and_counter() {
     use CoordinationMode::{Broadcast, Counter, Gossip, Isolated};
     let cases = [
         (1, false, false, Broadcast),
@@ -33,18 +33,18 @@
 }
 
 #[test]
-fn reports_share_seven_tenths_of_the_messages_that_a_peer_accepts() {
-    // Eight gateways at 40 messages a second: 28 a second from seven peers.
+fn reports_use_seven_tenths_of_accepted_messages() {
+    // Eight gateways at 40 messages per second: each is sent 28 reports per second by seven peers.
     assert!(is_close(reports_per_second(8, 40.0), 4.0));
     assert!(is_close(report_interval_ms(8, 40.0), 250.0));
-    assert_eq!(report_interval_ms(2, 400.0), 40.0, "no shorter");
-    assert_eq!(report_interval_ms(2, 0.0), 10_000.0, "finite without messages");
+    assert_eq!(report_interval_ms(2, 400.0), 40.0, "at least 40 ms");
+    assert_eq!(report_interval_ms(2, 0.0), 10_000.0, "finite if no messages are accepted");
     assert_eq!([0.5, 4.0].map(max_report_credit), [1.0, 4.0]);
 }
 
 #[test]
-fn a_report_is_sent_with_something_new_or_after_400_ms() {
-    // Credit, no customers, same stock, time since the last report.
+fn report_is_sent_if_changed_or_after_400_ms() {
+    // Credit, no entries, same attempts in flight, ms since the last report, whether it is sent.
     let cases = [
         (1.0, false, true, 40.0, true),
         (1.0, true, false, 40.0, true),
@@ -59,15 +59,15 @@
 }
 
 #[test]
-fn quota_requests_use_what_others_leave_and_a_fifth_at_least() {
+fn quota_requests_use_remaining_messages_but_at_least_a_fifth() {
     assert!(is_close(quota_messages_per_second(60.0, 14.0), 40.0));
     assert!(is_close(quota_messages_per_second(60.0, 50.0), 12.0));
     assert!(is_close(max_message_tokens(60.0), 42.0));
 }
 
-/// Units that stood at two gateways at once would let the ceiling be passed.
+/// Units that two gateways have at once would let the ceiling be exceeded.
 #[test]
-fn a_transfer_is_half_of_what_is_spare_in_quarters_rounded_down() {
+fn transfer_is_half_of_spare_units_rounded_down_to_quarters() {
     let cases = [(3.9, 0.0), (4.0, 0.0), (4.5, 0.25), (4.9, 0.25), (10.0, 3.0), (54.0, 25.0)];
     for (ceiling_tokens, expected) in cases {
         assert_eq!(ceiling_transfer_units(ceiling_tokens, 4.0), expected, "{ceiling_tokens}");
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn a_report_takes_what_the_peer_consumed_and_the_first_one_only_bounds() {
+fn report_deducts_consumption_and_first_report_only_caps_tokens() {
     let since = |consumed_units| ReportedConsumption::Since { consumed_units };
     let unknown = |fill| ReportedConsumption::Unknown { fill };
     let cases = [
@@ -93,13 +93,17 @@
 }
 
 #[test]
-fn attempt_age_is_stock_over_response_rate_within_bounds() {
-    // Mean responses of 100 ms, longest objective 1000 ms.
+fn attempt_age_is_in_flight_over_response_rate_within_bounds() {
+    // A mean response time of 100 ms, and a longest objective of 1000 ms.
     let cases = [(6.0, 20.0, 300.0), (0.1, 20.0, 50.0), (90.0, 20.0, 2000.0), (6.0, 0.0, 100.0)];
     for (stock, responses_per_second, expected) in cases {
         let means = GatewayMeans { stock, responses_per_second };
         assert!(is_close(mean_attempt_age_ms(means, 100.0, 1000.0), expected), "{means:?}");
     }
-    let jammed = GatewayMeans { stock: 900.0, responses_per_second: 1.0 };
-    assert_eq!(mean_attempt_age_ms(jammed, 1500.0, 1000.0), 3000.0, "the response time is the longer one");
+    let congested = GatewayMeans { stock: 900.0, responses_per_second: 1.0 };
+    assert_eq!(
+        mean_attempt_age_ms(congested, 1500.0, 1000.0),
+        3000.0,
+        "the mean response time is longer than the objective"
+    );
 }
