--- a/crates/admission/src/coordination/gossip_exchange.rs
+++ b/crates/admission/src/coordination/gossip_exchange.rs
@@ -57,7 +57,7 @@
         actions.push(Action::SendPeerMessage { to, body: message.encode() });
     }
 
-    /// Adds the message tokens for the time that has passed, in seconds.
+    /// Adds the message tokens that accrued in `seconds`, the time since the last call.
     pub(crate) fn refill_message_tokens(&mut self, seconds: f64) {
         let Some(gossip) = self.coordination.gossip_mut() else { return };
         let received = gossip.received_per_second(self.clock.now_ms(), QUOTA_RATE_SPAN_S);
