--- a/crates/admission/src/lifecycle/queue_dispatch.rs
+++ b/crates/admission/src/lifecycle/queue_dispatch.rs
@@ -99,7 +99,7 @@
             local_bucket_decides: active.quota().is_local_bucket(),
             quota_tokens: customer.quota_tokens(),
             ceiling_tokens: customer.ceiling_tokens(),
-            slots: (plan.open_limit > 0).then(|| self.slot_use(active, customer)),
+            slots: (plan.concurrency_limit > 0).then(|| self.slot_use(active, customer)),
         }))
     }
 
--- a/crates/admission/src/policy/queue/customer_limits.rs
+++ b/crates/admission/src/policy/queue/customer_limits.rs
@@ -72,8 +72,8 @@
     if input.local_bucket_decides && has_quota && input.quota_tokens < input.units {
         return LimitDecision::OverQuota;
     }
-    let lacks_slot = input.slots.is_some_and(|slots| open_limit_reached(plan.open_limit, &slots));
-    if plan.open_limit > 0 && lacks_slot {
+    let lacks_slot = input.slots.is_some_and(|slots| open_limit_reached(plan.concurrency_limit, &slots));
+    if plan.concurrency_limit > 0 && lacks_slot {
         return LimitDecision::WaitForSlot;
     }
     if plan.ceiling_rate_per_second > 0.0 && input.ceiling_tokens < input.units {
--- a/crates/admission/src/policy/queue/flow_weight.rs
+++ b/crates/admission/src/policy/queue/flow_weight.rs
@@ -10,7 +10,7 @@
     let units_per_second = if plan.rate_per_second > 0.0 {
         plan.rate_per_second
     } else {
-        f64::from(plan.open_limit.max(1)) / (mean_response_ms / 1000.0)
+        f64::from(plan.concurrency_limit.max(1)) / (mean_response_ms / 1000.0)
     };
     units_per_second * plan.plan_weight.max(MIN_WEIGHT)
 }
--- a/crates/admission/src/policy/quota_owner/owner_verdict.rs
+++ b/crates/admission/src/policy/quota_owner/owner_verdict.rs
@@ -29,10 +29,10 @@
     if plan.rate_per_second > 0.0 && owned.quota_tokens < units {
         return if pays_over_quota(plan) { QuotaVerdict::OverQuotaAllowed } else { QuotaVerdict::OverQuota };
     }
-    if plan.open_limit == 0 || has_free_slot(plan, owned.granted_requests) {
+    if plan.concurrency_limit == 0 || has_free_slot(plan, owned.granted_requests) {
         return QuotaVerdict::Granted;
     }
-    if owned.waiting_requests < MAX_WAITING_PER_SLOT * plan.open_limit as usize {
+    if owned.waiting_requests < MAX_WAITING_PER_SLOT * plan.concurrency_limit as usize {
         QuotaVerdict::Queued
     } else {
         QuotaVerdict::OverQuota
@@ -41,7 +41,7 @@
 
 /// Whether a customer has fewer requests granted than slots; never in a plan without slots.
 pub(crate) fn has_free_slot(plan: &PlanSettings, granted_requests: usize) -> bool {
-    granted_requests < plan.open_limit as usize
+    granted_requests < plan.concurrency_limit as usize
 }
 
 /// The verdict to respond with, given the tokens that are left once it is applied: a grant from an ample
@@ -51,7 +51,7 @@
     verdict: QuotaVerdict,
     quota_tokens_left: f64,
 ) -> QuotaVerdict {
-    let counts_units_only = plan.rate_per_second > 0.0 && plan.open_limit == 0;
+    let counts_units_only = plan.rate_per_second > 0.0 && plan.concurrency_limit == 0;
     match verdict {
         QuotaVerdict::Granted if counts_units_only && is_ample(quota_tokens_left, plan.burst_units) => {
             QuotaVerdict::GrantedAmple
--- a/crates/admission/src/settings.rs
+++ b/crates/admission/src/settings.rs
@@ -50,7 +50,7 @@
     /// Units that the bucket holds at most; it starts full.
     pub burst_units: f64,
     /// Attempts that a customer may have in flight over all gateways; 0: no such limit.
-    pub open_limit: u32,
+    pub concurrency_limit: u32,
     /// Factor on the value of a customer's requests.
     pub plan_weight: f64,
     /// Fraction of its value that a request over the quota has.
--- a/crates/admission/src/tests/load_rules/customer_limit_rules.rs
+++ b/crates/admission/src/tests/load_rules/customer_limit_rules.rs
@@ -30,7 +30,7 @@
 
 #[test]
 fn ceiling_is_checked_last() {
-    let plan = PlanSettings { ceiling_rate_per_second: 5.0, open_limit: 1, ..plan() };
+    let plan = PlanSettings { ceiling_rate_per_second: 5.0, concurrency_limit: 1, ..plan() };
     let without_ceiling = PlanSettings { ceiling_rate_per_second: 0.0, ..plan.clone() };
     let short = LimitInput { ceiling_tokens: 0.9, ..input(&plan) };
     assert_eq!(check_customer_limits(&short), LimitDecision::WaitForCeiling);
@@ -54,11 +54,12 @@
         (2, 8, 3, [0, 1, 0], LimitDecision::Admit),
         (0, 8, 3, [9, 9, 9], LimitDecision::Admit),
     ];
-    for (open_limit, gateways, place, [in_flight, peer_in_flight, reporting_peers], expected) in cases {
-        let plan = PlanSettings { open_limit, ..plan() };
+    for (concurrency_limit, gateways, place, [in_flight, peer_in_flight, reporting_peers], expected) in cases
+    {
+        let plan = PlanSettings { concurrency_limit, ..plan() };
         let slots = SlotUse { in_flight, peer_in_flight, reporting_peers, gateways, place };
         let decision = check_customer_limits(&LimitInput { slots: Some(slots), ..input(&plan) });
-        assert_eq!(decision, expected, "limit {open_limit}, {slots:?}");
+        assert_eq!(decision, expected, "limit {concurrency_limit}, {slots:?}");
     }
 }
 
--- a/crates/admission/src/tests/load_rules/dispatch_order_rules.rs
+++ b/crates/admission/src/tests/load_rules/dispatch_order_rules.rs
@@ -62,7 +62,7 @@
         (PlanSettings { plan_weight: 2.0, ..plan() }, 20.0),
         (PlanSettings { plan_weight: 0.0, ..plan() }, 0.1),
         // 3 slots of 200 ms each serve 15 requests a second.
-        (PlanSettings { rate_per_second: 0.0, open_limit: 3, ..plan() }, 15.0),
+        (PlanSettings { rate_per_second: 0.0, concurrency_limit: 3, ..plan() }, 15.0),
         (PlanSettings { rate_per_second: 0.0, ..plan() }, 5.0),
     ];
     for (plan, weight) in cases {
--- a/crates/admission/src/tests/plan_builder.rs
+++ b/crates/admission/src/tests/plan_builder.rs
@@ -6,7 +6,7 @@
     PlanSettings {
         rate_per_second,
         burst_units,
-        open_limit: 0,
+        concurrency_limit: 0,
         plan_weight: 1.0,
         over_quota_value: 0.0,
         over_quota_cost: 1.0,
--- a/crates/admission/src/tests/quota_rules/owner_rules.rs
+++ b/crates/admission/src/tests/quota_rules/owner_rules.rs
@@ -24,7 +24,7 @@
 fn verdict_goes_by_ceiling_then_quota_then_slots() {
     let quota = quota_plan(10.0, 40.0);
     let ceiling = PlanSettings { ceiling_rate_per_second: 5.0, ..paying_plan(10.0, 40.0) };
-    let slots = PlanSettings { open_limit: 3, ..quota_plan(0.0, 0.0) };
+    let slots = PlanSettings { concurrency_limit: 3, ..quota_plan(0.0, 0.0) };
     // Plan, quota tokens, ceiling tokens, granted and waiting requests; a request of 2 units.
     let cases = [
         (&quota, 2.0, 0.0, 9, 9, QuotaVerdict::Granted),
@@ -48,7 +48,7 @@
 #[test]
 fn a_grant_is_ample_above_half_the_burst_of_a_plan_without_slots() {
     let quota = quota_plan(10.0, 40.0);
-    let slots = PlanSettings { open_limit: 3, ..quota_plan(10.0, 40.0) };
+    let slots = PlanSettings { concurrency_limit: 3, ..quota_plan(10.0, 40.0) };
     let cases = [
         (&quota, QuotaVerdict::Granted, 20.1, QuotaVerdict::GrantedAmple),
         (&quota, QuotaVerdict::Granted, 20.0, QuotaVerdict::Granted),
@@ -171,7 +171,7 @@
 
 #[test]
 fn a_plan_without_slots_has_no_free_slot() {
-    let slots = PlanSettings { open_limit: 3, ..quota_plan(0.0, 0.0) };
+    let slots = PlanSettings { concurrency_limit: 3, ..quota_plan(0.0, 0.0) };
     assert_eq!([2, 3].map(|granted| has_free_slot(&slots, granted)), [true, false]);
     assert!(!has_free_slot(&quota_plan(1.0, 1.0), 0));
 }
--- a/crates/admission/tests/it/admission.rs
+++ b/crates/admission/tests/it/admission.rs
@@ -122,7 +122,7 @@
 #[test]
 fn survives_request_fields_out_of_range() {
     let mut settings = broadcast_settings(Idempotency::Idempotent);
-    settings.plans = vec![PlanSettings { open_limit: 2, ..plan(0.0, 0.0) }];
+    settings.plans = vec![PlanSettings { concurrency_limit: 2, ..plan(0.0, 0.0) }];
     let mut gateway = SingleGateway::new(settings, 4);
     let submitted = gateway.submit_with(|r| (r.first_gateway, r.gateway_count) = (GatewayIndex(99), 0));
     assert_eq!(submitted.sends().len(), 1);
--- a/crates/admission/tests/it/open_limit.rs
+++ b/crates/admission/tests/it/concurrency_limit.rs
@@ -8,7 +8,7 @@
 #[test]
 fn queues_the_next_request_until_an_attempt_ends() {
     let mut settings = broadcast_settings(Idempotency::Idempotent);
-    settings.plans = vec![PlanSettings { open_limit: 2, ..plan(0.0, 0.0) }];
+    settings.plans = vec![PlanSettings { concurrency_limit: 2, ..plan(0.0, 0.0) }];
     let mut gateway = SingleGateway::new(settings, 10);
     let sent = [gateway.submit().sends(), gateway.submit().sends(), gateway.submit().sends()];
     assert_eq!(sent.iter().map(Vec::len).collect::<Vec<_>>(), vec![1, 1, 0]);
@@ -24,7 +24,7 @@
     let mut owners = 0;
     for me in 0..8 {
         let mut settings = broadcast_settings(Idempotency::Idempotent);
-        settings.plans = vec![PlanSettings { open_limit: 3, ..plan(0.0, 0.0) }];
+        settings.plans = vec![PlanSettings { concurrency_limit: 3, ..plan(0.0, 0.0) }];
         (settings.this_gateway, settings.gateways) = (GatewayIndex(me), 8);
         let mut gateway = SingleGateway::new(settings.clone(), 10);
         for peer in (0..8).filter(|peer| *peer != me) {
@@ -50,7 +50,7 @@
 /// are in flight, and a slot is used again soon after its attempt has ended.
 #[test]
 fn holds_over_a_gossip_fleet() {
-    let limits = PlanSettings { open_limit: 3, ..plan(0.0, 0.0) };
+    let limits = PlanSettings { concurrency_limit: 3, ..plan(0.0, 0.0) };
     let mut fleet = gossip_fleet(120, limits);
     for step in 0..300 {
         fleet.submit(step * 17 % 120, |_| {});
@@ -70,7 +70,7 @@
 /// does not wrap ends a debug build. The limit of two slots applies to this customer as to others.
 #[test]
 fn holds_for_a_customer_with_the_highest_id() {
-    let limits = PlanSettings { open_limit: 2, ..plan(0.0, 0.0) };
+    let limits = PlanSettings { concurrency_limit: 2, ..plan(0.0, 0.0) };
     let settings = Settings { peer_messages_allowed: false, ..fleet_settings(40, limits) };
     let mut gateway = SingleGateway::new(settings, 10);
     gateway.customer = (1 << 33) - 1;
--- a/crates/settings/src/document.rs
+++ b/crates/settings/src/document.rs
@@ -80,7 +80,7 @@
     pub(crate) burst_units: f64,
     /// Attempts that a customer may have in flight; 0: no limit.
     #[serde(rename = "open")]
-    pub(crate) open_limit: u32,
+    pub(crate) concurrency_limit: u32,
     /// Factor on the value of a customer's requests.
     #[serde(rename = "valueFactor")]
     pub(crate) plan_weight: f64,
--- a/crates/settings/src/translate.rs
+++ b/crates/settings/src/translate.rs
@@ -104,7 +104,7 @@
         PlanSettings {
             rate_per_second: self.rate_per_second,
             burst_units: self.burst_units,
-            open_limit: self.open_limit,
+            concurrency_limit: self.concurrency_limit,
             plan_weight: self.plan_weight,
             over_quota_value: self.over_quota_value,
             over_quota_cost: self.over_quota_cost,
--- a/crates/settings/tests/settings_document.rs
+++ b/crates/settings/tests/settings_document.rs
@@ -56,7 +56,7 @@
     let by_key = Idempotency::IdempotencyKey { group: DedupGroup::Cell, window_ms: 5000.0 };
     assert_eq!(order.idempotency, by_key);
     let plan = &settings.plans[0];
-    assert_eq!((plan.rate_per_second, plan.burst_units, plan.open_limit), (1.0, 4.0, 7));
+    assert_eq!((plan.rate_per_second, plan.burst_units, plan.concurrency_limit), (1.0, 4.0, 7));
     assert_eq!((plan.plan_weight, plan.over_quota_value, plan.over_quota_cost), (1.25, 0.125, 0.75));
     assert_eq!((plan.ceiling_rate_per_second, plan.ceiling_burst_units), (11.0, 12.0));
     assert_eq!(settings.check(), Ok(()));
