--- a/crates/admission/src/lifecycle/attempts.rs
+++ b/crates/admission/src/lifecycle/attempts.rs
@@ -56,7 +56,7 @@
             quota: active.quota(),
             is_first: active.attempt_count() == 1,
             has_rate: plan.rate_per_second > 0.0,
-            has_open_limit: plan.concurrency_limit > 0,
+            has_concurrency_limit: plan.concurrency_limit > 0,
         });
         if usage.takes_slot {
             customer.start_attempt();
@@ -107,7 +107,7 @@
         let usage = usage_at_attempt_end(&AttemptEndInput {
             quota: active.quota(),
             has_rate: plan.rate_per_second > 0.0,
-            has_open_limit: plan.concurrency_limit > 0,
+            has_concurrency_limit: plan.concurrency_limit > 0,
             estimated_units: active.request.units,
             true_units: end.true_units,
             max_units: self.settings.max_units,
--- a/crates/admission/src/lifecycle/requests.rs
+++ b/crates/admission/src/lifecycle/requests.rs
@@ -79,7 +79,7 @@
             is_unsent: active.is_unsent(),
             units: active.request.units,
             settled_units: active.settled_units(),
-            has_open_limit: self.settings.plan(active.request.plan).concurrency_limit > 0,
+            has_concurrency_limit: self.settings.plan(active.request.plan).concurrency_limit > 0,
         };
         match settlement_at_end(&ended) {
             QuotaSettlement::Nothing => {}
--- a/crates/admission/src/policy/customer_usage/attempt_end_usage.rs
+++ b/crates/admission/src/policy/customer_usage/attempt_end_usage.rs
@@ -9,7 +9,7 @@
     /// Its plan has a rate, so that the customer has a token bucket.
     pub has_rate: bool,
     /// Its plan limits the attempts in flight.
-    pub has_open_limit: bool,
+    pub has_concurrency_limit: bool,
     /// Units that the request was estimated at.
     pub estimated_units: f64,
     /// Units that the response gives, if it does.
@@ -61,6 +61,6 @@
     AttemptEndUsage {
         frees_slot: input.quota.holds_slot_here(),
         charge,
-        is_reported: is_local_bucket && (excess_units != 0.0 || input.has_open_limit),
+        is_reported: is_local_bucket && (excess_units != 0.0 || input.has_concurrency_limit),
     }
 }
--- a/crates/admission/src/policy/customer_usage/attempt_start_usage.rs
+++ b/crates/admission/src/policy/customer_usage/attempt_start_usage.rs
@@ -11,7 +11,7 @@
     /// Its plan has a rate, so that the customer has a token bucket.
     pub has_rate: bool,
     /// Its plan limits the attempts in flight.
-    pub has_open_limit: bool,
+    pub has_concurrency_limit: bool,
 }
 
 /// What an attempt takes when it starts.
@@ -38,6 +38,6 @@
         takes_slot: true,
         consumes_ceiling: input.is_first,
         consumes_quota: is_first_within_quota && input.has_rate && input.quota.is_local_bucket(),
-        is_reported: input.has_open_limit || is_first_within_quota,
+        is_reported: input.has_concurrency_limit || is_first_within_quota,
     }
 }
--- a/crates/admission/src/policy/request_end/quota_settlement.rs
+++ b/crates/admission/src/policy/request_end/quota_settlement.rs
@@ -15,7 +15,7 @@
     /// Units by which its attempts passed these.
     pub(crate) settled_units: f64,
     /// Whether its plan has an open limit, so that the quota's owner counts it as in flight.
-    pub(crate) has_open_limit: bool,
+    pub(crate) has_concurrency_limit: bool,
 }
 
 /// What is sent about a request that has ended.
@@ -43,7 +43,7 @@
         }
         QuotaState::GrantedByOwner { owner, number, ample } => {
             let units_matter = ended.settled_units != 0.0 && !ample;
-            if ended.has_open_limit || units_matter {
+            if ended.has_concurrency_limit || units_matter {
                 QuotaSettlement::Release { owner, number, additional_units: ended.settled_units }
             } else {
                 QuotaSettlement::Nothing
--- a/crates/admission/src/tests/load_rules/request_end_rules.rs
+++ b/crates/admission/src/tests/load_rules/request_end_rules.rs
@@ -30,7 +30,7 @@
         is_unsent: false,
         units: 2.0,
         settled_units: 0.0,
-        has_open_limit: false,
+        has_concurrency_limit: false,
     };
     let ended = |quota| EndedRequest { quota, ..granted(false) };
     let cases = [
@@ -38,7 +38,7 @@
         (EndedRequest { is_unsent: true, ..granted(true) }, release(-2.0)),
         (EndedRequest { settled_units: 0.5, ..granted(false) }, release(0.5)),
         (EndedRequest { settled_units: 0.5, ..granted(true) }, QuotaSettlement::Nothing),
-        (EndedRequest { has_open_limit: true, ..granted(true) }, release(0.0)),
+        (EndedRequest { has_concurrency_limit: true, ..granted(true) }, release(0.0)),
         (
             ended(QuotaState::QueuedAtOwner { owner, number }),
             QuotaSettlement::Withdraw { owner, number, additional_units: -2.0 },
