--- a/crates/admission/src/settings.rs
+++ b/crates/admission/src/settings.rs
@@ -218,7 +218,7 @@
     if in_range {
         Ok(())
     } else {
-        Err(SettingsError::BadFigure(name))
+        Err(SettingsError::OutOfRange(name))
     }
 }
 
@@ -236,5 +236,5 @@
     NotAmongGateways,
     /// The named figure is negative, not finite, or zero where it must not be.
     #[error("settings hold a figure out of range: {0}")]
-    BadFigure(&'static str),
+    OutOfRange(&'static str),
 }
--- a/crates/admission/tests/it/settings_validation.rs
+++ b/crates/admission/tests/it/settings_validation.rs
@@ -15,9 +15,9 @@
     assert_eq!(error_of(|s| s.classes.clear()), Some(SettingsError::NoClasses));
     assert_eq!(error_of(|s| s.plans.clear()), Some(SettingsError::NoPlans));
     assert_eq!(error_of(|s| s.this_gateway = GatewayIndex(2)), Some(SettingsError::NotAmongGateways));
-    assert_eq!(error_of(|s| s.tick_ms = f64::NAN), Some(SettingsError::BadFigure("tick_ms")));
+    assert_eq!(error_of(|s| s.tick_ms = f64::NAN), Some(SettingsError::OutOfRange("tick_ms")));
     assert_eq!(
         error_of(|s| s.plans[0].rate_per_second = -1.0),
-        Some(SettingsError::BadFigure("rate_per_second"))
+        Some(SettingsError::OutOfRange("rate_per_second"))
     );
 }
