--- a/crates/admission/src/lifecycle/endpoints.rs
+++ b/crates/admission/src/lifecycle/endpoints.rs
@@ -5,7 +5,7 @@
 use crate::policy::outlier::{
     ejection_jitter, health_evidence, HealthEvidence, HealthVerdict, EJECTION, ERROR_GAIN,
 };
-use crate::state::{AttemptRef, EndpointHealth, FleetMode};
+use crate::state::{AttemptId, EndpointHealth, FleetMode};
 
 impl Gateway {
     /// Records how an attempt ended in its endpoint's response time and health, and ejects the endpoint if
@@ -21,7 +21,7 @@
         let now_ms = self.clock.now_ms();
         let jitter = ejection_jitter(self.random.next_fraction());
         let Some(endpoint) = self.endpoints.get_mut(end.endpoint) else { return };
-        endpoint.remove_in_flight(AttemptRef { request: end.request, attempt: end.attempt });
+        endpoint.remove_in_flight(AttemptId { request: end.request, attempt: end.attempt });
         record_health(&mut endpoint.health, health_evidence(end.outcome), now_ms);
         let Some(endpoint) = self.endpoints.get(end.endpoint) else { return };
         let verdict = self.health_verdict(endpoint, end, class);
--- a/crates/admission/src/lifecycle/retries.rs
+++ b/crates/admission/src/lifecycle/retries.rs
@@ -7,7 +7,7 @@
     PendingAttemptInput, RetryDecision, RetryInput, RetryScope, RetryScopeInput, StalledAction,
     StalledActionInput,
 };
-use crate::state::{ActiveRequest, AttemptRef, EjectionScope, FleetMode, PendingAttempt};
+use crate::state::{ActiveRequest, AttemptId, EjectionScope, FleetMode, PendingAttempt};
 
 impl Gateway {
     /// The endpoints at which a request may have another attempt, by what its class and earlier attempts
@@ -64,8 +64,8 @@
     }
 
     /// Does what the rule says about a stalled attempt.
-    fn act_on_stalled_attempt(&mut self, stalled: AttemptRef, actions: &mut Vec<Action>) {
-        let AttemptRef { request, attempt } = stalled;
+    fn act_on_stalled_attempt(&mut self, stalled: AttemptId, actions: &mut Vec<Action>) {
+        let AttemptId { request, attempt } = stalled;
         let Some(active) = self.requests.get(request) else { return };
         let action = retry::stalled_action(&StalledActionInput {
             is_closed: active.is_closed(),
@@ -88,14 +88,14 @@
 
     /// Broadcast mode: own attempts at outliers. There each endpoint gets enough attempts to be judged by
     /// them.
-    fn attempts_at_outliers(&self) -> Vec<AttemptRef> {
+    fn attempts_at_outliers(&self) -> Vec<AttemptId> {
         let outliers = self.endpoints.iter().filter(|endpoint| self.is_outlier(endpoint));
         let in_flight = outliers.flat_map(|endpoint| endpoint.in_flight());
         in_flight.map(|attempt| attempt.reference).collect()
     }
 
     /// Large fleets: own attempts that are stalled.
-    fn stalled_attempts(&self) -> Vec<AttemptRef> {
+    fn stalled_attempts(&self) -> Vec<AttemptId> {
         let pending = self.requests.pending_attempts();
         pending.filter(|attempt| self.is_stalled(attempt)).map(|attempt| attempt.reference).collect()
     }
--- a/crates/admission/src/state/endpoint/endpoint_record.rs
+++ b/crates/admission/src/state/endpoint/endpoint_record.rs
@@ -2,7 +2,7 @@
 use crate::event::{EndpointEntry, EndpointState};
 use crate::id::{EndpointId, MachineKindIndex, ZoneIndex};
 use crate::mechanism::decaying_rate::DecayingRate;
-use crate::state::{AttemptRef, EndpointHealth, ObservedHealth, RelativeResponseTime, WarmUpTokens};
+use crate::state::{AttemptId, EndpointHealth, ObservedHealth, RelativeResponseTime, WarmUpTokens};
 
 /// One of this gateway's own attempts at an endpoint that has not ended.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -10,7 +10,7 @@
     /// When it was sent, in ms.
     pub(crate) sent_ms: f64,
     /// Its name.
-    pub(crate) reference: AttemptRef,
+    pub(crate) reference: AttemptId,
 }
 
 /// How an endpoint's figures are smoothed.
@@ -124,7 +124,7 @@
     }
 
     /// Removes an ended attempt from those in flight.
-    pub(crate) fn remove_in_flight(&mut self, ended: AttemptRef) {
+    pub(crate) fn remove_in_flight(&mut self, ended: AttemptId) {
         self.in_flight.retain(|attempt| attempt.reference != ended);
     }
 
--- a/crates/admission/src/state/mod.rs
+++ b/crates/admission/src/state/mod.rs
@@ -20,4 +20,4 @@
     CustomerTable, Grant, LocalBucketCheck, PeerCount, QuotaDecision, QuotaExpectation, QuotaGrants,
     QuotaRequests, QuotaRoute, QuotaState, ReportedConsumption,
 };
-pub(crate) use request::{ActiveRequest, Attempt, AttemptRef, PendingAttempt, RequestTable, RetryBudget};
+pub(crate) use request::{ActiveRequest, Attempt, AttemptId, PendingAttempt, RequestTable, RetryBudget};
--- a/crates/admission/src/state/request/active_request.rs
+++ b/crates/admission/src/state/request/active_request.rs
@@ -1,7 +1,7 @@
 //! Active requests: received, and not yet answered with all attempts ended.
 use crate::event::Request;
 use crate::id::{CustomerTag, EndpointId, RequestId};
-use crate::state::{Attempt, AttemptRef, Endpoint, PendingAttempt, QuotaState};
+use crate::state::{Attempt, AttemptId, Endpoint, PendingAttempt, QuotaState};
 use std::collections::BTreeMap;
 
 /// A request from its receipt until it has its final response and all its attempts have ended.
@@ -79,10 +79,10 @@
     }
 
     /// Records an attempt that is sent to an endpoint now, and returns its reference.
-    pub(crate) fn start_attempt(&mut self, endpoint: &Endpoint, now_ms: f64) -> AttemptRef {
+    pub(crate) fn start_attempt(&mut self, endpoint: &Endpoint, now_ms: f64) -> AttemptId {
         let attempt = self.attempts.len() as u32;
         self.attempts.push(Attempt::new(endpoint, now_ms));
-        AttemptRef { request: self.request.id, attempt }
+        AttemptId { request: self.request.id, attempt }
     }
 
     /// Whether an attempt was sent to an endpoint before.
@@ -175,7 +175,7 @@
     pub(crate) fn pending_attempts(&self) -> impl Iterator<Item = PendingAttempt> + '_ {
         self.iter().flat_map(|active| {
             active.pending_attempts().map(|(number, attempt)| PendingAttempt {
-                reference: AttemptRef { request: active.request.id, attempt: number },
+                reference: AttemptId { request: active.request.id, attempt: number },
                 class: active.request.class,
                 endpoint: attempt.endpoint,
                 sent_ms: attempt.sent_ms,
--- a/crates/admission/src/state/request/attempt_record.rs
+++ b/crates/admission/src/state/request/attempt_record.rs
@@ -67,7 +67,7 @@
 
 /// Names an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct AttemptRef {
+pub(crate) struct AttemptId {
     /// The request.
     pub(crate) request: RequestId,
     /// The attempt's number among those of its request, from 0.
@@ -78,7 +78,7 @@
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct PendingAttempt {
     /// Its name.
-    pub(crate) reference: AttemptRef,
+    pub(crate) reference: AttemptId,
     /// Its request's class, an index into the settings.
     pub(crate) class: ClassIndex,
     /// Where it was sent.
