--- a/crates/admission/src/lifecycle/attempts.rs
+++ b/crates/admission/src/lifecycle/attempts.rs
@@ -42,8 +42,8 @@
             let tokens = available_warm_up_tokens(endpoint, budget, now_ms) - TOKENS_PER_ATTEMPT;
             endpoint.warm_up_tokens.update(tokens, now_ms);
         }
-        let reference = active.start_attempt(endpoint, now_ms);
-        endpoint.record_sent(InFlightAttempt { sent_ms: now_ms, reference });
+        let attempt_id = active.start_attempt(endpoint, now_ms);
+        endpoint.record_sent(InFlightAttempt { sent_ms: now_ms, attempt_id });
     }
 
     /// Counts a new attempt to its customer, unless another gateway owns the quota.
--- a/crates/admission/src/lifecycle/retries.rs
+++ b/crates/admission/src/lifecycle/retries.rs
@@ -91,13 +91,13 @@
     fn attempts_at_outliers(&self) -> Vec<AttemptId> {
         let outliers = self.endpoints.iter().filter(|endpoint| self.is_outlier(endpoint));
         let in_flight = outliers.flat_map(|endpoint| endpoint.in_flight());
-        in_flight.map(|attempt| attempt.reference).collect()
+        in_flight.map(|attempt| attempt.attempt_id).collect()
     }
 
     /// Large fleets: own attempts that are stalled.
     fn stalled_attempts(&self) -> Vec<AttemptId> {
         let pending = self.requests.pending_attempts();
-        pending.filter(|attempt| self.is_stalled(attempt)).map(|attempt| attempt.reference).collect()
+        pending.filter(|attempt| self.is_stalled(attempt)).map(|attempt| attempt.attempt_id).collect()
     }
 
     /// Large fleets: whether an attempt is stalled; one at an endpoint no longer known is not.
--- a/crates/admission/src/state/endpoint/endpoint_record.rs
+++ b/crates/admission/src/state/endpoint/endpoint_record.rs
@@ -10,7 +10,7 @@
     /// When it was sent, in ms.
     pub(crate) sent_ms: f64,
     /// Its name.
-    pub(crate) reference: AttemptId,
+    pub(crate) attempt_id: AttemptId,
 }
 
 /// How an endpoint's figures are smoothed.
@@ -125,7 +125,7 @@
 
     /// Removes an ended attempt from those in flight.
     pub(crate) fn remove_in_flight(&mut self, ended: AttemptId) {
-        self.in_flight.retain(|attempt| attempt.reference != ended);
+        self.in_flight.retain(|attempt| attempt.attempt_id != ended);
     }
 
     /// Own attempts that have not ended.
--- a/crates/admission/src/state/request/active_request.rs
+++ b/crates/admission/src/state/request/active_request.rs
@@ -78,7 +78,7 @@
         self.attempts.is_empty()
     }
 
-    /// Records an attempt that is sent to an endpoint now, and returns its reference.
+    /// Records an attempt that is sent to an endpoint now, and returns its attempt_id.
     pub(crate) fn start_attempt(&mut self, endpoint: &Endpoint, now_ms: f64) -> AttemptId {
         let attempt = self.attempts.len() as u32;
         self.attempts.push(Attempt::new(endpoint, now_ms));
@@ -175,7 +175,7 @@
     pub(crate) fn pending_attempts(&self) -> impl Iterator<Item = PendingAttempt> + '_ {
         self.iter().flat_map(|active| {
             active.pending_attempts().map(|(number, attempt)| PendingAttempt {
-                reference: AttemptId { request: active.request.id, attempt: number },
+                attempt_id: AttemptId { request: active.request.id, attempt: number },
                 class: active.request.class,
                 endpoint: attempt.endpoint,
                 sent_ms: attempt.sent_ms,
--- a/crates/admission/src/state/request/attempt_record.rs
+++ b/crates/admission/src/state/request/attempt_record.rs
@@ -78,7 +78,7 @@
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct PendingAttempt {
     /// Its name.
-    pub(crate) reference: AttemptId,
+    pub(crate) attempt_id: AttemptId,
     /// Its request's class, an index into the settings.
     pub(crate) class: ClassIndex,
     /// Where it was sent.
