--- a/crates/admission/src/mechanism/backoff.rs
+++ b/crates/admission/src/mechanism/backoff.rs
@@ -62,7 +62,7 @@
     }
 
     /// Takes one failure off the count; the present delay stays as it is.
-    pub(crate) fn forgive_failure(&mut self) {
+    pub(crate) fn decrement_failures(&mut self) {
         self.failures = self.failures.saturating_sub(1);
     }
 }
--- a/crates/admission/src/state/endpoint/observed_health.rs
+++ b/crates/admission/src/state/endpoint/observed_health.rs
@@ -92,7 +92,7 @@
     pub(crate) fn relax_ejections(&mut self, class: ClassIndex, plan: PlanIndex) {
         self.scoped_ejections.remove(&EjectionScope::Class(class));
         if let Some(ejection) = self.scoped_ejections.get_mut(&EjectionScope::Plan(plan)) {
-            ejection.forgive_failure();
+            ejection.decrement_failures();
         }
     }
 }
