--- a/crates/admission/src/mechanism/common_value.rs
+++ b/crates/admission/src/mechanism/common_value.rs
@@ -7,7 +7,7 @@
     /// Largest distance of a value that counts as equal, as a fraction of the commonest value.
     pub tolerance: f64,
     /// Votes that an equal value adds; any other removes one.
-    pub votes_for: i32,
+    pub votes_per_match: i32,
     /// Limit of the votes, so that a changed value is noticed in time.
     pub max_votes: i32,
 }
@@ -24,7 +24,7 @@
     /// is replaced by the one being counted.
     pub(crate) fn record(&mut self, value: f64, limits: VoteLimits) -> bool {
         if (value - self.value).abs() <= limits.tolerance * self.value {
-            self.votes = (self.votes + limits.votes_for).min(limits.max_votes);
+            self.votes = (self.votes + limits.votes_per_match).min(limits.max_votes);
             return true;
         }
         self.votes -= 1;
--- a/crates/admission/src/policy/admission/elapsed_wait.rs
+++ b/crates/admission/src/policy/admission/elapsed_wait.rs
@@ -7,7 +7,8 @@
 use crate::mechanism::common_value::VoteLimits;
 
 /// How the vote on the commonest time budget of a class is counted.
-pub(crate) const TIME_BUDGET_VOTE: VoteLimits = VoteLimits { tolerance: 0.02, votes_for: 4, max_votes: 30 };
+pub(crate) const TIME_BUDGET_VOTE: VoteLimits =
+    VoteLimits { tolerance: 0.02, votes_per_match: 4, max_votes: 30 };
 
 /// Votes from which the commonest time budget is taken for that of clients' first requests.
 const MIN_TIME_BUDGET_VOTES: i32 = 10;
