--- a/crates/admission/src/event.rs
+++ b/crates/admission/src/event.rs
@@ -145,7 +145,7 @@
     /// An attempt ended.
     AttemptEnded(AttemptEnd),
     /// The client closed its connection.
-    ClientGone {
+    ClientDisconnected {
         /// Its request.
         request: RequestId,
     },
--- a/crates/admission/src/event_handling.rs
+++ b/crates/admission/src/event_handling.rs
@@ -32,7 +32,7 @@
             Event::Request(request) => self.on_request(request, actions),
             Event::Timer { .. } => self.on_timer(actions),
             Event::AttemptEnded(end) => self.on_attempt_end(&end, actions),
-            Event::ClientGone { request } => self.close(request, actions),
+            Event::ClientDisconnected { request } => self.close(request, actions),
             Event::PeerMessage { from, body } => self.on_peer_message(from, &body, actions),
             Event::CounterReply { name, outcome } => self.on_counter_reply(name, outcome, actions),
         }
--- a/crates/admission/tests/it/quota_counter.rs
+++ b/crates/admission/tests/it/quota_counter.rs
@@ -54,7 +54,7 @@
         let request = fleet.submit(me, |r| r.units = 2.0);
         if me % 4 > 0 {
             // Its client disconnects before the counter has replied.
-            fleet.event(me, Event::ClientGone { request });
+            fleet.event(me, Event::ClientDisconnected { request });
         }
         fleet.advance(1000.0);
     }
--- a/crates/admission/tests/it/retry.rs
+++ b/crates/admission/tests/it/retry.rs
@@ -9,7 +9,7 @@
     let mut gateway = SingleGateway::new(broadcast_settings(Idempotency::Idempotent), 3);
     let submitted = gateway.submit();
     let sent = submitted.sends()[0];
-    gateway.event(Event::ClientGone { request: submitted.id });
+    gateway.event(Event::ClientDisconnected { request: submitted.id });
     gateway.now_ms += 10.0;
     let after = gateway.end_attempt(sent, 0, Outcome::ConnectFailed, 10.0);
     assert!(sends(&after).is_empty());
--- a/crates/gateway/src/dispatcher/mod.rs
+++ b/crates/gateway/src/dispatcher/mod.rs
@@ -118,7 +118,7 @@
     pub(crate) fn on_client_gone(self: &Rc<Self>, request: RequestId) {
         let responder = self.state.borrow_mut().calls.get_mut(&request).and_then(ActiveCall::take_responder);
         if responder.is_some() {
-            self.on_event(Event::ClientGone { request });
+            self.on_event(Event::ClientDisconnected { request });
             self.forget_if_over(request);
         }
     }
@@ -150,7 +150,7 @@
             (responder, call.was_attempted())
         };
         responder.respond(response_without_result(was_attempted));
-        self.on_event(Event::ClientGone { request });
+        self.on_event(Event::ClientDisconnected { request });
         self.forget_if_over(request);
     }
 
--- a/crates/simulator-adapter/src/wire/event.rs
+++ b/crates/simulator-adapter/src/wire/event.rs
@@ -35,7 +35,9 @@
             EventMessage::PeerMessage(message) => {
                 Event::PeerMessage { from: GatewayIndex(message.from), body: message.body }
             }
-            EventMessage::ClientGone(client) => Event::ClientGone { request: RequestId(client.request.0) },
+            EventMessage::ClientDisconnected(client) => {
+                Event::ClientDisconnected { request: RequestId(client.request.0) }
+            }
             EventMessage::AttemptEnded(attempt) => Event::AttemptEnded(attempt.into_attempt_end()),
             // No decision depends on them, but as after every event the library sends queued requests that
             // may go.
--- a/crates/simulator-adapter/src/wire/input.rs
+++ b/crates/simulator-adapter/src/wire/input.rs
@@ -61,7 +61,7 @@
     /// Ignored except for its time: the library requests no health checks.
     HealthCheckDone,
     PeerMessage(PeerMessage),
-    ClientGone(ClientGoneMessage),
+    ClientDisconnected(ClientGoneMessage),
     AttemptEnded(AttemptEndedMessage),
     /// Ignored except for its time: no decision depends on the beginning of a response.
     StreamOpened,
@@ -87,7 +87,7 @@
     #[serde(rename = "NoteFrom")]
     PeerMessage(PeerMessage),
     #[serde(rename = "Hangup")]
-    ClientGone(ClientGoneMessage),
+    ClientDisconnected(ClientGoneMessage),
     #[serde(rename = "Result")]
     AttemptEnded(AttemptEndedMessage),
     #[serde(rename = "Opened")]
@@ -105,7 +105,7 @@
             TaggedMessage::CounterReply(reply) => EventMessage::CounterReply(reply),
             TaggedMessage::HealthCheckDone(_) => EventMessage::HealthCheckDone,
             TaggedMessage::PeerMessage(message) => EventMessage::PeerMessage(message),
-            TaggedMessage::ClientGone(client) => EventMessage::ClientGone(client),
+            TaggedMessage::ClientDisconnected(client) => EventMessage::ClientDisconnected(client),
             TaggedMessage::AttemptEnded(attempt) => EventMessage::AttemptEnded(attempt),
             TaggedMessage::StreamOpened(_) => EventMessage::StreamOpened,
         })
--- a/crates/simulator-adapter/src/wire/tests/events.rs
+++ b/crates/simulator-adapter/src/wire/tests/events.rs
@@ -154,7 +154,7 @@
     assert_eq!(translate(json!({"msg": "Bell", "name": 77})), Ok(Event::Timer { token: 77 }));
     assert_eq!(
         translate(json!({"msg": "Hangup", "job": "0000000000000abc"})),
-        Ok(Event::ClientGone { request: REQUEST })
+        Ok(Event::ClientDisconnected { request: REQUEST })
     );
     assert_eq!(
         translate(json!({"msg": "NoteFrom", "neighbour": 3, "data": "hi 7"})),
