--- a/crates/admission/src/mechanism/common_value.rs
+++ b/crates/admission/src/mechanism/common_value.rs
@@ -1,18 +1,19 @@
-//! The commonest of a stream of values, by majority vote: a value equal to the candidate adds votes for it,
-//! another one removes a vote, and a candidate without votes is replaced.
+//! Finds the most common value of a stream by majority vote. A value equal to the candidate adds votes for
+//! it, any other value removes one, and a candidate that has no votes left is replaced.
 
-/// How a vote on the commonest value is counted.
+/// The parameters of a vote on the most common value.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct VoteLimits {
-    /// Largest distance of a value that counts as equal, as a fraction of the commonest value.
+    /// Largest difference from the candidate at which a value counts as equal, as a fraction of the
+    /// candidate.
     pub tolerance: f64,
-    /// Votes that an equal value adds; any other removes one.
+    /// Votes that an equal value adds; any other value removes one.
     pub votes_per_match: i32,
-    /// Limit of the votes, so that a changed value is noticed in time.
+    /// Maximum number of votes, so that a change of the most common value is noticed in time.
     pub max_votes: i32,
 }
 
-/// The value that was recorded most often recently, and the votes for it.
+/// The value that was recorded most often recently, which is the candidate of the vote, and its votes.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct CommonValue {
     value: f64,
@@ -20,8 +21,8 @@
 }
 
 impl CommonValue {
-    /// Counts a value. `true` where it equals the commonest one. When its votes run out, the commonest value
-    /// is replaced by the one being counted.
+    /// Counts a value and returns whether it equals the candidate. A value that leaves the candidate without
+    /// votes becomes the candidate.
     pub(crate) fn record(&mut self, value: f64, limits: VoteLimits) -> bool {
         if (value - self.value).abs() <= limits.tolerance * self.value {
             self.votes = (self.votes + limits.votes_per_match).min(limits.max_votes);
@@ -35,7 +36,8 @@
         false
     }
 
-    /// Votes for the commonest value: the more there are, the more certain it is.
+    /// Returns the votes for the candidate. The more there are, the more certain it is that the candidate is
+    /// the most common value.
     pub(crate) fn votes(&self) -> i32 {
         self.votes
     }
--- a/crates/admission/src/mechanism/mod.rs
+++ b/crates/admission/src/mechanism/mod.rs
@@ -1,4 +1,4 @@
-//! Known structures with no figure of their own.
+//! Well-known algorithms and data structures, whose parameters all come from the caller.
 pub(crate) mod backoff;
 pub(crate) mod common_value;
 pub(crate) mod decaying_rate;
--- a/crates/admission/src/mechanism/virtual_finish_queue.rs
+++ b/crates/admission/src/mechanism/virtual_finish_queue.rs
@@ -1,8 +1,9 @@
 //! A weighted fair queue: one flow per customer, ordered by virtual finish time.
 //!
-//! Each queued request gets a virtual finish time: its size over its flow's weight, after the later of the
-//! flow's last finish and the queue's virtual time. The caller selects one of the heads of all flows and
-//! releases it, which moves the virtual time to that request's finish.
+//! The virtual finish time of a request is its size divided by its flow's weight, added to the later of two
+//! times: the virtual finish time of the request enqueued before it in the flow, and the queue's virtual
+//! time. The caller selects one of the heads of all flows and releases it, which sets the queue's virtual
+//! time to that request's virtual finish time.
 use crate::id::{CustomerTag, RequestId};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -11,7 +12,7 @@
 struct QueuedRequest {
     id: RequestId,
     virtual_finish: f64,
-    /// Its size, as given when it was enqueued.
+    /// The size with which the request was enqueued.
     size: f64,
 }
 
@@ -19,8 +20,9 @@
 #[derive(Debug, Default)]
 struct Flow {
     requests: VecDeque<QueuedRequest>,
+    /// Virtual finish time of the request that was enqueued last.
     last_finish: f64,
-    /// Sum of the sizes of its requests.
+    /// Sum of the sizes of the queued requests.
     size: f64,
 }
 
@@ -31,12 +33,12 @@
     pub(crate) tag: CustomerTag,
     /// The request.
     pub(crate) id: RequestId,
-    /// Its virtual finish time: the smallest is released first.
+    /// The request's virtual finish time. The head with the smallest one is released first.
     pub(crate) virtual_finish: f64,
 }
 
 impl FlowHead {
-    /// Whether it is released before another head.
+    /// Returns whether this head is released before another one.
     pub(crate) fn precedes(&self, other: &FlowHead) -> bool {
         self.virtual_finish < other.virtual_finish
     }
@@ -46,23 +48,25 @@
 #[derive(Debug, Default)]
 pub(crate) struct VirtualFinishQueue {
     flows: BTreeMap<CustomerTag, Flow>,
+    /// Number of queued requests of all flows.
     len: usize,
+    /// Virtual finish time of the request that was released last.
     virtual_time: f64,
 }
 
 impl VirtualFinishQueue {
-    /// The number of queued requests.
+    /// Returns the number of queued requests.
     pub(crate) fn len(&self) -> usize {
         self.len
     }
 
-    /// The sum of the sizes of a customer's queued requests.
+    /// Returns the sum of the sizes of a customer's queued requests.
     pub(crate) fn queued_size(&self, tag: CustomerTag) -> f64 {
         self.flows.get(&tag).map_or(0.0, |flow| flow.size)
     }
 
-    /// Adds a request to the end of its customer's flow. With twice the `weight`, a
-    /// flow releases twice the size in the same virtual time.
+    /// Adds a request to the end of its customer's flow. A flow of twice the `weight` releases twice the size
+    /// in the same virtual time.
     pub(crate) fn enqueue(&mut self, tag: CustomerTag, id: RequestId, size: f64, weight: f64) {
         let flow = self.flows.entry(tag).or_default();
         let virtual_finish = self.virtual_time.max(flow.last_finish) + size / weight;
@@ -72,7 +76,7 @@
         self.len += 1;
     }
 
-    /// The oldest request of each flow, ordered by customer tag.
+    /// Returns the oldest request of each flow, ordered by customer tag.
     pub(crate) fn heads(&self) -> Vec<FlowHead> {
         let head = |(tag, flow): (&CustomerTag, &Flow)| {
             let first = flow.requests.front()?;
@@ -81,8 +85,8 @@
         self.flows.iter().filter_map(head).collect()
     }
 
-    /// Removes a request, wherever it stands in its flow. A flow without requests is forgotten, and its
-    /// last finish with it.
+    /// Removes a request from any position of its flow. A flow without requests is removed, and its last
+    /// virtual finish time is forgotten.
     pub(crate) fn remove(&mut self, tag: CustomerTag, id: RequestId) {
         let Some(flow) = self.flows.get_mut(&tag) else { return };
         let position = flow.requests.iter().position(|queued| queued.id == id);
@@ -95,7 +99,7 @@
         }
     }
 
-    /// Removes a head that is to be sent, and moves the virtual time to its finish.
+    /// Removes a head that is to be sent, and sets the virtual time to its virtual finish time.
     pub(crate) fn release(&mut self, head: FlowHead) {
         self.virtual_time = head.virtual_finish;
         self.remove(head.tag, head.id);
--- a/crates/admission/src/mechanism/weighted_choice.rs
+++ b/crates/admission/src/mechanism/weighted_choice.rs
@@ -1,8 +1,8 @@
-//! Choice by weights.
+//! Weighted random choice.
 
-/// Index of the item that `draw`, from 0 to 1, falls on when each item covers a range in proportion to its
-/// weight. A draw beyond all ranges, which rounding can bring, falls on the last item. `None` where there is
-/// no item.
+/// Returns the index of the item that `draw`, from 0 to 1, falls on if each item covers a range in proportion
+/// to its weight; `None` if there are no items. A draw beyond all ranges, which rounding can cause, falls on
+/// the last item.
 pub(crate) fn weighted_choice(draw: f64, weights: &[f64]) -> Option<usize> {
     let mut remaining = draw * weights.iter().sum::<f64>();
     let chosen = weights.iter().position(|weight| {
@@ -12,8 +12,9 @@
     chosen.or(weights.len().checked_sub(1))
 }
 
-/// Weights in inverse proportion to cost. The items of the first group get the fraction `first_fraction` of
-/// the sum, those of the second group the rest. Where one group has no item, the other gets all.
+/// Returns weights in inverse proportion to cost. The items of the first group get the fraction
+/// `first_fraction` of the sum of weights, and those of the second group the rest. If one group has no items,
+/// the other gets the whole sum.
 pub(crate) fn inverse_cost_weights<T>(
     items: &[T],
     cost: impl Fn(&T) -> f64,
