--- a/crates/admission/src/action.rs
+++ b/crates/admission/src/action.rs
@@ -1,59 +1,60 @@
-//! Actions that a gateway has its host program carry out.
+//! The actions that a gateway asks its host program to carry out.
 use crate::id::{EndpointId, GatewayIndex, RequestId};
 
-/// What a gateway has its host program do, in the order given.
+/// An action for the host program, which carries out actions in the order in which it gets them.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Start an attempt; a request's attempts are numbered from 0 in this order.
+    /// Send a request's next attempt. The attempts of a request are numbered from 0 in the order of these
+    /// actions.
     Send {
-        /// The request.
+        /// The request that the attempt belongs to.
         request: RequestId,
-        /// The endpoint.
+        /// The endpoint to send the attempt to.
         endpoint: EndpointId,
         /// Time-out of the attempt, in milliseconds.
         timeout_ms: f64,
     },
-    /// Final response: rejected. A client's retry is harmless: either no attempt may have run, or running the
-    /// request again does no harm.
+    /// Give the client the final response that its request is rejected. A retry by the client does no harm:
+    /// either the request never ran, or running it again does no harm.
     Reject {
-        /// The request.
+        /// The rejected request.
         request: RequestId,
-        /// The `Retry-After` of the response, in milliseconds from now; `None`: no advice.
+        /// The `Retry-After` of the response, in milliseconds from now; `None` for a response without one.
         retry_after_ms: Option<f64>,
     },
-    /// Final response: failed. The request may have run.
+    /// Give the client the final response that its request failed. The request may have run.
     Fail {
-        /// The request.
+        /// The failed request.
         request: RequestId,
     },
     /// Cancel an attempt.
     Cancel {
-        /// The request.
+        /// The request that the attempt belongs to.
         request: RequestId,
-        /// The attempt's number.
+        /// The attempt's number among those of its request, from 0.
         attempt: u32,
     },
     /// Send a message to another gateway.
     SendPeerMessage {
-        /// The other gateway.
+        /// The gateway that receives the message.
         to: GatewayIndex,
-        /// The message's text, up to 256 bytes.
+        /// The message's text, at most 256 bytes.
         body: String,
     },
-    /// Set a timer, whose [`Event::Timer`](crate::Event::Timer) comes in at the given time.
+    /// Set a timer. [`Event::Timer`](crate::Event::Timer) comes in when it is due.
     SetTimer {
-        /// The time, in milliseconds on the clock of the events.
+        /// When the timer is due, in milliseconds on the clock of the events.
         at_ms: f64,
-        /// The token that the event will carry.
+        /// The token that the event carries.
         token: u64,
     },
     /// Add to a count of the quota counter service.
     AddToCounter {
         /// The name of the count.
         name: u64,
-        /// The units to add; 0 only reads.
+        /// The units to add; 0 only reads the count.
         amount: f64,
-        /// Time to live of a new count, in milliseconds.
+        /// Time to live of the count if this call creates it, in milliseconds.
         ttl_ms: f64,
     },
 }
--- a/crates/admission/src/event.rs
+++ b/crates/admission/src/event.rs
@@ -1,166 +1,170 @@
-//! Events that come in at a gateway.
+//! The events that a gateway handles.
 use crate::id::{
     ClassIndex, CustomerId, EndpointId, GatewayIndex, MachineKindIndex, PlanIndex, RequestId, ZoneIndex,
 };
 
-/// What the list says of an endpoint.
+/// The state of an endpoint in the endpoint list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EndpointState {
-    /// Accepts requests.
+    /// The endpoint accepts requests.
     Ready,
-    /// Finishes the requests that it has in flight, and must be sent no new ones.
+    /// The endpoint finishes the requests that it has in flight, and must be sent no new ones.
     Draining,
-    /// Removed from the list: nothing is sent to it.
+    /// The endpoint is removed from the list and is sent nothing.
     Gone,
 }
 
 /// An entry of the endpoint list.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EndpointEntry {
-    /// The endpoint.
+    /// The endpoint's id.
     pub id: EndpointId,
-    /// Its zone.
+    /// The endpoint's zone.
     pub zone: ZoneIndex,
-    /// The kind of machine that it runs on.
+    /// The kind of machine that the endpoint runs on.
     pub kind: MachineKindIndex,
-    /// Its cell: a group of endpoints that may share their memory of idempotency keys.
+    /// The endpoint's cell: a group of endpoints that may share one memory of idempotency keys.
     pub cell: u64,
-    /// Its state.
+    /// The endpoint's state.
     pub state: EndpointState,
-    /// When its process last started, in milliseconds on the clock of the events; `None`: long ago.
+    /// When the endpoint's process last started, in milliseconds on the clock of the events; `None` if that
+    /// was long ago.
     pub started_at_ms: Option<f64>,
 }
 
-/// How much of the list an update holds.
+/// What an update of the endpoint list contains.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ListKind {
-    /// Changed entries only.
+    /// Only the entries that changed.
     Changes,
-    /// All entries; an endpoint not among them is gone.
+    /// All entries. An endpoint that has no entry has been removed.
     Complete,
-    /// All entries, as last cached before a restart of the gateway; they may be old.
+    /// All entries, as they were cached before the gateway restarted. They may be out of date.
     Cached,
-    /// A poll of the list failed; the entries known stay.
+    /// No entries, because a poll of the list failed. The known entries stay.
     Failed,
 }
 
-/// A client's request. It gets exactly one final response.
+/// A client's request, which gets exactly one final response.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Request {
-    /// Its id, by which actions and later events name it.
+    /// The request's id, by which actions and later events name the request.
     pub id: RequestId,
-    /// Its class.
+    /// The request's class.
     pub class: ClassIndex,
-    /// Its customer's plan.
+    /// The customer's plan.
     pub plan: PlanIndex,
-    /// Its customer.
+    /// The customer that sent the request.
     pub customer: CustomerId,
-    /// Time until its deadline, in milliseconds: how long the client still waits.
+    /// Time for which the client still waits, until its deadline, in milliseconds.
     pub time_left_ms: f64,
-    /// Units of the quota that it counts; an estimate where the true units come with the response.
+    /// Units that the request counts against the quota. They are an estimate if the true units come with the
+    /// response.
     pub units: f64,
-    /// The number of gateways that the customer's requests come through.
+    /// Number of gateways that the customer's requests come through.
     pub gateway_count: usize,
-    /// The first of these gateways. The others follow it by number, and number 0 follows the last gateway.
+    /// The first of these gateways. The others follow in the order of their numbers, and number 0 follows the
+    /// last gateway of the fleet.
     pub first_gateway: GatewayIndex,
-    /// The client marked it as its own retry of a rejected or failed request.
+    /// Whether the client marked the request as its own retry of a rejected or failed request.
     pub is_client_retry: bool,
 }
 
 /// How an attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// A good response.
+    /// The endpoint sent a good response.
     Ok,
-    /// The endpoint responded with an error; the request may have run.
+    /// The endpoint responded with an error. The request may have run.
     Error,
-    /// Rejected without execution: the endpoint is full or draining.
+    /// The endpoint rejected the attempt without running the request, because it is full or draining.
     Overloaded,
-    /// No response in time; it may have run or be running.
+    /// No response came in time. The request may have run or may still be running.
     TimedOut,
-    /// Nothing was written: no connection was established, or the request was not wanted any more by then. It
-    /// never ran.
+    /// Nothing was written, because no connection was established or the request was no longer wanted by
+    /// then. The request never ran.
     ConnectFailed,
-    /// The connection broke; it may have run.
+    /// The connection broke. The request may have run.
     Reset,
-    /// Cancelled; it may have run.
+    /// The attempt was cancelled. The request may have run.
     Cancelled,
-    /// Never sent, for no fault of the endpoint: its time was over, or the endpoint list had expired.
+    /// The attempt was never sent, through no fault of the endpoint: its time was over, or the endpoint list
+    /// had expired.
     TooLate,
 }
 
-/// How an attempt ended, and what came with it.
+/// The end of an attempt: its outcome and what came with it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct AttemptEnd {
-    /// Its request.
+    /// The request that the attempt belongs to.
     pub request: RequestId,
-    /// Its number among those of its request, from 0.
+    /// The attempt's number among those of its request, from 0.
     pub attempt: u32,
-    /// Its endpoint.
+    /// The endpoint that the attempt was sent to.
     pub endpoint: EndpointId,
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: Outcome,
-    /// Time since it was sent, in milliseconds.
+    /// Time since the attempt was sent, in milliseconds.
     pub took_ms: f64,
-    /// The request has its final response, or its client has gone.
+    /// Whether the request has its final response or its client has disconnected.
     pub closed: bool,
-    /// Units that the request really counted, where they come with the response.
+    /// Units that the request really counted; `None` if they did not come with the response.
     pub true_units: Option<f64>,
 }
 
 /// How a call to the quota counter ended.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum CounterOutcome {
-    /// The total after the call, in units.
+    /// The counter responded with the total after the call, in units.
     Total(f64),
-    /// Nothing was added.
+    /// The call was rejected, and nothing was added.
     Rejected,
-    /// No response; the amount may have been added.
+    /// No response came. The amount may have been added.
     Unanswered,
 }
 
 /// Something that a gateway must react to.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// An update of the endpoint list.
+    /// The endpoint list was updated.
     EndpointList {
-        /// How much of it.
+        /// What the update contains.
         kind: ListKind,
-        /// The entries.
+        /// The entries of the update.
         entries: Vec<EndpointEntry>,
     },
-    /// The endpoint list is too old: nothing is sent by it until an update comes, be it without entries. The
-    /// entries stay.
+    /// The endpoint list is too old to be used: no attempt is sent until the next update, which may be one
+    /// without entries. The known entries stay.
     EndpointListExpired,
-    /// Nothing happened but that time has passed. As after every event, queued requests that may go now are
-    /// sent.
+    /// Only time has passed. As after every event, the gateway sends the queued requests that may be sent
+    /// now.
     TimeAdvanced,
-    /// A request came in.
+    /// A request was received.
     Request(Request),
     /// A timer is due.
     Timer {
-        /// The token it was set with.
+        /// The token that the timer was set with.
         token: u64,
     },
     /// An attempt ended.
     AttemptEnded(AttemptEnd),
     /// The client closed its connection.
     ClientDisconnected {
-        /// Its request.
+        /// The client's request.
         request: RequestId,
     },
-    /// A peer's message.
+    /// A peer's message was received.
     PeerMessage {
         /// The peer's number.
         from: GatewayIndex,
-        /// Its text.
+        /// The message's text.
         body: String,
     },
     /// A call to the quota counter ended.
     CounterReply {
-        /// The name of the count.
+        /// The name of the count that the call was for.
         name: u64,
-        /// How it ended.
+        /// How the call ended.
         outcome: CounterOutcome,
     },
 }
--- a/crates/admission/src/event_handling.rs
+++ b/crates/admission/src/event_handling.rs
@@ -1,4 +1,4 @@
-//! What a gateway does with an event: it calls the parts in order, and decides nothing itself.
+//! Handles events by calling the methods that each event concerns, in a fixed order. Nothing is decided here.
 use crate::action::Action;
 use crate::event::Event;
 use crate::gateway::Gateway;
@@ -7,21 +7,22 @@
 use crate::state::FleetMode;
 
 impl Gateway {
-    /// Takes one event in and adds what is to be done, in this order, to `actions`. Times must not fall from
-    /// event to event; an earlier one counts as the last.
+    /// Handles one event and appends the actions that follow to `actions`, in the order in which they are to
+    /// be carried out. Times must not decrease from event to event: an earlier time is treated as that of the
+    /// last event.
     pub fn on_event(&mut self, now_ms: f64, event: Event, actions: &mut Vec<Action>) {
         self.clock.advance(now_ms);
-        if self.clock.start_ticking() {
-            self.schedule_tick(UPKEEP_MS, actions);
+        if self.clock.start_upkeep() {
+            self.schedule_upkeep(UPKEEP_MS, actions);
         }
         self.handle(event, actions);
         self.dispatch(actions);
-        if !self.requests.is_empty() && self.clock.next_tick_is_beyond(UPKEEP_MS) {
-            self.schedule_tick(UPKEEP_MS, actions);
+        if !self.requests.is_empty() && self.clock.next_upkeep_is_beyond(UPKEEP_MS) {
+            self.schedule_upkeep(UPKEEP_MS, actions);
         }
     }
 
-    /// Gives an event to the part that it concerns.
+    /// Passes an event to the method that handles it.
     fn handle(&mut self, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::EndpointList { kind, entries } => {
@@ -38,7 +39,7 @@
         }
     }
 
-    /// Passes a peer's message to the mode that it belongs to.
+    /// Handles a peer's message in the fleet's mode.
     fn on_peer_message(&mut self, from: GatewayIndex, body: &str, actions: &mut Vec<Action>) {
         match self.coordination.fleet_mode() {
             FleetMode::Broadcast => self.on_counts_message(from, body),
@@ -46,8 +47,8 @@
         }
     }
 
-    /// Runs a round of upkeep. In broadcast mode every timer does; in a large fleet one that is early does
-    /// not.
+    /// Runs a round of upkeep. In broadcast mode every timer starts one. In a large fleet a timer that fires
+    /// too early starts none.
     fn on_timer(&mut self, actions: &mut Vec<Action>) {
         match self.coordination.fleet_mode() {
             FleetMode::Broadcast => self.upkeep_in_broadcast_mode(actions),
@@ -57,14 +58,14 @@
     }
 
     /// Schedules the next round of upkeep.
-    fn schedule_tick(&mut self, after_ms: f64, actions: &mut Vec<Action>) {
-        let at_ms = self.clock.schedule_tick(after_ms);
+    fn schedule_upkeep(&mut self, after_ms: f64, actions: &mut Vec<Action>) {
+        let at_ms = self.clock.schedule_upkeep(after_ms);
         actions.push(Action::SetTimer { at_ms, token: 0 });
     }
 
-    /// A round of upkeep in broadcast mode: what time alone brings about.
+    /// Runs a round of upkeep in broadcast mode: all work that depends on time alone.
     fn upkeep_in_broadcast_mode(&mut self, actions: &mut Vec<Action>) {
-        self.schedule_tick(self.upkeep_interval_ms(), actions);
+        self.schedule_upkeep(self.upkeep_interval_ms(), actions);
         self.update_typical_age();
         self.detect_correlated_failure();
         self.refill_warm_up_tokens();
@@ -76,9 +77,10 @@
         self.evict_idle_customers_if_due();
     }
 
-    /// A round of upkeep in a large fleet. Looks at all endpoints are rarer there, since each costs more.
+    /// Runs a round of upkeep in a large fleet. Work that visits all endpoints is done less often there,
+    /// because it costs more.
     fn upkeep_in_large_fleet(&mut self, actions: &mut Vec<Action>) {
-        self.schedule_tick(self.upkeep_interval_ms(), actions);
+        self.schedule_upkeep(self.upkeep_interval_ms(), actions);
         if self.review_is_due() {
             self.detect_correlated_failure();
         }
@@ -96,7 +98,7 @@
         self.evict_idle_customers_if_due();
     }
 
-    /// Forgets idle customers from time to time.
+    /// Evicts idle customers if an eviction is due.
     fn evict_idle_customers_if_due(&mut self) {
         if self.eviction_is_due() {
             self.evict_idle_customers();
--- a/crates/admission/src/gateway.rs
+++ b/crates/admission/src/gateway.rs
@@ -1,6 +1,6 @@
-//! The gateway: the list of the parts that own its state.
+//! The gateway and the components that own its state.
 //!
-//! `startup` makes one, `event_handling` takes its events in; what is decided lies in `policy`.
+//! `startup` creates a gateway, `event_handling` handles its events, and `policy` makes its decisions.
 use crate::mechanism::splitmix64::SplitMix64;
 use crate::mechanism::virtual_finish_queue::VirtualFinishQueue;
 use crate::settings::Settings;
@@ -9,40 +9,41 @@
     OutlierDetector, RecentObservations, RequestTable, RetryBudget, WarmSendRates,
 };
 
-/// One gateway's decisions: takes events in and answers with actions. Each part owns the state of one
-/// concern.
+/// The decision logic of one gateway: it handles events and answers them with actions. Each field owns the
+/// state of one concern.
 #[derive(Debug, Default)]
 pub struct Gateway {
-    /// What it was started with.
+    /// The settings that the gateway was started with.
     pub(crate) settings: Settings,
-    /// The way in which this fleet agrees on quotas and attempts in flight.
+    /// How the gateways of this fleet agree on quotas and attempts in flight.
     pub(crate) coordination: Coordination,
-    /// The time of the event being handled.
+    /// The time of the event being handled, and when the next round of upkeep is due.
     pub(crate) clock: EventClock,
-    /// Tells this start of the gateway from earlier ones.
+    /// A number that tells this start of the gateway from earlier ones.
     pub(crate) incarnation: u32,
-    /// What is drawn by chance.
+    /// The generator of all random numbers.
     pub(crate) random: SplitMix64,
-    /// The endpoints of the list.
+    /// The endpoints of the endpoint list.
     pub(crate) endpoints: EndpointTable,
-    /// Requests in work.
+    /// The active requests.
     pub(crate) requests: RequestTable,
-    /// Customers and their quotas.
+    /// The customers and their quotas.
     pub(crate) customers: CustomerTable,
-    /// Requests that wait to be sent.
+    /// The requests that wait to be sent.
     pub(crate) queue: VirtualFinishQueue,
-    /// How much may be in flight.
+    /// The in-flight band, which limits how many attempts may be in flight.
     pub(crate) band: InFlightBand,
-    /// Learned response times.
+    /// The response times learned so far.
     pub(crate) latency: LatencyModel,
-    /// Failures beyond single endpoints.
+    /// What is known of failures that concern more than a single endpoint.
     pub(crate) outliers: OutlierDetector,
-    /// What warming endpoints may be sent goes by.
+    /// The rates at which warm endpoints are sent attempts. The budgets of endpoints that are warming up
+    /// depend on them.
     pub(crate) warm_send_rates: WarmSendRates,
-    /// Tokens for further attempts.
-    pub(crate) retries: RetryBudget,
+    /// The tokens for retries.
+    pub(crate) retry_budget: RetryBudget,
     /// Means over the gateways of a large fleet.
     pub(crate) fleet_means: FleetMeans,
-    /// Own observations of endpoints that the next messages carry.
+    /// This gateway's own observations of endpoints, to be sent with the next messages.
     pub(crate) recent_observations: RecentObservations,
 }
--- a/crates/admission/src/id.rs
+++ b/crates/admission/src/id.rs
@@ -8,19 +8,19 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CustomerId(pub u64);
 
-/// The key of a customer in a gateway's records. In a large fleet it is the whole id. In broadcast mode it is
-/// the short tag that the messages between gateways name the customer by.
+/// The key of a customer in a gateway's records. In a large fleet it is the customer's whole id. In broadcast
+/// mode it is the short tag that names the customer in messages between gateways.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct CustomerTag(pub(crate) u64);
 
 impl CustomerTag {
-    /// The key of a customer that a message names by its short tag.
+    /// Returns the key of a customer that a message names by its short tag.
     pub(crate) fn from_short(tag: u32) -> Self {
         CustomerTag(u64::from(tag))
     }
 
-    /// The low 32 bits, which are the short tag of 24 bits where the key is one. Customers whose tags are the
-    /// same have one record in common.
+    /// Returns the low 32 bits of the key. If the key is a short tag, of 24 bits, these are the tag.
+    /// Customers with the same tag share one record.
     pub(crate) fn short(self) -> u32 {
         self.0 as u32
     }
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,19 +1,19 @@
 //! The decisions of the irishinge API gateway: which requests are sent now and to which endpoint, which are
 //! queued, and which are rejected.
 //!
-//! The library does no I/O and reads no clock. The host program gives a [`Gateway`] one [`Event`] after the
-//! other, each with its time, and carries out the [`Action`]s that it answers with. The same settings, seed
-//! and events bring the same actions.
+//! The library does no I/O and reads no clock. The host program passes each [`Event`], with its time, to a
+//! [`Gateway`] and carries out the [`Action`]s that the gateway returns. The same settings, seed and events
+//! produce the same actions.
 //!
-//! [`Gateway::on_event`] passes each event to the part that it concerns and then sends queued requests:
+//! [`Gateway::on_event`] passes each event to the module that handles it and then sends queued requests:
 //!
-//! - `lifecycle` takes requests in, sends attempts, closes what has ended, and has the records of customers
-//!   and endpoints follow.
-//! - `policy` decides, and holds every figure that a decision goes by; one file for each decision.
+//! - `lifecycle` admits requests, sends attempts, finishes requests, and updates the records of customers and
+//!   endpoints.
+//! - `policy` makes the decisions and holds the constants that they use, with one file for each decision.
 //! - `coordination` exchanges what gateways know of the fleet: counts in small fleets, gossip in large ones,
-//!   calls to the shared counter where gateways may not send each other messages.
-//! - `state` holds the records, `messages` their form on the wire, and `mechanism` known structures that take
-//!   their figures as parameters.
+//!   and calls to the shared counter if gateways may not send each other messages.
+//! - `state` holds the records, `messages` encodes and decodes messages between gateways, and `mechanism`
+//!   holds well-known algorithms and data structures that take their parameters from the caller.
 
 mod action;
 mod coordination;
@@ -41,7 +41,7 @@
 };
 pub use settings::{ClassSettings, DedupGroup, Idempotency, PlanSettings, Settings, SettingsError};
 
-/// The README's example is compiled and run with the tests.
+/// Compiles and runs the README's example with the tests.
 #[cfg(doctest)]
 #[doc = include_str!("../../../README.md")]
 pub struct ReadmeExample;
--- a/crates/admission/src/lifecycle/attempts.rs
+++ b/crates/admission/src/lifecycle/attempts.rs
@@ -1,4 +1,4 @@
-//! How attempts are sent and what their ends bring.
+//! Sends attempts and handles their ends.
 use crate::action::Action;
 use crate::event::AttemptEnd;
 use crate::gateway::Gateway;
@@ -15,7 +15,7 @@
 use crate::state::InFlightAttempt;
 
 impl Gateway {
-    /// Starts a request's next attempt, at this endpoint, and adds it to all records.
+    /// Starts a request's next attempt at an endpoint and adds it to all records.
     pub(crate) fn send(&mut self, id: RequestId, endpoint_id: EndpointId, actions: &mut Vec<Action>) {
         let Some(active) = self.requests.get(id) else { return };
         if self.endpoints.get(endpoint_id).is_none() {
@@ -26,7 +26,7 @@
         let timeout_ms = attempt_timeout_ms(objective_ms, time_left_ms);
         let earned_tokens = earned_retry_tokens(active.attempt_count());
         self.spend_dispatch_credit();
-        self.retries.earn(earned_tokens, MAX_RETRY_TOKENS);
+        self.retry_budget.earn(earned_tokens, MAX_RETRY_TOKENS);
         self.record_attempt(id, endpoint_id);
         self.count_attempt(id);
         actions.push(Action::Send { request: id, endpoint: endpoint_id, timeout_ms });
@@ -46,7 +46,7 @@
         endpoint.record_sent(InFlightAttempt { sent_ms: now_ms, attempt_id });
     }
 
-    /// Counts a new attempt to its customer, unless another gateway owns the quota.
+    /// Counts a new attempt towards the limits of its customer, unless another gateway owns the quota.
     fn count_attempt(&mut self, id: RequestId) {
         let Some(active) = self.requests.get(id) else { return };
         let tag = active.tag;
@@ -72,7 +72,8 @@
         }
     }
 
-    /// Records how an attempt ended, and closes its request, retries it, or gives it its final response.
+    /// Records how an attempt ended, and then closes its request, waits for its other attempt, retries it, or
+    /// gives it its final response.
     pub(crate) fn on_attempt_end(&mut self, end: &AttemptEnd, actions: &mut Vec<Action>) {
         let Some(active) = self.requests.get_mut(end.request) else { return };
         if !active.end_attempt(end.attempt, may_have_run(end.outcome)) {
@@ -85,7 +86,7 @@
         let next = after_attempt(&EndedAttempt {
             outcome: end.outcome,
             is_closed: end.closed || active.is_closed(),
-            has_attempt_in_flight: active.has_pending(),
+            has_attempt_in_flight: active.has_attempt_in_flight(),
         });
         match next {
             AfterAttempt::Close => self.close(end.request, actions),
@@ -99,8 +100,8 @@
         }
     }
 
-    /// Settles an ended attempt with its customer: frees its slot, and charges the units by which the true
-    /// figure exceeds the estimate.
+    /// Settles an ended attempt with its customer: frees the attempt's slot, and charges the units by which
+    /// the true units exceed the estimate.
     fn settle_attempt(&mut self, end: &AttemptEnd) {
         let Some(active) = self.requests.get_mut(end.request) else { return };
         let plan = self.settings.plan(active.request.plan);
--- a/crates/admission/src/lifecycle/band_control.rs
+++ b/crates/admission/src/lifecycle/band_control.rs
@@ -1,5 +1,5 @@
-//! How the in-flight band follows the stock: its position for a request, saturation, the watermark's steps,
-//! and the refill of dispatch credit.
+//! Updates the in-flight band and finds the position of requests in it: which endpoints the band counts,
+//! whether they are saturated, the watermark's steps, and dispatch credit.
 use crate::gateway::Gateway;
 use crate::id::RequestId;
 use crate::policy::band::band_bounds::{is_saturated_in_broadcast_mode, position_in_broadcast_mode};
@@ -18,7 +18,7 @@
 use crate::state::{Band, BandLoad, BandPosition, Endpoint, FleetMode};
 
 impl Gateway {
-    /// The watermark that the band starts with and never falls below.
+    /// Returns the watermark that the band starts with and never falls below.
     pub(crate) fn watermark_floor(&self) -> f64 {
         match self.coordination.fleet_mode() {
             FleetMode::Broadcast => watermark_floor_in_broadcast_mode(),
@@ -26,7 +26,8 @@
         }
     }
 
-    /// The endpoints that the band counts, and this gateway's attempts in flight at them.
+    /// Returns the capacity of the endpoints that the band counts, and this gateway's attempts in flight at
+    /// them.
     pub(crate) fn band_load(&self) -> BandLoad {
         let mode = self.coordination.fleet_mode();
         let is_correlated_failure = self.outliers.is_correlated_failure();
@@ -37,7 +38,7 @@
         BandLoad::sum(endpoints.map(|endpoint| (endpoint, self.send_fraction(endpoint))))
     }
 
-    /// Whether the band counts an endpoint's work, by the endpoint alone.
+    /// Returns whether the band counts an endpoint, judged by that endpoint's symptoms alone.
     fn is_counted(&self, endpoint: &Endpoint, mode: FleetMode) -> bool {
         let now_ms = self.clock.now_ms();
         let symptoms = EndpointSymptoms {
@@ -57,13 +58,13 @@
         }
     }
 
-    /// The band by the counts that gateways report to each other.
+    /// Returns the band computed from the counts that gateways report to each other.
     fn reported_band(&self) -> Band {
         let live = self.coordination.live_peers(self.clock.now_ms(), PEER_TIMEOUT_MS);
         Band::from_reports(self.band_load(), self.band.watermark(), live)
     }
 
-    /// The band of a large fleet, by gossip.
+    /// Returns the band of a large fleet, computed from means over the fleet.
     fn gossip_band(&self) -> LargeFleetBand {
         LargeFleetBand {
             mean_stock: self.fleet_means.received().stock,
@@ -73,12 +74,13 @@
         }
     }
 
-    /// Whether a large fleet's stock is so low that requests are sent without credit.
+    /// Returns whether so few attempts are in flight in a large fleet that requests are sent without dispatch
+    /// credit.
     pub(crate) fn band_is_ungated(&self) -> bool {
         self.gossip_band().is_ungated()
     }
 
-    /// Whether the stock permits this request to be sent.
+    /// Returns where a request stands relative to the band's bounds, which decides whether it may be sent.
     pub(crate) fn band_position(&self, id: RequestId) -> BandPosition {
         match self.coordination.fleet_mode() {
             FleetMode::Broadcast => position_in_broadcast_mode(&self.reported_band()),
@@ -90,15 +92,15 @@
         }
     }
 
-    /// Dispatch credit that a request requires.
+    /// Returns the dispatch credit that a request requires.
     fn credit_required(&self, id: RequestId) -> f64 {
         let lowest = self.settings.lowest_priority_weight();
         let active = self.requests.get(id);
-        let own = active.map_or(lowest, |a| self.settings.class(a.request.class).priority_weight);
-        credit_required(own, lowest)
+        let priority_weight = active.map_or(lowest, |a| self.settings.class(a.request.class).priority_weight);
+        credit_required(priority_weight, lowest)
     }
 
-    /// Adds the dispatch credit of some seconds.
+    /// Adds the dispatch credit that the gateway earns in `seconds`.
     pub(crate) fn refill_dispatch_credit(&mut self, seconds: f64) {
         let band = self.gossip_band();
         let mean_response_ms = self.latency.mean_response_ms();
@@ -120,7 +122,7 @@
         self.band.set_saturated(is_saturated);
     }
 
-    /// Moves the watermark, where a step is due.
+    /// Moves the watermark if a step is due.
     pub(crate) fn step_watermark(&mut self) {
         let now_ms = self.clock.now_ms();
         let shortest_objective_ms = self.settings.shortest_objective_ms();
--- a/crates/admission/src/lifecycle/customers.rs
+++ b/crates/admission/src/lifecycle/customers.rs
@@ -1,4 +1,4 @@
-//! How customers are entered into the records and evicted from them.
+//! Creates, updates and evicts the records of customers.
 use crate::gateway::Gateway;
 use crate::id::{CustomerId, CustomerTag, PlanIndex};
 use crate::mechanism::splitmix64::short_tag;
@@ -9,7 +9,7 @@
 use crate::state::{Coordination, Customer, FleetMode, GatewaySet};
 
 impl Gateway {
-    /// The key of a customer in the records.
+    /// Returns the key of a customer in the records.
     pub(crate) fn customer_tag(&self, customer: CustomerId) -> CustomerTag {
         match self.coordination.fleet_mode() {
             FleetMode::Broadcast => CustomerTag::from_short(short_tag(customer.0)),
@@ -17,8 +17,8 @@
         }
     }
 
-    /// The record of a customer whose request came in through these gateways, refilled up to now and created
-    /// where there is none.
+    /// Returns a customer's record, refilled up to now. It is created if there is none. `gateways` are those
+    /// that the customer's requests come through.
     pub(crate) fn customer_entry(
         &mut self,
         tag: CustomerTag,
@@ -28,7 +28,7 @@
         self.customer_with_plan(tag, plan, gateways).0
     }
 
-    /// The same record, and the customer's plan.
+    /// Returns a customer's record as `customer_entry` does, together with the customer's plan.
     pub(crate) fn customer_with_plan(
         &mut self,
         tag: CustomerTag,
@@ -49,7 +49,7 @@
         (customer, plan)
     }
 
-    /// This gateway's fraction of a customer's hard ceiling.
+    /// Returns this gateway's fraction of a customer's hard ceiling.
     fn ceiling_fraction(&self, tag: CustomerTag, gateways: &GatewaySet) -> f64 {
         match self.coordination {
             Coordination::Gossip(_) => ceiling_fraction_by_ranking(
@@ -62,7 +62,8 @@
         }
     }
 
-    /// Has a customer's count reported to its other gateways, in the mode in which gateways report counts.
+    /// Schedules reports of a customer's count to the customer's other gateways. Does nothing in a large
+    /// fleet, where gateways do not report counts.
     pub(crate) fn schedule_report(&mut self, tag: CustomerTag) {
         match self.coordination.fleet_mode() {
             FleetMode::Broadcast => self.customers.schedule_report(tag, REPORT_ROUNDS),
@@ -70,7 +71,8 @@
         }
     }
 
-    /// Has peers sent a request for units of a customer's ceiling, in the mode in which they can give some.
+    /// Schedules a request to peers for units of a customer's ceiling. Does nothing in a large fleet, where
+    /// peers cannot give any.
     pub(crate) fn schedule_ceiling_request(&mut self, tag: CustomerTag) {
         match self.coordination.fleet_mode() {
             FleetMode::Broadcast => self.customers.schedule_ceiling_request(tag),
@@ -78,7 +80,7 @@
         }
     }
 
-    /// Evicts idle customers, so that one-off customers leave nothing behind.
+    /// Evicts idle customers, so that customers that do not return do not accumulate in memory.
     pub(crate) fn evict_idle_customers(&mut self) {
         let now_ms = self.clock.now_ms();
         let customers = self.customers.len();
--- a/crates/admission/src/lifecycle/endpoint_choice.rs
+++ b/crates/admission/src/lifecycle/endpoint_choice.rs
@@ -1,4 +1,4 @@
-//! What the rules of endpoint selection go by.
+//! Selects endpoints for attempts: gathers the inputs of the selection rules and applies the rules.
 use crate::gateway::Gateway;
 use crate::id::{EndpointId, RequestId};
 use crate::lifecycle::warm_up::available_warm_up_tokens;
@@ -10,27 +10,27 @@
 use crate::state::{ActiveRequest, Endpoint, FleetMode};
 
 impl Gateway {
-    /// The endpoint to send an attempt to; `None` where there is none now.
+    /// Returns the endpoint to send an attempt to; `None` if there is none now.
     pub(crate) fn select_endpoint(&mut self, id: RequestId) -> Option<EndpointId> {
         match self.coordination.fleet_mode() {
             FleetMode::Broadcast => self.select_by_cost(id),
             FleetMode::LargeFleet => {
-                // Each selection takes one number of the sequence, also where no endpoint is found, so that
-                // the numbers drawn later do not depend on the endpoint list.
+                // Each selection draws one random number, even if no endpoint is found, so that later random
+                // numbers do not depend on the endpoint list.
                 let draw = self.random.next_fraction();
                 self.select_by_draw(id, draw)
             }
         }
     }
 
-    /// Broadcast mode: the endpoint of least cost.
+    /// Returns the endpoint of least cost, in broadcast mode.
     fn select_by_cost(&self, id: RequestId) -> Option<EndpointId> {
         let active = self.requests.get(id)?;
         let candidates = self.eligible_endpoints(active).filter_map(|e| self.cost_candidate(active, e));
         selection::least_cost(candidates, self.outliers.is_correlated_failure())
     }
 
-    /// Large fleets: an endpoint drawn by weight.
+    /// Returns an endpoint drawn at random, weighted by cost, in a large fleet.
     fn select_by_draw(&self, id: RequestId, draw: f64) -> Option<EndpointId> {
         let active = self.requests.get(id)?;
         let warm_in_flight = self.warm_endpoints().map(|endpoint| endpoint.in_flight().len());
@@ -46,7 +46,8 @@
         selection::weighted_draw(candidates.collect(), &context)
     }
 
-    /// The endpoints that list and idempotency allow for an attempt; none where the list has expired.
+    /// Returns the endpoints that the endpoint list and the class's idempotency allow for an attempt; none if
+    /// the list has expired.
     fn eligible_endpoints<'a>(
         &'a self,
         active: &'a ActiveRequest,
@@ -57,7 +58,7 @@
             .filter(move |endpoint| scope.includes(endpoint, active.attempts_that_may_have_run()))
     }
 
-    /// Broadcast mode: an endpoint with what it costs; `None` where it has no warm-up token left.
+    /// Returns an endpoint with its cost, in broadcast mode; `None` if it has no warm-up token left.
     fn cost_candidate(&self, active: &ActiveRequest, endpoint: &Endpoint) -> Option<CostCandidate> {
         let now_ms = self.clock.now_ms();
         let in_flight = endpoint.in_flight().len();
@@ -82,7 +83,7 @@
         Some(CostCandidate { endpoint: endpoint.id(), cost, is_unfit })
     }
 
-    /// Large fleets: an endpoint with what it costs and whether it is fit.
+    /// Returns an endpoint with its cost and its fitness, in a large fleet.
     fn draw_candidate(
         &self,
         active: &ActiveRequest,
--- a/crates/admission/src/lifecycle/endpoints.rs
+++ b/crates/admission/src/lifecycle/endpoints.rs
@@ -1,4 +1,4 @@
-//! What the end of an attempt brings about in the records of its endpoint.
+//! Updates the records of an endpoint when an attempt at it ends.
 use crate::event::AttemptEnd;
 use crate::gateway::Gateway;
 use crate::id::{ClassIndex, PlanIndex};
@@ -8,8 +8,8 @@
 use crate::state::{AttemptId, EndpointHealth, FleetMode};
 
 impl Gateway {
-    /// Records how an attempt ended in its endpoint's response time and health, and ejects the endpoint if
-    /// need be.
+    /// Records how an attempt ended in its endpoint's response time and health, and pauses or ejects the
+    /// endpoint if the rules say so.
     pub(crate) fn record_attempt_end(&mut self, end: &AttemptEnd, class: ClassIndex, plan: PlanIndex) {
         match self.coordination.fleet_mode() {
             FleetMode::Broadcast => self.learn_response_time(end, class),
@@ -38,7 +38,7 @@
     }
 }
 
-/// Records what the end of an attempt shows of its endpoint's health.
+/// Records what the end of an attempt shows of the health of its endpoint.
 fn record_health(health: &mut EndpointHealth, evidence: HealthEvidence, now_ms: f64) {
     match evidence {
         HealthEvidence::Served => {
--- a/crates/admission/src/lifecycle/mod.rs
+++ b/crates/admission/src/lifecycle/mod.rs
@@ -1,6 +1,6 @@
-//! How the records follow what happens: requests and attempts that begin and end, and the time that passes.
+//! Applies events to the records: requests and attempts that begin and end, and time that passes.
 //!
-//! What is decided, and by which figures, stands in `policy`.
+//! The decisions, and the constants that they use, are in `policy`.
 mod attempts;
 mod band_control;
 mod customers;
--- a/crates/admission/src/lifecycle/outlier_checks.rs
+++ b/crates/admission/src/lifecycle/outlier_checks.rs
@@ -1,4 +1,4 @@
-//! What the rules of outlier detection go by.
+//! Gathers the inputs of the outlier detection rules.
 use crate::event::AttemptEnd;
 use crate::gateway::Gateway;
 use crate::id::ClassIndex;
@@ -8,14 +8,15 @@
 use crate::state::{Endpoint, FleetMode};
 
 impl Gateway {
-    /// Finds out whether so many endpoints look like outliers that the cause is not theirs.
+    /// Records whether so many endpoints look like outliers that the endpoints are not the cause.
     pub(crate) fn detect_correlated_failure(&mut self) {
         let ready = self.endpoints.ready().count();
         let healthy = self.endpoints.ready().filter(|endpoint| !self.is_outlier(endpoint)).count();
         self.outliers.set_correlated_failure(outlier::is_correlated_failure(healthy, ready));
     }
 
-    /// Whether an endpoint shows a fault to this gateway itself.
+    /// Returns whether this gateway's own attempts show a fault of an endpoint, or the endpoint is no longer
+    /// listed.
     pub(crate) fn is_outlier(&self, endpoint: &Endpoint) -> bool {
         outlier::is_outlier(&Symptoms {
             is_gone: endpoint.is_gone(),
@@ -24,8 +25,8 @@
         })
     }
 
-    /// Time without any response while attempts are in flight, in multiples of what counts as a stall; 0
-    /// where none is in flight.
+    /// Returns the time without any response while attempts are in flight, in multiples of the time that
+    /// counts as a stall; 0 if no attempt is in flight.
     pub(crate) fn stall_ratio(&self, endpoint: &Endpoint) -> f64 {
         let Some(oldest_sent_ms) = endpoint.oldest_sent_ms() else { return 0.0 };
         outlier::stall_ratio(&StallInput {
@@ -42,8 +43,8 @@
         })
     }
 
-    /// Whether the fleet gets no responses from an endpoint any more. In broadcast mode gateways exchange no
-    /// observations that would show it.
+    /// Returns whether the fleet no longer gets responses from an endpoint. Always `false` in broadcast mode,
+    /// where gateways exchange no observations that would show it.
     pub(crate) fn is_unresponsive(&self, endpoint: &Endpoint) -> bool {
         let now_ms = self.clock.now_ms();
         match self.coordination.fleet_mode() {
@@ -59,7 +60,8 @@
         }
     }
 
-    /// What follows for an endpoint from the end of an attempt that its health has recorded.
+    /// Returns what the end of an attempt means for its endpoint. The endpoint's health must have recorded
+    /// that end already.
     pub(crate) fn health_verdict(
         &self,
         endpoint: &Endpoint,
@@ -81,7 +83,7 @@
         }
     }
 
-    /// Broadcast mode: measures the typical age of own attempts in flight.
+    /// Measures the typical age of this gateway's attempts in flight, in broadcast mode.
     pub(crate) fn update_typical_age(&mut self) {
         let now_ms = self.clock.now_ms();
         let ages_ms = self.endpoints.iter().map(|endpoint| endpoint.mean_in_flight_age_ms(now_ms));
--- a/crates/admission/src/lifecycle/queue_dispatch.rs
+++ b/crates/admission/src/lifecycle/queue_dispatch.rs
@@ -1,4 +1,4 @@
-//! How queued requests are dispatched: in the order of the queue, as far as quota and band permit.
+//! Sends queued requests in the order of the queue, as far as quota and band permit.
 use crate::action::Action;
 use crate::gateway::Gateway;
 use crate::id::RequestId;
@@ -11,7 +11,7 @@
 use crate::state::{ActiveRequest, Customer, FleetMode, QuotaDecision};
 
 impl Gateway {
-    /// Sends queued requests for as long as one is permitted and an endpoint is found for it.
+    /// Sends queued requests as long as one is permitted and an endpoint is found for it.
     pub(crate) fn dispatch(&mut self, actions: &mut Vec<Action>) {
         self.band.unblock();
         while let Some(head) = self.next_to_dispatch(actions) {
@@ -24,7 +24,8 @@
         }
     }
 
-    /// The queued request to send next. Heads over their quota are removed on the way.
+    /// Returns the queued request to send next. Removes heads that are over their quota, and sends or
+    /// finishes them.
     fn next_to_dispatch(&mut self, actions: &mut Vec<Action>) -> Option<FlowHead> {
         let mode = self.coordination.fleet_mode();
         let mut next: Option<FlowHead> = None;
@@ -36,8 +37,8 @@
                 HeadDecision::AwaitsQuota => {}
             }
         }
-        // In broadcast mode this is the only check of the band. In a large fleet it was checked for each
-        // head, but heads over their quota that were sent on the way have used up some of it since.
+        // In broadcast mode this is the only check of the band. In a large fleet the band was checked for
+        // each head, but heads over their quota that were sent in this loop have spent dispatch credit since.
         if !self.band_position(next?.id).permits_queued_request() {
             self.band.block();
             return None;
@@ -45,7 +46,7 @@
         next
     }
 
-    /// What becomes of the head of a flow.
+    /// Decides what happens to the head of a flow.
     fn judge_head(&mut self, id: RequestId, mode: FleetMode) -> HeadDecision {
         let quota = self.quota_decision(id);
         match mode {
@@ -54,24 +55,24 @@
         }
     }
 
-    /// Removes a request over its quota from the queue, and sends or finishes it.
+    /// Removes a request that is over its quota from the queue, and sends or finishes it.
     fn dispatch_over_quota(&mut self, head: FlowHead, actions: &mut Vec<Action>) {
         self.queue.remove(head.tag, head.id);
         let endpoint = if self.may_send_over_quota(head.id) { self.select_endpoint(head.id) } else { None };
         match endpoint {
             Some(endpoint) => self.send(head.id, endpoint, actions),
-            None => self.finish(head.id, self.over_quota_retry_after(), actions),
+            None => self.finish(head.id, self.over_quota_retry_after_ms(), actions),
         }
     }
 
-    /// Whether a request over its quota is sent all the same.
+    /// Returns whether a request that is over its quota may still be sent.
     pub(crate) fn may_send_over_quota(&self, id: RequestId) -> bool {
         let Some(active) = self.requests.get(id) else { return false };
         may_send_over_quota(active.quota().may_exceed_quota(), || self.band_position(id))
     }
 
-    /// Whether quota, open limit and ceiling permit a request to be sent now. Peers are sent a request for
-    /// units of the ceiling where these are short.
+    /// Decides whether quota, concurrency limit and ceiling permit a request to be sent now. If units of the
+    /// ceiling are short, schedules a request to peers for some.
     pub(crate) fn quota_decision(&mut self, id: RequestId) -> QuotaDecision {
         let Some(active) = self.requests.get(id) else { return QuotaDecision::OverQuota };
         if let Some(decision) = active.quota().decision() {
@@ -87,8 +88,8 @@
         limits.quota_decision()
     }
 
-    /// What the customer's limits permit, by the records of this gateway as of the customer's last refill;
-    /// `None` where there is no such request or customer.
+    /// Returns what the customer's limits permit, by this gateway's records as of the customer's last refill;
+    /// `None` if there is no such request or customer.
     pub(crate) fn customer_limits(&self, id: RequestId) -> Option<LimitDecision> {
         let active = self.requests.get(id)?;
         let customer = self.customers.get(active.tag)?;
@@ -103,7 +104,7 @@
         }))
     }
 
-    /// A customer's attempts in flight, and how its slots are spread over gateways.
+    /// Returns a customer's attempts in flight, and how its slots are spread over gateways.
     fn slot_use(&self, active: &ActiveRequest, customer: &Customer) -> SlotUse {
         let peers = customer.peer_activity(self.clock.now_ms(), PEER_TIMEOUT_MS);
         SlotUse {
--- a/crates/admission/src/lifecycle/request_admission.rs
+++ b/crates/admission/src/lifecycle/request_admission.rs
@@ -1,4 +1,4 @@
-//! How a new request is admitted: gathers what the rules of admission go by and applies what they say.
+//! Admits new requests: gathers the inputs of the admission rules and applies their decisions.
 use crate::action::Action;
 use crate::gateway::Gateway;
 use crate::id::RequestId;
@@ -14,7 +14,7 @@
 use crate::state::{FleetMode, GatewaySet, LocalBucketCheck, QuotaState};
 
 impl Gateway {
-    /// Admits a request in broadcast mode: at once, to the queue, or not at all.
+    /// Admits a request in broadcast mode: it is sent at once, queued or rejected.
     pub(crate) fn admit_in_broadcast_mode(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(quota) = self.local_bucket_check(id) else { return };
         let Some(active) = self.requests.get(id) else { return };
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Admits a request in a large fleet: to the queue, where it waits for its quota check, or not at all.
+    /// Admits a request in a large fleet: it is queued until its quota is checked, or rejected.
     pub(crate) fn admit_in_large_fleet(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(active) = self.requests.get(id) else { return };
         let input = LargeFleetAdmissionInput {
@@ -56,7 +56,8 @@
         }
     }
 
-    /// Applies an admission. `false` where the request is to be sent and no endpoint is found for it.
+    /// Applies an admission decision. Returns `false` if the request is to be sent but no endpoint is found
+    /// for it.
     fn apply_admission(&mut self, id: RequestId, admission: Admission, actions: &mut Vec<Action>) -> bool {
         match admission {
             Admission::Send => {
@@ -69,7 +70,7 @@
         true
     }
 
-    /// Puts a request at the end of its customer's flow.
+    /// Adds a request to the end of its customer's flow.
     fn enqueue(&mut self, id: RequestId) {
         let Some(active) = self.requests.get(id) else { return };
         let units = active.request.units;
@@ -84,13 +85,13 @@
         self.queue.enqueue(active.tag, id, size, weight);
     }
 
-    /// The weight of a plan's flows in the queue, in units per second.
+    /// Returns the weight of a plan's flows in the queue, in units per second.
     pub(crate) fn flow_weight(&self, plan: &PlanSettings) -> f64 {
         flow_weight(plan, self.latency.mean_response_ms())
     }
 
-    /// Checks a new request against its customer's token bucket here, and records the result with the
-    /// request.
+    /// Checks a new request against its customer's token bucket at this gateway, and records the result with
+    /// the request. Returns `None` if there is no such request.
     fn local_bucket_check(&mut self, id: RequestId) -> Option<LocalBucketCheck> {
         let active = self.requests.get(id)?;
         let (tag, plan_index, units) = (active.tag, active.request.plan, active.request.units);
--- a/crates/admission/src/lifecycle/request_deadlines.rs
+++ b/crates/admission/src/lifecycle/request_deadlines.rs
@@ -1,4 +1,4 @@
-//! Requests against their time: what a client has waited already, what is too late, and what is overdue.
+//! Checks requests against their latency objectives and deadlines.
 use crate::action::Action;
 use crate::gateway::Gateway;
 use crate::id::{ClassIndex, RequestId};
@@ -10,7 +10,7 @@
 use crate::state::{ActiveRequest, FleetMode};
 
 impl Gateway {
-    /// The times by which a request is judged.
+    /// Returns the times that decide whether a request is too late or overdue.
     pub(crate) fn request_times(&self, active: &ActiveRequest) -> RequestTimes {
         RequestTimes {
             now_ms: self.clock.now_ms(),
@@ -22,18 +22,18 @@
         }
     }
 
-    /// Whether a response can no longer come within the latency objective, or the deadline where that is
-    /// sooner.
+    /// Returns whether a response can no longer be expected within the latency objective, or before the
+    /// deadline if that is sooner.
     pub(crate) fn is_too_late(&self, active: &ActiveRequest) -> bool {
         self.request_times(active).is_too_late()
     }
 
-    /// Whether a request must be finished now.
+    /// Returns whether a request must be finished now.
     pub(crate) fn is_overdue(&self, active: &ActiveRequest) -> bool {
         !active.is_closed() && is_overdue(&self.request_times(active), active.is_unsent())
     }
 
-    /// Finishes requests that run out of time.
+    /// Finishes the requests that are overdue.
     pub(crate) fn finish_overdue_requests(&mut self, actions: &mut Vec<Action>) {
         let overdue = self.requests.iter().filter(|active| self.is_overdue(active));
         let overdue: Vec<RequestId> = overdue.map(|active| active.request.id).collect();
@@ -44,8 +44,8 @@
         }
     }
 
-    /// How long the client of a new request has waited already; its time budget goes into the vote of its
-    /// class.
+    /// Returns how long the client of a new request has already waited, in milliseconds, and counts the
+    /// request's time budget in its class's vote on the most common one.
     pub(crate) fn already_waited_ms(&mut self, class: ClassIndex, time_left_ms: f64) -> f64 {
         let votes = self.latency.record_time_budget(class, time_left_ms, TIME_BUDGET_VOTE);
         let settings = self.settings.class(class);
@@ -57,8 +57,8 @@
         })
     }
 
-    /// Retry-After of a queued request that is over its quota, in ms.
-    pub(crate) fn over_quota_retry_after(&self) -> Option<f64> {
+    /// Returns the `Retry-After` of a queued request that is over its quota, in milliseconds.
+    pub(crate) fn over_quota_retry_after_ms(&self) -> Option<f64> {
         match self.coordination.fleet_mode() {
             FleetMode::Broadcast => retry_after_over_quota_in_broadcast_mode(),
             FleetMode::LargeFleet => retry_after_over_quota_in_large_fleet(self.settings.max_retry_after_ms),
--- a/crates/admission/src/lifecycle/requests.rs
+++ b/crates/admission/src/lifecycle/requests.rs
@@ -1,4 +1,4 @@
-//! How requests are received, finished and closed.
+//! Receives, finishes and closes requests.
 use crate::action::Action;
 use crate::event::Request;
 use crate::gateway::Gateway;
@@ -10,31 +10,31 @@
 use crate::state::{ActiveRequest, FleetMode};
 
 impl Gateway {
-    /// Receives a request: checks it, enters it into the records, and has it sent, queued or rejected.
+    /// Receives a request: checks it, adds it to the records, and has it sent, queued or rejected.
     pub(crate) fn on_request(&mut self, request: Request, actions: &mut Vec<Action>) {
         let id = request.id;
         if !self.is_valid(&request) {
             actions.push(Action::Fail { request: id });
             return;
         }
-        self.enter(request);
+        self.insert_request(request);
         match self.coordination.fleet_mode() {
             FleetMode::Broadcast => self.admit_in_broadcast_mode(id, actions),
             FleetMode::LargeFleet => self.admit_in_large_fleet(id, actions),
         }
     }
 
-    /// Whether a request names a class and a plan of the settings, and is not active already. Without this
-    /// check an index beyond the settings would end the process, and a second request of the same id would
-    /// replace the record of the first, whose client would get no response.
+    /// Returns whether a request names a class and a plan of the settings and its id is not that of an active
+    /// request. Without this check an index beyond the settings would end the process, and a second request
+    /// of the same id would replace the record of the first, whose client would get no response.
     fn is_valid(&self, request: &Request) -> bool {
         request.class.0 < self.settings.classes.len()
             && request.plan.0 < self.settings.plans.len()
             && !self.requests.contains(request.id)
     }
 
-    /// Enters a request into the records.
-    fn enter(&mut self, request: Request) {
+    /// Adds a request to the records.
+    fn insert_request(&mut self, request: Request) {
         let tag = self.customer_tag(request.customer);
         let objective_ms = self.settings.class(request.class).latency_objective_ms;
         let objective_ms = objective_ms - self.already_waited_ms(request.class, request.time_left_ms);
@@ -42,8 +42,8 @@
         self.requests.insert(active);
     }
 
-    /// Responds without a good response: rejects the request where a retry by its client does no harm, and
-    /// fails it otherwise.
+    /// Gives a request its final response if it got no good one: rejects it if a retry by its client does no
+    /// harm, and fails it otherwise.
     pub(crate) fn finish(&mut self, id: RequestId, retry_after_ms: Option<f64>, actions: &mut Vec<Action>) {
         let Some(active) = self.requests.get(id).filter(|active| !active.is_closed()) else { return };
         let idempotency = self.settings.class(active.request.class).idempotency;
@@ -54,8 +54,8 @@
         self.close(id, actions);
     }
 
-    /// The request has its final response, or its client has gone: cancels the attempts in flight, once, and
-    /// forgets the request when all its attempts have ended.
+    /// Closes a request that has its final response or whose client has disconnected. Cancels its attempts in
+    /// flight, once, and removes the request when all its attempts have ended.
     pub(crate) fn close(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(active) = self.requests.get_mut(id) else { return };
         let pending: Vec<u32> = active.pending_attempts().map(|(number, _)| number).collect();
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Settles the quota of an ended request with whoever counts it.
+    /// Settles the quota of an ended request with the owner or the counter that counts it.
     fn settle_quota(&mut self, active: &ActiveRequest, actions: &mut Vec<Action>) {
         let ended = EndedRequest {
             quota: active.quota(),
@@ -96,8 +96,8 @@
         }
     }
 
-    /// Sends a quota's owner the end of a request that it was sent a quota request for, with the units to
-    /// take beyond those granted; below 0 they go back.
+    /// Tells the owner of a quota that the request of quota request `number` has ended. The owner counts
+    /// `additional_units` beyond those granted; a negative number gives units back.
     fn send_release(
         &mut self,
         owner: GatewayIndex,
--- a/crates/admission/src/lifecycle/response_times.rs
+++ b/crates/admission/src/lifecycle/response_times.rs
@@ -1,4 +1,4 @@
-//! What is learned of response times from own attempts.
+//! Learns response times from this gateway's own attempts.
 use crate::event::AttemptEnd;
 use crate::gateway::Gateway;
 use crate::id::ClassIndex;
@@ -10,13 +10,14 @@
 use crate::state::Endpoint;
 
 impl Gateway {
-    /// How far an endpoint's response time, as the fleet observes it, is above what is usual of its kind.
+    /// Returns how far the response time of an endpoint, as the fleet observes it, is above the usual one of
+    /// its machine kind.
     pub(crate) fn kind_deviation(&self, endpoint: &Endpoint) -> KindDeviation {
         let learned_baseline = self.latency.kind_baseline(endpoint.kind());
         response_time::kind_deviation(learned_baseline, &endpoint.response_time, self.clock.now_ms())
     }
 
-    /// Broadcast mode: learns response times from an own attempt.
+    /// Learns response times from the end of one of this gateway's attempts, in broadcast mode.
     pub(crate) fn learn_response_time(&mut self, end: &AttemptEnd, class: ClassIndex) {
         let Some(input) = self.own_attempt(end, class) else { return };
         let OwnAttemptSamples { relative, class_response_ms, objective_fraction } =
@@ -45,7 +46,8 @@
         }
     }
 
-    /// Large fleets: learns the mean response time of a class from an own attempt.
+    /// Learns the mean response time of a class from the end of one of this gateway's attempts, in a large
+    /// fleet.
     pub(crate) fn learn_mean_response_time(&mut self, end: &AttemptEnd, class: ClassIndex) {
         let Some(input) = self.own_attempt(end, class) else { return };
         if let Some(sample_ms) = response_time::class_sample_in_large_fleet(&input) {
@@ -53,7 +55,8 @@
         }
     }
 
-    /// What an own attempt's end is learned by; `None` where its endpoint is no longer known.
+    /// Returns what the response time rules need to know of an ended attempt; `None` if its endpoint is no
+    /// longer known.
     fn own_attempt(&self, end: &AttemptEnd, class: ClassIndex) -> Option<OwnAttemptInput> {
         let endpoint = self.endpoints.get(end.endpoint)?;
         Some(OwnAttemptInput {
--- a/crates/admission/src/lifecycle/retries.rs
+++ b/crates/admission/src/lifecycle/retries.rs
@@ -1,4 +1,4 @@
-//! What the rules of retries go by, and how retries and the actions on stalled attempts are carried out.
+//! Gathers the inputs of the retry rules, sends retries, and acts on stalled attempts.
 use crate::action::Action;
 use crate::gateway::Gateway;
 use crate::id::{ClassIndex, RequestId};
@@ -10,8 +10,8 @@
 use crate::state::{ActiveRequest, AttemptId, EjectionScope, FleetMode, PendingAttempt};
 
 impl Gateway {
-    /// The endpoints at which a request may have another attempt, by what its class and earlier attempts
-    /// allow.
+    /// Returns the endpoints at which a request may have another attempt, given its class and its earlier
+    /// attempts.
     pub(crate) fn retry_scope(&self, active: &ActiveRequest) -> RetryScope {
         let now_ms = self.clock.now_ms();
         retry::retry_scope(&RetryScopeInput {
@@ -19,14 +19,15 @@
                 .attempts_that_may_have_run()
                 .next()
                 .map(|first| now_ms - first.sent_ms),
-            has_attempt_in_flight: active.has_pending(),
+            has_attempt_in_flight: active.has_attempt_in_flight(),
             hedging_allowed: self.settings.hedging_allowed,
             idempotency: self.settings.class(active.request.class).idempotency,
             tick_ms: self.settings.tick_ms,
         })
     }
 
-    /// Sends another attempt of a request where one is allowed and an endpoint is found for it.
+    /// Sends another attempt of a request if one is allowed and an endpoint is found for it. Returns whether
+    /// one was sent.
     pub(crate) fn retry(&mut self, id: RequestId, actions: &mut Vec<Action>) -> bool {
         let Some(active) = self.requests.get(id) else { return false };
         let decision = retry::decide_retry(&RetryInput {
@@ -35,17 +36,16 @@
             max_attempts: self.settings.max_attempts,
             is_too_late: self.is_too_late(active),
             may_have_run: active.may_have_run(),
-            retry_tokens: self.retries.tokens(),
+            retry_tokens: self.retry_budget.tokens(),
         });
         let RetryDecision::Retry { cost_tokens } = decision else { return false };
         let Some(endpoint) = self.select_endpoint(id) else { return false };
-        self.retries.spend(cost_tokens);
+        self.retry_budget.spend(cost_tokens);
         self.send(id, endpoint, actions);
         true
     }
 
-    /// Hedges or cancels stalled attempts. In a correlated failure there is no better endpoint to send them
-    /// to.
+    /// Hedges or cancels stalled attempts, except in a correlated failure, when no other endpoint is better.
     pub(crate) fn act_on_stalled_attempts(&mut self, actions: &mut Vec<Action>) {
         if self.outliers.is_correlated_failure() {
             return;
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Does what the rule says about a stalled attempt.
+    /// Hedges or cancels a stalled attempt, or leaves it alone.
     fn act_on_stalled_attempt(&mut self, stalled: AttemptId, actions: &mut Vec<Action>) {
         let AttemptId { request, attempt } = stalled;
         let Some(active) = self.requests.get(request) else { return };
@@ -75,7 +75,7 @@
             idempotency: self.settings.class(active.request.class).idempotency,
             hedging_allowed: self.settings.hedging_allowed,
             cancel_allowed: self.settings.cancel_allowed,
-            retry_tokens: self.retries.tokens(),
+            retry_tokens: self.retry_budget.tokens(),
         });
         match action {
             StalledAction::Hedge => {
@@ -86,21 +86,22 @@
         }
     }
 
-    /// Broadcast mode: own attempts at outliers. There each endpoint gets enough attempts to be judged by
-    /// them.
+    /// Returns this gateway's attempts in flight at outliers, in broadcast mode. There each endpoint gets
+    /// enough attempts to be judged by them.
     fn attempts_at_outliers(&self) -> Vec<AttemptId> {
         let outliers = self.endpoints.iter().filter(|endpoint| self.is_outlier(endpoint));
         let in_flight = outliers.flat_map(|endpoint| endpoint.in_flight());
         in_flight.map(|attempt| attempt.attempt_id).collect()
     }
 
-    /// Large fleets: own attempts that are stalled.
+    /// Returns this gateway's stalled attempts, in a large fleet.
     fn stalled_attempts(&self) -> Vec<AttemptId> {
         let pending = self.requests.pending_attempts();
         pending.filter(|attempt| self.is_stalled(attempt)).map(|attempt| attempt.attempt_id).collect()
     }
 
-    /// Large fleets: whether an attempt is stalled; one at an endpoint no longer known is not.
+    /// Returns whether an attempt is stalled, in a large fleet. An attempt at an endpoint that is no longer
+    /// known is not.
     fn is_stalled(&self, pending: &PendingAttempt) -> bool {
         let Some(endpoint) = self.endpoints.get(pending.endpoint) else { return false };
         let now_ms = self.clock.now_ms();
@@ -114,14 +115,14 @@
         })
     }
 
-    /// Whether an attempt has begun to take long since the last round of upkeep.
+    /// Returns whether an attempt's age has exceeded `long_response_ms` since the last round of upkeep.
     pub(crate) fn turned_long(&self, pending: &PendingAttempt) -> bool {
         let age_ms = self.clock.now_ms() - pending.sent_ms;
         self.endpoints.get(pending.endpoint).is_some()
             && retry::has_turned_long(age_ms, self.long_response_ms(pending.class))
     }
 
-    /// The time after which an attempt of a class takes long.
+    /// Returns the age from which an attempt of a class counts as long, in milliseconds.
     fn long_response_ms(&self, class: ClassIndex) -> f64 {
         let latency_objective_ms = self.settings.class(class).latency_objective_ms;
         retry::long_response_ms(self.latency.response_ms(class), latency_objective_ms)
--- a/crates/admission/src/lifecycle/upkeep_schedule.rs
+++ b/crates/admission/src/lifecycle/upkeep_schedule.rs
@@ -1,4 +1,4 @@
-//! When periodic work is due.
+//! Decides when periodic work is due.
 use crate::gateway::Gateway;
 use crate::policy::upkeep::{
     eviction_is_due, review_is_due, upkeep_interval_ms_in_broadcast_mode, upkeep_interval_ms_in_large_fleet,
@@ -7,7 +7,7 @@
 use crate::state::FleetMode;
 
 impl Gateway {
-    /// Time until the next round of upkeep.
+    /// Returns the time until the next round of upkeep, in milliseconds.
     pub(crate) fn upkeep_interval_ms(&self) -> f64 {
         match self.coordination.fleet_mode() {
             FleetMode::Broadcast => upkeep_interval_ms_in_broadcast_mode(),
@@ -15,17 +15,17 @@
         }
     }
 
-    /// Whether the scheduled round of upkeep is due.
+    /// Returns whether the scheduled round of upkeep is due.
     pub(crate) fn upkeep_is_due(&self) -> bool {
-        upkeep_is_due(self.clock.now_ms(), self.clock.next_tick_ms())
+        upkeep_is_due(self.clock.now_ms(), self.clock.next_upkeep_ms())
     }
 
-    /// Whether a large fleet's gateway is to review all endpoints again.
+    /// Returns whether the next review of all endpoints is due, in a large fleet.
     pub(crate) fn review_is_due(&self) -> bool {
         review_is_due(self.fleet_means.since_measured_ms(self.clock.now_ms()))
     }
 
-    /// Whether idle customers are to be evicted again.
+    /// Returns whether the next eviction of idle customers is due.
     pub(crate) fn eviction_is_due(&self) -> bool {
         eviction_is_due(self.customers.since_eviction_ms(self.clock.now_ms()))
     }
--- a/crates/admission/src/lifecycle/warm_up.rs
+++ b/crates/admission/src/lifecycle/warm_up.rs
@@ -1,4 +1,4 @@
-//! What the rules of slow start go by, and the tokens that follow from them.
+//! Gathers the inputs of the slow start rules, and keeps the warm-up tokens of endpoints.
 use crate::gateway::Gateway;
 use crate::id::{EndpointId, MachineKindIndex, RequestId};
 use crate::policy::slow_start;
@@ -6,19 +6,19 @@
 use crate::state::{Endpoint, FleetMode, WarmUpBudget};
 
 impl Gateway {
-    /// Fraction of its full capacity that an endpoint has at least, by its age.
+    /// Returns the fraction of its full capacity that an endpoint has at least, by its age.
     pub(crate) fn warm_fraction(&self, endpoint: &Endpoint) -> f64 {
         let settings = &self.settings;
         let age_ms = endpoint.age_ms(self.clock.now_ms());
         slow_start::warm_fraction(age_ms, settings.warm_up_ms, settings.cold_start_fraction)
     }
 
-    /// Whether an endpoint does not have its full capacity yet.
+    /// Returns whether an endpoint does not have its full capacity yet.
     pub(crate) fn is_warming_up(&self, endpoint: &Endpoint) -> bool {
         slow_start::is_warming_up(self.warm_fraction(endpoint))
     }
 
-    /// Work that the fleet may send an endpoint, as a fraction of a warm endpoint's.
+    /// Returns how much work the fleet may send an endpoint, as a fraction of what it may send a warm one.
     pub(crate) fn send_fraction(&self, endpoint: &Endpoint) -> f64 {
         let warm_fraction = self.warm_fraction(endpoint);
         match self.coordination.fleet_mode() {
@@ -27,7 +27,8 @@
         }
     }
 
-    /// What this gateway may send an endpoint that is warming up; `None` where it is warm.
+    /// Returns the rate at which this gateway may send to an endpoint that is warming up; `None` if the
+    /// endpoint is warm.
     pub(crate) fn warm_up_budget(&self, endpoint: &Endpoint) -> Option<WarmUpBudget> {
         let warm_fraction = Some(self.warm_fraction(endpoint)).filter(|w| slow_start::is_warming_up(*w))?;
         Some(slow_start::warm_up_budget(&WarmUpBudgetInput {
@@ -41,7 +42,7 @@
         }))
     }
 
-    /// Large fleets: whether an attempt of a request may go to an endpoint that is warming up.
+    /// Decides whether an attempt of a request may go to an endpoint that is warming up, in a large fleet.
     pub(crate) fn warm_up_admission(&self, id: RequestId, attempt: usize) -> WarmUpAdmission {
         let mut capacity = SendCapacity::default();
         for endpoint in self.endpoints.ready() {
@@ -52,8 +53,8 @@
         slow_start::warm_up_admission(&capacity, draw)
     }
 
-    /// Broadcast mode: brings warm-up tokens up to now by the budgets that held until now, and then the send
-    /// rates that the budgets go by.
+    /// Refills warm-up tokens up to now, in broadcast mode, and then updates the send rates that the budgets
+    /// depend on. The refill comes first, because tokens for the time until now accrue by the old budgets.
     pub(crate) fn refill_warm_up_tokens(&mut self) {
         let now_ms = self.clock.now_ms();
         let budget_of = |endpoint: &Endpoint| Some((endpoint.id(), self.warm_up_budget(endpoint)?));
@@ -72,13 +73,13 @@
         self.warm_send_rates.replace(rates.into_iter());
     }
 
-    /// The ready endpoints that have their full capacity.
+    /// Returns the ready endpoints that have their full capacity.
     pub(crate) fn warm_endpoints(&self) -> impl Iterator<Item = &Endpoint> {
         self.endpoints.ready().filter(|endpoint| !self.is_warming_up(endpoint))
     }
 }
 
-/// Warm-up tokens of an endpoint at `now_ms`.
+/// Returns the warm-up tokens of an endpoint at `now_ms`.
 pub(crate) fn available_warm_up_tokens(endpoint: &Endpoint, budget: WarmUpBudget, now_ms: f64) -> f64 {
     let saved = &endpoint.warm_up_tokens;
     slow_start::available_tokens(saved.saved(), saved.since_update_ms(now_ms), budget)
--- a/crates/admission/src/settings.rs
+++ b/crates/admission/src/settings.rs
@@ -1,97 +1,102 @@
-//! The settings a gateway is started with.
+//! The settings that a gateway is started with.
 use crate::id::{ClassIndex, GatewayIndex, PlanIndex, ZoneIndex};
 
-/// What a class allows once an attempt of a request may have run.
+/// Whether another attempt of a request is safe once an earlier one may have run.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Idempotency {
-    /// Running it again does no harm.
+    /// Another attempt is safe, because running a request again does no harm.
     Idempotent,
-    /// It has an idempotency key: endpoints of the group do not run a key again for a time after its first
-    /// use.
+    /// Another attempt is safe at the endpoints of the group. Each request has an idempotency key, and for a
+    /// time after the first use of a key these endpoints run no other request with that key.
     IdempotencyKey {
         /// The endpoints that deduplicate together.
         group: DedupGroup,
-        /// How long they remember a key after its first use, in milliseconds.
+        /// Time for which the group remembers a key after the key's first use, in milliseconds.
         window_ms: f64,
     },
-    /// It must not run twice.
+    /// Another attempt is not safe, because a request must not run twice.
     NonIdempotent,
 }
 
-/// The endpoints that share their memory of idempotency keys.
+/// The endpoints that share one memory of idempotency keys.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DedupGroup {
     /// All endpoints.
     All,
-    /// Those of one zone.
+    /// The endpoints of one zone.
     Zone,
-    /// Those of one cell.
+    /// The endpoints of one cell.
     Cell,
 }
 
-/// A class of requests.
+/// The settings of a request class.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ClassSettings {
-    /// Latency objective: a response within this time has its full value. In milliseconds, above 0.
+    /// Latency objective, in milliseconds, above 0. A response within this time has its full value.
     pub latency_objective_ms: f64,
-    /// How long a client waits for its response from its first request on, in milliseconds, above 0.
+    /// Time that a client waits for its response, counted from its first request, in milliseconds, above 0.
     pub deadline_ms: f64,
-    /// Value of a request against that of other classes.
+    /// Value of a request, relative to the requests of other classes.
     pub priority_weight: f64,
-    /// What a retry may do once an attempt may have run.
+    /// Whether another attempt of a request is safe once an earlier one may have run.
     pub idempotency: Idempotency,
 }
 
 /// A plan that customers buy.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PlanSettings {
-    /// Quota: units per second at which a customer's token bucket fills; 0: no quota.
+    /// Quota: the rate at which a customer's token bucket fills, in units per second; 0 means no quota.
     pub rate_per_second: f64,
-    /// Units that the bucket holds at most; it starts full.
+    /// Capacity of the quota's token bucket, in units. The bucket starts full.
     pub burst_units: f64,
-    /// Attempts that a customer may have in flight over all gateways; 0: no such limit.
+    /// Maximum number of attempts that a customer may have in flight over all gateways; 0 means no limit.
     pub concurrency_limit: u32,
     /// Factor on the value of a customer's requests.
     pub plan_weight: f64,
-    /// Fraction of its value that a request over the quota has.
+    /// Fraction of its value that a request keeps if it is over the quota.
     pub over_quota_value: f64,
-    /// Fraction of its value that a request over the quota costs.
+    /// Cost of a request over the quota, as a fraction of the request's value.
     pub over_quota_cost: f64,
-    /// Hard ceiling: units per second at which its bucket fills; 0: no ceiling.
+    /// Hard ceiling: the rate at which its token bucket fills, in units per second; 0 means no ceiling.
     pub ceiling_rate_per_second: f64,
-    /// Units that the ceiling's bucket holds at most.
+    /// Capacity of the hard ceiling's token bucket, in units.
     pub ceiling_burst_units: f64,
 }
 
 impl PlanSettings {
-    /// The time in which the quota's token bucket gains so many units; `None` where it never does.
+    /// Returns the time in which the quota's token bucket gains `units`, in milliseconds; `None` if it never
+    /// does.
     pub(crate) fn refill_time_ms(&self, units: f64) -> Option<f64> {
         let time_ms = 1000.0 * units.max(0.0) / self.rate_per_second;
         time_ms.is_finite().then_some(time_ms)
     }
 
-    /// Checks a plan's figures.
+    /// Checks that the plan's values are in range.
     fn check(&self) -> Result<(), SettingsError> {
-        require("rate_per_second", is_amount(self.rate_per_second) && is_amount(self.burst_units))?;
+        require(
+            "rate_per_second",
+            is_finite_non_negative(self.rate_per_second) && is_finite_non_negative(self.burst_units),
+        )?;
         require(
             "over_quota_value",
-            is_amount(self.over_quota_value)
-                && is_amount(self.over_quota_cost)
-                && is_amount(self.plan_weight),
+            is_finite_non_negative(self.over_quota_value)
+                && is_finite_non_negative(self.over_quota_cost)
+                && is_finite_non_negative(self.plan_weight),
         )?;
         require(
             "ceiling_rate_per_second",
-            is_amount(self.ceiling_rate_per_second) && is_amount(self.ceiling_burst_units),
+            is_finite_non_negative(self.ceiling_rate_per_second)
+                && is_finite_non_negative(self.ceiling_burst_units),
         )
     }
 }
 
-/// What a gateway is started with, from the `settings` object of its configuration.
+/// The settings that a gateway is started with, from the `settings` object of its configuration.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Settings {
-    /// This gateway's number, from 0.
+    /// This gateway's number in the fleet, from 0.
     pub this_gateway: GatewayIndex,
-    /// How many gateways the fleet has.
+    /// Number of gateways in the fleet.
     pub gateways: usize,
     /// Shortest time between two rounds of events, in milliseconds.
     pub tick_ms: f64,
@@ -101,64 +106,67 @@
     pub classes: Vec<ClassSettings>,
     /// The plans.
     pub plans: Vec<PlanSettings>,
-    /// Attempts that a request may have at most.
+    /// Maximum number of attempts of a request.
     pub max_attempts: u32,
-    /// Two attempts of a request may be in flight at once.
+    /// Whether two attempts of a request may be in flight at once.
     pub hedging_allowed: bool,
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     pub cancel_allowed: bool,
-    /// Peers may be sent messages.
+    /// Whether gateways may send each other messages.
     pub peer_messages_allowed: bool,
-    /// The quota counter may be called.
+    /// Whether gateways may call the quota counter.
     pub counter_allowed: bool,
-    /// Messages a second that a gateway accepts from its peers.
+    /// Messages per second that a gateway accepts from its peers.
     pub peer_messages_per_second: f64,
-    /// Longest `Retry-After` that clients honour, in milliseconds; 0: none.
+    /// Longest `Retry-After` that clients honour, in milliseconds; 0 if they honour none.
     pub max_retry_after_ms: f64,
-    /// Units that one request counts at most.
+    /// Maximum units that one request counts.
     pub max_units: f64,
-    /// Fraction of its full capacity that an endpoint has at its start, at least; 0 to 1.
+    /// Fraction of its full capacity that an endpoint has at least when its process starts, from 0 to 1.
     pub cold_start_fraction: f64,
-    /// An endpoint is warm this long after its start at the latest, in milliseconds.
+    /// Longest time from the start of an endpoint's process until the endpoint has its full capacity, in
+    /// milliseconds.
     pub warm_up_ms: f64,
-    /// Multiple of its present capacity from which an endpoint that is warming up is overloaded and fails,
-    /// where it is sent that much throughout `overload_window_ms`.
+    /// Multiple of its present capacity at which an endpoint that is warming up is overloaded. It fails if it
+    /// is sent that much throughout `overload_window_ms`.
     pub overload_multiple: f64,
-    /// How long such an overload lasts until the endpoint fails, in milliseconds.
+    /// Time for which such an overload lasts before the endpoint fails, in milliseconds.
     pub overload_window_ms: f64,
 }
 
 impl Settings {
-    /// A class of requests. The index must be one of the settings; a gateway checks that for each request.
+    /// Returns the settings of a class. `class` must be an index into the settings; a gateway checks that for
+    /// each request.
     pub(crate) fn class(&self, class: ClassIndex) -> &ClassSettings {
         &self.classes[class.0]
     }
 
-    /// A plan. The index must be one of the settings; a gateway checks that for each request.
+    /// Returns the settings of a plan. `plan` must be an index into the settings; a gateway checks that for
+    /// each request.
     pub(crate) fn plan(&self, plan: PlanIndex) -> &PlanSettings {
         &self.plans[plan.0]
     }
 
-    /// The shortest latency objective of all classes, in milliseconds.
+    /// Returns the shortest latency objective of all classes, in milliseconds.
     pub(crate) fn shortest_objective_ms(&self) -> f64 {
         self.classes.iter().map(|class| class.latency_objective_ms).fold(f64::INFINITY, f64::min)
     }
 
-    /// The longest latency objective of all classes, in milliseconds.
+    /// Returns the longest latency objective of all classes, in milliseconds.
     pub(crate) fn longest_objective_ms(&self) -> f64 {
         self.classes.iter().map(|class| class.latency_objective_ms).fold(0.0, f64::max)
     }
 
-    /// The lowest priority weight of all classes.
+    /// Returns the lowest priority weight of all classes.
     pub(crate) fn lowest_priority_weight(&self) -> f64 {
         self.classes.iter().map(|class| class.priority_weight).fold(f64::INFINITY, f64::min)
     }
 
-    /// Checks that a gateway can act on every figure.
+    /// Checks that no setting is missing or out of range.
     ///
     /// # Errors
     ///
-    /// Names the first thing that is missing or out of range.
+    /// Returns an error that names the first setting that is missing or out of range.
     pub fn check(&self) -> Result<(), SettingsError> {
         if self.classes.is_empty() {
             return Err(SettingsError::NoClasses);
@@ -175,45 +183,50 @@
         self.check_warm_up()
     }
 
-    /// Checks what concerns messages, clients and the endpoint list.
+    /// Checks the values that concern events, peer messages and clients.
     fn check_fleet(&self) -> Result<(), SettingsError> {
-        require("tick_ms", is_amount(self.tick_ms))?;
-        require("peer_messages_per_second", is_amount(self.peer_messages_per_second))?;
-        require("max_retry_after_ms", is_amount(self.max_retry_after_ms))?;
-        require("max_units", is_amount(self.max_units))
+        require("tick_ms", is_finite_non_negative(self.tick_ms))?;
+        require("peer_messages_per_second", is_finite_non_negative(self.peer_messages_per_second))?;
+        require("max_retry_after_ms", is_finite_non_negative(self.max_retry_after_ms))?;
+        require("max_units", is_finite_non_negative(self.max_units))
     }
 
-    /// Checks what concerns warming endpoints.
+    /// Checks the values that concern endpoints that are warming up.
     fn check_warm_up(&self) -> Result<(), SettingsError> {
         let fraction = self.cold_start_fraction;
-        require("cold_start_fraction", is_amount(fraction) && fraction <= 1.0)?;
-        require("warm_up_ms", is_amount(self.warm_up_ms))?;
-        require("overload_multiple", is_amount(self.overload_multiple) && is_amount(self.overload_window_ms))
+        require("cold_start_fraction", is_finite_non_negative(fraction) && fraction <= 1.0)?;
+        require("warm_up_ms", is_finite_non_negative(self.warm_up_ms))?;
+        require(
+            "overload_multiple",
+            is_finite_non_negative(self.overload_multiple) && is_finite_non_negative(self.overload_window_ms),
+        )
     }
 }
 
 impl ClassSettings {
-    /// Checks a class's figures.
+    /// Checks that the class's values are in range.
     fn check(&self) -> Result<(), SettingsError> {
         require(
             "latency_objective_ms",
-            is_amount(self.latency_objective_ms) && self.latency_objective_ms > 0.0,
+            is_finite_non_negative(self.latency_objective_ms) && self.latency_objective_ms > 0.0,
         )?;
-        require("deadline_ms", is_amount(self.deadline_ms) && self.deadline_ms > 0.0)?;
-        require("priority_weight", is_amount(self.priority_weight))?;
+        require("deadline_ms", is_finite_non_negative(self.deadline_ms) && self.deadline_ms > 0.0)?;
+        require("priority_weight", is_finite_non_negative(self.priority_weight))?;
         match self.idempotency {
-            Idempotency::IdempotencyKey { window_ms, .. } => require("window_ms", is_amount(window_ms)),
+            Idempotency::IdempotencyKey { window_ms, .. } => {
+                require("window_ms", is_finite_non_negative(window_ms))
+            }
             Idempotency::Idempotent | Idempotency::NonIdempotent => Ok(()),
         }
     }
 }
 
-/// Whether a figure is finite and not negative.
-fn is_amount(figure: f64) -> bool {
-    figure.is_finite() && figure >= 0.0
+/// Returns whether a value is finite and not negative.
+fn is_finite_non_negative(value: f64) -> bool {
+    value.is_finite() && value >= 0.0
 }
 
-/// Reports the named figure unless it is in range.
+/// Returns an error that names the setting, unless its value is in range.
 fn require(name: &'static str, in_range: bool) -> Result<(), SettingsError> {
     if in_range {
         Ok(())
@@ -222,19 +235,19 @@
     }
 }
 
-/// Why a gateway cannot use its settings.
+/// The reason why a gateway cannot use its settings.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsError {
-    /// No request class is given.
-    #[error("settings name no request class")]
+    /// The settings have no request class.
+    #[error("settings have no request class")]
     NoClasses,
-    /// No plan is given.
-    #[error("settings name no plan")]
+    /// The settings have no plan.
+    #[error("settings have no plan")]
     NoPlans,
     /// `this_gateway` is not below the number of gateways.
     #[error("this gateway's number is not below the number of gateways")]
     NotAmongGateways,
-    /// The named figure is negative, not finite, or zero where it must not be.
-    #[error("settings hold a figure out of range: {0}")]
+    /// The named setting is negative, not finite, 0 although it must be above 0, or above its maximum.
+    #[error("setting out of range: {0}")]
     OutOfRange(&'static str),
 }
--- a/crates/admission/src/startup.rs
+++ b/crates/admission/src/startup.rs
@@ -1,4 +1,4 @@
-//! The start of a gateway from its settings.
+//! Creates a gateway from its settings.
 use crate::gateway::Gateway;
 use crate::mechanism::splitmix64::{mix, SplitMix64};
 use crate::messages::counts_message::incarnation;
@@ -17,12 +17,12 @@
 };
 
 impl Gateway {
-    /// A gateway that knows nothing but its settings. `seed` decides all that is left to chance; times are in
-    /// milliseconds, of any origin.
+    /// Creates a gateway that knows nothing but its settings. `seed` determines every random decision.
+    /// `now_ms` and the times of events are in milliseconds from the same origin, which may be any.
     ///
     /// # Errors
     ///
-    /// Where the settings hold a figure that a gateway cannot act on.
+    /// Returns an error if a setting is missing or out of range.
     pub fn new(settings: Settings, seed: u64, now_ms: f64) -> Result<Self, SettingsError> {
         settings.check()?;
         let objectives_ms = settings.classes.iter().map(|class| class.latency_objective_ms);
@@ -40,8 +40,8 @@
                 LATENCY_GAINS,
                 LATENCY_FLOORS,
             ),
-            retries: RetryBudget::new(INITIAL_RETRY_TOKENS),
-            coordination: coordination_mode(&settings),
+            retry_budget: RetryBudget::new(INITIAL_RETRY_TOKENS),
+            coordination: new_coordination(&settings),
             settings,
             ..Gateway::default()
         };
@@ -50,8 +50,9 @@
     }
 }
 
-/// The way in which the gateways of a fleet with these settings agree: the same on all of them.
-fn coordination_mode(settings: &Settings) -> Coordination {
+/// Returns the initial state of the way in which gateways with these settings coordinate. All gateways of a
+/// fleet choose the same way.
+fn new_coordination(settings: &Settings) -> Coordination {
     let mode = choose_coordination_mode(CoordinationModeInput {
         gateways: settings.gateways,
         peer_messages_allowed: settings.peer_messages_allowed,
--- a/crates/admission/src/state/request/active_request.rs
+++ b/crates/admission/src/state/request/active_request.rs
@@ -1,4 +1,4 @@
-//! Active requests: received, and not yet answered with all attempts ended.
+//! Active requests: those that have no final response yet or have an attempt in flight.
 use crate::event::Request;
 use crate::id::{CustomerTag, EndpointId, RequestId};
 use crate::state::{Attempt, AttemptId, Endpoint, PendingAttempt, QuotaState};
@@ -7,33 +7,34 @@
 /// A request from its receipt until it has its final response and all its attempts have ended.
 #[derive(Debug)]
 pub(crate) struct ActiveRequest {
-    /// As it was received.
+    /// The request as it was received.
     pub(crate) request: Request,
-    /// Its customer's tag, which names the customer's records.
+    /// The customer's tag, which is the key of the customer's record.
     pub(crate) tag: CustomerTag,
-    /// When its latency objective is reached, in milliseconds.
+    /// When the latency objective is reached, in milliseconds.
     pub(crate) objective_at_ms: f64,
-    /// When its client stops waiting, in milliseconds.
+    /// When the client stops waiting, in milliseconds.
     pub(crate) deadline_at_ms: f64,
-    /// Its attempts, in the order in which they were sent.
+    /// The attempts, in the order in which they were sent.
     attempts: Vec<Attempt>,
-    /// It has its final response, or its client has gone.
+    /// Whether the request has its final response or its client has disconnected.
     closed: bool,
-    /// Where it stands with the quota.
+    /// State of the request's quota check.
     quota: QuotaState,
-    /// Units by which the true figure passed the estimate, where another gateway or the counter counts the
-    /// quota.
+    /// Units by which the attempts' true units exceed the estimate, if another gateway or the counter counts
+    /// the quota.
     settled_units: f64,
 }
 
 impl ActiveRequest {
-    /// Whether the request still awaits a response of the quota counter. It does not once its client has
-    /// gone or its time is over.
+    /// Returns whether the request still awaits a response of the quota counter. It no longer does once its
+    /// client has disconnected or its time is over.
     pub(crate) fn awaits_counter(&self) -> bool {
         !self.closed && self.quota == QuotaState::AwaitingCounter
     }
 
-    /// A request received now, whose latency objective is reached after `objective_ms`.
+    /// Creates the record of a request that is received now and whose latency objective is reached after
+    /// `objective_ms`.
     pub(crate) fn new(request: Request, tag: CustomerTag, now_ms: f64, objective_ms: f64) -> Self {
         ActiveRequest {
             tag,
@@ -47,65 +48,66 @@
         }
     }
 
-    /// Where it stands with the quota.
+    /// Returns the state of the request's quota check.
     pub(crate) fn quota(&self) -> QuotaState {
         self.quota
     }
 
-    /// Enters where it stands with the quota now.
+    /// Sets the state of the request's quota check.
     pub(crate) fn set_quota(&mut self, quota: QuotaState) {
         self.quota = quota;
     }
 
-    /// Adds the units by which an ended attempt passed the estimate, for whoever counts the quota.
+    /// Adds the units by which an ended attempt's true units exceed the estimate, to be settled with the
+    /// owner or the counter that counts the quota.
     pub(crate) fn settle(&mut self, excess_units: f64) {
         self.settled_units += excess_units;
     }
 
-    /// Units by which its attempts passed the estimate, where another gateway or the counter counts the
-    /// quota.
+    /// Returns the units by which the attempts' true units exceed the estimate, if another gateway or the
+    /// counter counts the quota.
     pub(crate) fn settled_units(&self) -> f64 {
         self.settled_units
     }
 
-    /// How many attempts were sent.
+    /// Returns the number of attempts that were sent.
     pub(crate) fn attempt_count(&self) -> usize {
         self.attempts.len()
     }
 
-    /// Whether no attempt was sent yet.
+    /// Returns whether no attempt was sent yet.
     pub(crate) fn is_unsent(&self) -> bool {
         self.attempts.is_empty()
     }
 
-    /// Records an attempt that is sent to an endpoint now, and returns its attempt_id.
+    /// Records an attempt that is sent to an endpoint now, and returns its id.
     pub(crate) fn start_attempt(&mut self, endpoint: &Endpoint, now_ms: f64) -> AttemptId {
         let attempt = self.attempts.len() as u32;
         self.attempts.push(Attempt::new(endpoint, now_ms));
         AttemptId { request: self.request.id, attempt }
     }
 
-    /// Whether an attempt was sent to an endpoint before.
+    /// Returns whether an attempt was sent to an endpoint before.
     pub(crate) fn was_sent_to(&self, endpoint: EndpointId) -> bool {
         self.attempts.iter().any(|attempt| attempt.endpoint == endpoint)
     }
 
-    /// Attempts whose endpoint may have done the work or may still do it, oldest first.
+    /// Returns the attempts whose endpoint may have run the request or may still run it, oldest first.
     pub(crate) fn attempts_that_may_have_run(&self) -> impl Iterator<Item = &Attempt> {
         self.attempts.iter().filter(|attempt| attempt.may_have_run())
     }
 
-    /// Whether any endpoint may have done the work or may still do it.
+    /// Returns whether any endpoint may have run the request or may still run it.
     pub(crate) fn may_have_run(&self) -> bool {
         self.attempts_that_may_have_run().next().is_some()
     }
 
-    /// Attempts in flight, each with its number, oldest first.
+    /// Returns the attempts in flight, each with its number, oldest first.
     pub(crate) fn pending_attempts(&self) -> impl Iterator<Item = (u32, &Attempt)> {
         (0u32..).zip(&self.attempts).filter(|(_, attempt)| attempt.is_pending())
     }
 
-    /// Marks an attempt as ended. `false` where no such attempt is in flight.
+    /// Marks an attempt as ended. Returns `false` if no such attempt is in flight.
     pub(crate) fn end_attempt(&mut self, number: u32, may_have_run: bool) -> bool {
         let attempt = self.attempts.get_mut(number as usize).filter(|attempt| attempt.is_pending());
         let Some(attempt) = attempt else { return false };
@@ -113,18 +115,18 @@
         true
     }
 
-    /// Whether it has its final response, or its client has gone.
+    /// Returns whether the request has its final response or its client has disconnected.
     pub(crate) fn is_closed(&self) -> bool {
         self.closed
     }
 
-    /// Marks it as closed. `false` where it was closed before.
+    /// Marks the request as closed. Returns `false` if it was closed before.
     pub(crate) fn close(&mut self) -> bool {
         !std::mem::replace(&mut self.closed, true)
     }
 
-    /// Whether an attempt is in flight.
-    pub(crate) fn has_pending(&self) -> bool {
+    /// Returns whether an attempt is in flight.
+    pub(crate) fn has_attempt_in_flight(&self) -> bool {
         self.pending_attempts().next().is_some()
     }
 }
@@ -136,22 +138,22 @@
 }
 
 impl RequestTable {
-    /// Whether there is no active request.
+    /// Returns whether there is no active request.
     pub(crate) fn is_empty(&self) -> bool {
         self.by_id.is_empty()
     }
 
-    /// Whether a request of this id is active.
+    /// Returns whether a request of this id is active.
     pub(crate) fn contains(&self, id: RequestId) -> bool {
         self.by_id.contains_key(&id)
     }
 
-    /// A request's record.
+    /// Returns the record of an active request.
     pub(crate) fn get(&self, id: RequestId) -> Option<&ActiveRequest> {
         self.by_id.get(&id)
     }
 
-    /// A request's record, to be changed.
+    /// Returns the record of an active request, to be changed.
     pub(crate) fn get_mut(&mut self, id: RequestId) -> Option<&mut ActiveRequest> {
         self.by_id.get_mut(&id)
     }
@@ -166,12 +168,12 @@
         self.by_id.remove(&id)
     }
 
-    /// All requests, in the order of their ids.
+    /// Returns all active requests, in the order of their ids.
     pub(crate) fn iter(&self) -> impl Iterator<Item = &ActiveRequest> {
         self.by_id.values()
     }
 
-    /// All attempts in flight, by request.
+    /// Returns all attempts in flight, request by request.
     pub(crate) fn pending_attempts(&self) -> impl Iterator<Item = PendingAttempt> + '_ {
         self.iter().flat_map(|active| {
             active.pending_attempts().map(|(number, attempt)| PendingAttempt {
--- a/crates/admission/src/state/request/attempt_record.rs
+++ b/crates/admission/src/state/request/attempt_record.rs
@@ -1,34 +1,34 @@
-//! Attempts of a request.
+//! The attempts of a request.
 use crate::id::{ClassIndex, EndpointId, RequestId, ZoneIndex};
 use crate::state::Endpoint;
 
-/// An attempt of a request: what was sent, to which endpoint, and what became of it.
+/// An attempt of a request: to which endpoint and when it was sent, and what became of it.
 #[derive(Debug, Clone)]
 pub(crate) struct Attempt {
-    /// Where it was sent.
+    /// The endpoint that the attempt was sent to.
     pub(crate) endpoint: EndpointId,
-    /// When it was sent, in milliseconds.
+    /// When the attempt was sent, in milliseconds.
     pub(crate) sent_ms: f64,
-    /// The endpoint's zone when it was sent.
+    /// The endpoint's zone when the attempt was sent.
     zone: ZoneIndex,
-    /// The endpoint's cell when it was sent.
+    /// The endpoint's cell when the attempt was sent.
     cell: u64,
     state: AttemptState,
 }
 
-/// What became of an attempt.
+/// The state of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum AttemptState {
-    /// It is in flight.
+    /// The attempt is in flight.
     Pending,
-    /// It has ended, and the endpoint may have done the work.
+    /// The attempt has ended, and the endpoint may have run the request.
     MayHaveRun,
-    /// It has ended, and the endpoint did none of the work.
+    /// The attempt has ended, and the endpoint did not run the request.
     NotRun,
 }
 
 impl Attempt {
-    /// An attempt that is sent to an endpoint now.
+    /// Creates the record of an attempt that is sent to an endpoint now.
     pub(crate) fn new(endpoint: &Endpoint, now_ms: f64) -> Self {
         Attempt {
             endpoint: endpoint.id(),
@@ -39,50 +39,51 @@
         }
     }
 
-    /// Whether it is in flight.
+    /// Returns whether the attempt is in flight.
     pub(crate) fn is_pending(&self) -> bool {
         self.state == AttemptState::Pending
     }
 
-    /// Marks it as ended. `may_have_run`: the endpoint may have done the work, or may still do it.
+    /// Marks the attempt as ended. `may_have_run` says whether the endpoint may have run the request or may
+    /// still run it.
     pub(crate) fn end(&mut self, may_have_run: bool) {
         self.state = if may_have_run { AttemptState::MayHaveRun } else { AttemptState::NotRun };
     }
 
-    /// Whether the endpoint may have done the work, or may still do it.
+    /// Returns whether the endpoint may have run the request or may still run it.
     pub(crate) fn may_have_run(&self) -> bool {
         self.state != AttemptState::NotRun
     }
 
-    /// The endpoint's zone when it was sent.
+    /// Returns the endpoint's zone when the attempt was sent.
     pub(crate) fn zone(&self) -> ZoneIndex {
         self.zone
     }
 
-    /// The endpoint's cell when it was sent.
+    /// Returns the endpoint's cell when the attempt was sent.
     pub(crate) fn cell(&self) -> u64 {
         self.cell
     }
 }
 
-/// Names an attempt.
+/// The identifier of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct AttemptId {
-    /// The request.
+    /// The request that the attempt belongs to.
     pub(crate) request: RequestId,
     /// The attempt's number among those of its request, from 0.
     pub(crate) attempt: u32,
 }
 
-/// An attempt in flight.
+/// An attempt in flight, with the class of its request.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct PendingAttempt {
-    /// Its name.
+    /// The attempt's identifier.
     pub(crate) attempt_id: AttemptId,
-    /// Its request's class, an index into the settings.
+    /// The class of the request.
     pub(crate) class: ClassIndex,
-    /// Where it was sent.
+    /// The endpoint that the attempt was sent to.
     pub(crate) endpoint: EndpointId,
-    /// When it was sent, in milliseconds.
+    /// When the attempt was sent, in milliseconds.
     pub(crate) sent_ms: f64,
 }
--- a/crates/admission/src/state/request/retry_budget.rs
+++ b/crates/admission/src/state/request/retry_budget.rs
@@ -1,30 +1,30 @@
-//! The budget of retries.
+//! The retry budget.
 use crate::mechanism::token_bucket::TokenCount;
 
-/// Tokens for retries: the first attempt of a request brings some, each retry costs some. So retries stay a
-/// bounded fraction of all attempts, also while many fail.
+/// Tokens that limit retries: the first attempt of a request adds some, and each retry costs some. Retries
+/// therefore stay a bounded fraction of all attempts, even while many attempts fail.
 #[derive(Debug, Default)]
 pub(crate) struct RetryBudget {
     tokens: TokenCount,
 }
 
 impl RetryBudget {
-    /// A budget that starts with these tokens.
+    /// Creates a budget that holds `tokens`.
     pub(crate) fn new(tokens: f64) -> Self {
         RetryBudget { tokens: TokenCount::new(tokens) }
     }
 
-    /// Adds tokens, up to `limit` in all.
+    /// Adds tokens, up to a total of `limit`.
     pub(crate) fn earn(&mut self, tokens: f64, limit: f64) {
         self.tokens.add(tokens, limit);
     }
 
-    /// Tokens at hand.
+    /// Returns the available tokens.
     pub(crate) fn tokens(&self) -> f64 {
         self.tokens.tokens()
     }
 
-    /// Takes tokens out.
+    /// Removes tokens.
     pub(crate) fn spend(&mut self, tokens: f64) {
         self.tokens.take(tokens);
     }
