--- a/crates/admission/src/coordination/counter_calls.rs
+++ b/crates/admission/src/coordination/counter_calls.rs
@@ -218,7 +218,7 @@
         let correction_units = if unsent {
             -self.refund_units(active.request.units)
         } else {
-            settlement_units(active.quota(), active.settled_units())
+            settlement_units(active.quota(), active.excess_units())
         };
         let Some(customer) = self.customers.get_mut(active.tag) else { return };
         customer.counter.correct(correction_units);
--- a/crates/admission/src/lifecycle/requests.rs
+++ b/crates/admission/src/lifecycle/requests.rs
@@ -78,7 +78,7 @@
             quota: active.quota(),
             is_unsent: active.is_unsent(),
             units: active.request.units,
-            settled_units: active.settled_units(),
+            excess_units: active.excess_units(),
             has_concurrency_limit: self.settings.plan(active.request.plan).concurrency_limit > 0,
         };
         match settlement_at_end(&ended) {
--- a/crates/admission/src/policy/request_end/quota_settlement.rs
+++ b/crates/admission/src/policy/request_end/quota_settlement.rs
@@ -13,7 +13,7 @@
     /// Units that it counts.
     pub(crate) units: f64,
     /// Units by which its attempts passed these.
-    pub(crate) settled_units: f64,
+    pub(crate) excess_units: f64,
     /// Whether its plan has an open limit, so that the quota's owner counts it as in flight.
     pub(crate) has_concurrency_limit: bool,
 }
@@ -42,9 +42,9 @@
             QuotaSettlement::Release { owner, number, additional_units: unused_units }
         }
         QuotaState::GrantedByOwner { owner, number, ample } => {
-            let units_matter = ended.settled_units != 0.0 && !ample;
+            let units_matter = ended.excess_units != 0.0 && !ample;
             if ended.has_concurrency_limit || units_matter {
-                QuotaSettlement::Release { owner, number, additional_units: ended.settled_units }
+                QuotaSettlement::Release { owner, number, additional_units: ended.excess_units }
             } else {
                 QuotaSettlement::Nothing
             }
--- a/crates/admission/src/state/request/active_request.rs
+++ b/crates/admission/src/state/request/active_request.rs
@@ -23,7 +23,7 @@
     quota: QuotaState,
     /// Units by which the attempts' true units exceed the estimate, if another gateway or the counter counts
     /// the quota.
-    settled_units: f64,
+    excess_units: f64,
 }
 
 impl ActiveRequest {
@@ -43,7 +43,7 @@
             attempts: Vec::new(),
             closed: false,
             quota: QuotaState::LocalBucket { within_quota: false },
-            settled_units: 0.0,
+            excess_units: 0.0,
             request,
         }
     }
@@ -61,13 +61,13 @@
     /// Adds the units by which an ended attempt's true units exceed the estimate, to be settled with the
     /// owner or the counter that counts the quota.
     pub(crate) fn settle(&mut self, excess_units: f64) {
-        self.settled_units += excess_units;
+        self.excess_units += excess_units;
     }
 
     /// Returns the units by which the attempts' true units exceed the estimate, if another gateway or the
     /// counter counts the quota.
-    pub(crate) fn settled_units(&self) -> f64 {
-        self.settled_units
+    pub(crate) fn excess_units(&self) -> f64 {
+        self.excess_units
     }
 
     /// Returns the number of attempts that were sent.
--- a/crates/admission/src/tests/load_rules/request_end_rules.rs
+++ b/crates/admission/src/tests/load_rules/request_end_rules.rs
@@ -29,15 +29,15 @@
         quota: QuotaState::GrantedByOwner { owner, number, ample },
         is_unsent: false,
         units: 2.0,
-        settled_units: 0.0,
+        excess_units: 0.0,
         has_concurrency_limit: false,
     };
     let ended = |quota| EndedRequest { quota, ..granted(false) };
     let cases = [
         (granted(false), QuotaSettlement::Nothing),
         (EndedRequest { is_unsent: true, ..granted(true) }, release(-2.0)),
-        (EndedRequest { settled_units: 0.5, ..granted(false) }, release(0.5)),
-        (EndedRequest { settled_units: 0.5, ..granted(true) }, QuotaSettlement::Nothing),
+        (EndedRequest { excess_units: 0.5, ..granted(false) }, release(0.5)),
+        (EndedRequest { excess_units: 0.5, ..granted(true) }, QuotaSettlement::Nothing),
         (EndedRequest { has_concurrency_limit: true, ..granted(true) }, release(0.0)),
         (
             ended(QuotaState::QueuedAtOwner { owner, number }),
