--- a/crates/admission/src/event.rs
+++ b/crates/admission/src/event.rs
@@ -34,7 +34,7 @@
 
 /// What an update of the endpoint list contains.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ListKind {
+pub enum ListUpdateKind {
     /// Only the entries that changed.
     Changes,
     /// All entries. An endpoint that has no entry has been removed.
@@ -129,7 +129,7 @@
     /// The endpoint list was updated.
     EndpointList {
         /// What the update contains.
-        kind: ListKind,
+        kind: ListUpdateKind,
         /// The entries of the update.
         entries: Vec<EndpointEntry>,
     },
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -33,7 +33,7 @@
 
 pub use action::Action;
 pub use event::{
-    AttemptEnd, CounterOutcome, EndpointEntry, EndpointState, Event, ListKind, Outcome, Request,
+    AttemptEnd, CounterOutcome, EndpointEntry, EndpointState, Event, ListUpdateKind, Outcome, Request,
 };
 pub use gateway::Gateway;
 pub use id::{
--- a/crates/admission/src/state/endpoint/endpoint_table.rs
+++ b/crates/admission/src/state/endpoint/endpoint_table.rs
@@ -1,5 +1,5 @@
 //! The endpoints of the list.
-use crate::event::{EndpointEntry, ListKind};
+use crate::event::{EndpointEntry, ListUpdateKind};
 use crate::id::EndpointId;
 use crate::mechanism::splitmix64::{short_tag, SplitMix64};
 use crate::state::{Endpoint, EndpointSmoothing};
@@ -26,16 +26,16 @@
     /// Without that all gateways would send it their first attempt at the same time.
     pub(crate) fn apply_list(
         &mut self,
-        kind: ListKind,
+        kind: ListUpdateKind,
         entries: Vec<EndpointEntry>,
         now_ms: f64,
         random: &mut SplitMix64,
     ) {
-        if kind == ListKind::Failed {
+        if kind == ListUpdateKind::Failed {
             return;
         }
         self.list_expired = false;
-        if kind != ListKind::Changes {
+        if kind != ListUpdateKind::Changes {
             self.mark_unlisted_gone(&entries);
         }
         for entry in entries {
--- a/crates/admission/tests/it/common/fleet.rs
+++ b/crates/admission/tests/it/common/fleet.rs
@@ -117,7 +117,7 @@
         let me = settings.this_gateway.0;
         self.gateways.insert(me, Gateway::new(settings, seed, self.now_ms).expect("sound settings"));
         let entries = self.endpoints.clone();
-        self.event(me, Event::EndpointList { kind: ListKind::Cached, entries });
+        self.event(me, Event::EndpointList { kind: ListUpdateKind::Cached, entries });
     }
 
     fn schedule(&mut self, after_ms: f64, gateway: usize, event: Event) {
--- a/crates/admission/tests/it/common/single_gateway.rs
+++ b/crates/admission/tests/it/common/single_gateway.rs
@@ -50,7 +50,7 @@
     }
 
     pub(crate) fn update_endpoints(&mut self, entries: Vec<EndpointEntry>) -> Vec<Action> {
-        self.event(Event::EndpointList { kind: ListKind::Changes, entries })
+        self.event(Event::EndpointList { kind: ListUpdateKind::Changes, entries })
     }
 
     /// Submits a request that the test has changed.
--- a/crates/admission/tests/it/dispatch.rs
+++ b/crates/admission/tests/it/dispatch.rs
@@ -36,7 +36,7 @@
     let mut gateway =
         SingleGateway::started_at(Settings { this_gateway: GatewayIndex(3), ..settings }, SEED, 0.0);
     let entries = warm_endpoints(40);
-    let mut actions = gateway.event(Event::EndpointList { kind: ListKind::Complete, entries });
+    let mut actions = gateway.event(Event::EndpointList { kind: ListUpdateKind::Complete, entries });
     // The band is over-full: 6 attempts in flight at each endpoint, at a watermark of 4.
     let body = gossip_report(GossipReport { mean_stock_64ths: 240 * 64 / 100, watermark: 4 });
     let (mut submitted, mut sent, mut rejected) = ([0; 2], [0; 2], [0; 2]);
--- a/crates/admission/tests/it/endpoint_list.rs
+++ b/crates/admission/tests/it/endpoint_list.rs
@@ -25,7 +25,7 @@
 fn drops_endpoints_that_a_complete_list_does_not_name() {
     let mut gateway = SingleGateway::new(broadcast_settings(Idempotency::Idempotent), 3);
     let entries = vec![endpoint_of_two_zones(2)];
-    gateway.event(Event::EndpointList { kind: ListKind::Complete, entries });
+    gateway.event(Event::EndpointList { kind: ListUpdateKind::Complete, entries });
     let all = gateway.submit_as_new_customers(4);
     assert!(sends(&all).iter().all(|attempt| attempt.endpoint.0 == 2));
 }
@@ -58,10 +58,10 @@
         let submit =
             |id| Event::Request(Request { time_left_ms: 2000.0, ..request(RequestId(id), CustomerId(5)) });
         let has_sends = |actions: &[Action]| !sends(actions).is_empty();
-        at(0.0, update(ListKind::Complete, warm_endpoints(9)));
+        at(0.0, update(ListUpdateKind::Complete, warm_endpoints(9)));
         assert!(has_sends(&at(5000.0, submit(1))), "{gateways}");
         at(5100.0, Event::EndpointListExpired);
-        assert!(!has_sends(&at(5100.0, update(ListKind::Failed, Vec::new()))));
+        assert!(!has_sends(&at(5100.0, update(ListUpdateKind::Failed, Vec::new()))));
         let mut rejected = false;
         let mut actions = at(5200.0, submit(2));
         for round in 0..200 {
@@ -71,7 +71,7 @@
         }
         assert!(rejected, "{gateways}: it is rejected in time");
         assert!(!has_sends(&at(6300.0, submit(3))), "{gateways}");
-        let resumed = at(6310.0, update(ListKind::Changes, Vec::new()));
+        let resumed = at(6310.0, update(ListUpdateKind::Changes, Vec::new()));
         assert!(has_sends(&resumed), "{gateways}: the queued request is sent");
     }
 }
--- a/crates/admission/tests/it/in_flight_band.rs
+++ b/crates/admission/tests/it/in_flight_band.rs
@@ -47,7 +47,7 @@
     let settings = Settings { this_gateway: GatewayIndex(3), ..fleet_settings(100, plan(100.0, 400.0)) };
     let mut gateway = SingleGateway::started_at(settings, SEED, 0.0);
     let entries = warm_endpoints(40);
-    let mut actions = gateway.event(Event::EndpointList { kind: ListKind::Complete, entries });
+    let mut actions = gateway.event(Event::EndpointList { kind: ListUpdateKind::Complete, entries });
     // 3 attempts in flight at each endpoint, answered promptly, and a watermark of 2.
     let body = gossip_report(GossipReport { mean_stock_64ths: 120 * 64 / 100, watermark: 2 });
     let mut sent = 0;
--- a/crates/admission/tests/it/slow_start_fleet/simulation.rs
+++ b/crates/admission/tests/it/slow_start_fleet/simulation.rs
@@ -156,7 +156,7 @@
             let started_at_ms = self.endpoints[n].started_at_ms;
             let entry = EndpointEntry { started_at_ms, ..endpoint(n as u64) };
             let listed_ms = started_at_ms.map_or(0.0, |start| start + self.random.between(20.0, 400.0));
-            let event = Event::EndpointList { kind: ListKind::Changes, entries: vec![entry] };
+            let event = Event::EndpointList { kind: ListUpdateKind::Changes, entries: vec![entry] };
             self.schedule(listed_ms, DueEvent::Gateway { gateway, event });
         }
     }
--- a/crates/gateway/src/discovery/watch.rs
+++ b/crates/gateway/src/discovery/watch.rs
@@ -14,7 +14,7 @@
 use http_body_util::Full;
 use hyper::header::HOST;
 use hyper::{Request, Response, StatusCode};
-use irishinge_admission::ListKind;
+use irishinge_admission::ListUpdateKind;
 use std::convert::Infallible;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -166,7 +166,7 @@
                 "discovery answers again; endpoint list current"
             );
         }
-        let kind = if list.is_complete { ListKind::Complete } else { ListKind::Changes };
+        let kind = if list.is_complete { ListUpdateKind::Complete } else { ListUpdateKind::Changes };
         self.observer.list_received(kind, list);
         Ok(())
     }
--- a/crates/gateway/src/dispatcher/mod.rs
+++ b/crates/gateway/src/dispatcher/mod.rs
@@ -18,7 +18,7 @@
 use crate::peers::{PeerMessageHandler, Peers};
 use crate::quota_counter::QuotaCounter;
 use crate::upstream::{AttemptResult, UpstreamPool, UpstreamRequest};
-use irishinge_admission::{Event, Gateway, GatewayIndex, ListKind, Outcome, Request, RequestId};
+use irishinge_admission::{Event, Gateway, GatewayIndex, ListUpdateKind, Outcome, Request, RequestId};
 use irishinge_settings::Names;
 use std::cell::RefCell;
 use std::collections::{HashMap, VecDeque};
@@ -204,7 +204,7 @@
 }
 
 impl EndpointListObserver for Rc<Dispatcher> {
-    fn list_received(&self, kind: ListKind, list: EndpointList) {
+    fn list_received(&self, kind: ListUpdateKind, list: EndpointList) {
         let endpoints = list.endpoints(&self.names, self.clock.now_ms());
         self.upstream.apply_list(kind, &endpoints);
         let entries = endpoints.into_iter().map(|endpoint| endpoint.entry).collect();
--- a/crates/gateway/src/startup.rs
+++ b/crates/gateway/src/startup.rs
@@ -11,7 +11,7 @@
 use crate::quota_counter::QuotaCounter;
 use crate::shutdown::{Shutdown, ShutdownTimes};
 use crate::upstream::{UpstreamPool, IDLE_CHECK_INTERVAL};
-use irishinge_admission::{Gateway, ListKind, SettingsError};
+use irishinge_admission::{Gateway, ListUpdateKind, SettingsError};
 use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -111,7 +111,7 @@
     let cached = cached?;
     // To continue from an empty list would save discovery no work.
     let revision = (!cached.is_empty()).then_some(cached.revision);
-    dispatcher.list_received(ListKind::Cached, cached);
+    dispatcher.list_received(ListUpdateKind::Cached, cached);
     revision
 }
 
--- a/crates/gateway/src/upstream/pool.rs
+++ b/crates/gateway/src/upstream/pool.rs
@@ -5,7 +5,7 @@
 use crate::discovery::DiscoveredEndpoint;
 use crate::http_connection::{HttpConnection, IdleCheck};
 use crate::idle_connections::IdleConnections;
-use irishinge_admission::{EndpointId, EndpointState, ListKind};
+use irishinge_admission::{EndpointId, EndpointState, ListUpdateKind};
 use irishinge_settings::SocketSettings;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -59,9 +59,9 @@
     }
 
     /// Applies an endpoint list. Idle connections to endpoints that no longer accept requests are closed.
-    pub(crate) fn apply_list(&self, kind: ListKind, discovered: &[DiscoveredEndpoint]) {
+    pub(crate) fn apply_list(&self, kind: ListUpdateKind, discovered: &[DiscoveredEndpoint]) {
         let mut endpoints = self.endpoints.borrow_mut();
-        if kind != ListKind::Changes {
+        if kind != ListUpdateKind::Changes {
             endpoints.retain(|id, _| discovered.iter().any(|d| d.entry.id == *id));
         }
         for DiscoveredEndpoint { entry, addr } in discovered {
--- a/crates/gateway/src/upstream/tests/connections.rs
+++ b/crates/gateway/src/upstream/tests/connections.rs
@@ -7,7 +7,7 @@
 use hyper::header::HeaderValue;
 use hyper::{Method, Uri};
 use irishinge_admission::{
-    EndpointEntry, EndpointId, EndpointState, ListKind, MachineKindIndex, Outcome, ZoneIndex,
+    EndpointEntry, EndpointId, EndpointState, ListUpdateKind, MachineKindIndex, Outcome, ZoneIndex,
 };
 use irishinge_settings::SocketSettings;
 use std::io::{Read, Write};
@@ -103,7 +103,7 @@
             state,
             started_at_ms: None,
         };
-        pool.apply_list(ListKind::Complete, &[DiscoveredEndpoint { entry, addr }]);
+        pool.apply_list(ListUpdateKind::Complete, &[DiscoveredEndpoint { entry, addr }]);
     };
     list_endpoint_as(EndpointState::Ready);
     let request = request();
--- a/crates/simulator-adapter/src/wire/event.rs
+++ b/crates/simulator-adapter/src/wire/event.rs
@@ -8,8 +8,8 @@
 };
 use super::input::EventMessage;
 use irishinge_admission::{
-    AttemptEnd, CounterOutcome, CustomerId, EndpointEntry, EndpointState, Event, GatewayIndex, ListKind,
-    Outcome, Request, RequestId,
+    AttemptEnd, CounterOutcome, CustomerId, EndpointEntry, EndpointState, Event, GatewayIndex,
+    ListUpdateKind, Outcome, Request, RequestId,
 };
 use irishinge_settings::{Names, UnknownName};
 
@@ -54,13 +54,13 @@
     }
 }
 
-impl From<EndpointListKind> for ListKind {
+impl From<EndpointListKind> for ListUpdateKind {
     fn from(kind: EndpointListKind) -> Self {
         match kind {
-            EndpointListKind::Changes => ListKind::Changes,
-            EndpointListKind::Complete => ListKind::Complete,
-            EndpointListKind::Cached => ListKind::Cached,
-            EndpointListKind::Failed => ListKind::Failed,
+            EndpointListKind::Changes => ListUpdateKind::Changes,
+            EndpointListKind::Complete => ListUpdateKind::Complete,
+            EndpointListKind::Cached => ListUpdateKind::Cached,
+            EndpointListKind::Failed => ListUpdateKind::Failed,
         }
     }
 }
--- a/crates/simulator-adapter/src/wire/tests/events.rs
+++ b/crates/simulator-adapter/src/wire/tests/events.rs
@@ -4,7 +4,7 @@
 use crate::wire::TranslationError;
 use irishinge_admission::{
     AttemptEnd, ClassIndex, CounterOutcome, CustomerId, EndpointEntry, EndpointId, EndpointState, Event,
-    GatewayIndex, ListKind, MachineKindIndex, Outcome, PlanIndex, Request, RequestId, ZoneIndex,
+    GatewayIndex, ListUpdateKind, MachineKindIndex, Outcome, PlanIndex, Request, RequestId, ZoneIndex,
 };
 use irishinge_settings::{NameKind, Names, UnknownName};
 use serde_json::{json, Value};
@@ -83,10 +83,10 @@
 #[test]
 fn each_kind_of_list_and_state_of_an_endpoint_is_read() {
     let kinds = [
-        ("patch", ListKind::Changes),
-        ("whole", ListKind::Complete),
-        ("stale_copy", ListKind::Cached),
-        ("broken", ListKind::Failed),
+        ("patch", ListUpdateKind::Changes),
+        ("whole", ListUpdateKind::Complete),
+        ("stale_copy", ListUpdateKind::Cached),
+        ("broken", ListUpdateKind::Failed),
     ];
     for (written, kind) in kinds {
         let message = json!({"msg": "Targets", "gen": 1, "kind": written, "hosts": []});
@@ -106,7 +106,7 @@
             started_at_ms: Some(6100.0),
         };
         let message = json!({"msg": "Targets", "gen": 1, "kind": "whole", "hosts": [host]});
-        let expected = Event::EndpointList { kind: ListKind::Complete, entries: vec![entry] };
+        let expected = Event::EndpointList { kind: ListUpdateKind::Complete, entries: vec![entry] };
         assert_eq!(translate(message), Ok(expected));
     }
 }
