--- a/crates/admission/src/event.rs
+++ b/crates/admission/src/event.rs
@@ -107,7 +107,7 @@
     /// Time since the attempt was sent, in milliseconds.
     pub took_ms: f64,
     /// Whether the request has its final response or its client has disconnected.
-    pub closed: bool,
+    pub request_closed: bool,
     /// Units that the request really counted; `None` if they did not come with the response.
     pub true_units: Option<f64>,
 }
--- a/crates/admission/src/lifecycle/attempts.rs
+++ b/crates/admission/src/lifecycle/attempts.rs
@@ -85,7 +85,7 @@
         let Some(active) = self.requests.get(end.request) else { return };
         let next = after_attempt(&EndedAttempt {
             outcome: end.outcome,
-            is_closed: end.closed || active.is_closed(),
+            is_closed: end.request_closed || active.is_closed(),
             has_attempt_in_flight: active.has_attempt_in_flight(),
         });
         match next {
--- a/crates/admission/tests/it/common/builders.rs
+++ b/crates/admission/tests/it/common/builders.rs
@@ -106,7 +106,7 @@
         endpoint,
         outcome,
         took_ms,
-        closed: outcome == Outcome::Ok,
+        request_closed: outcome == Outcome::Ok,
         true_units: None,
     }
 }
--- a/crates/gateway/src/dispatcher/active_call.rs
+++ b/crates/gateway/src/dispatcher/active_call.rs
@@ -127,7 +127,7 @@
             endpoint: self.endpoint,
             outcome: result.outcome,
             took_ms: self.took_ms,
-            closed: self.request_answered,
+            request_closed: self.request_answered,
             true_units: result.true_units(),
         })
     }
--- a/crates/simulator-adapter/src/wire/event.rs
+++ b/crates/simulator-adapter/src/wire/event.rs
@@ -125,7 +125,7 @@
             endpoint: self.endpoint.0,
             outcome: self.outcome.into(),
             took_ms: self.took_ms,
-            closed: self.request_closed,
+            request_closed: self.request_closed,
             true_units: positive(self.true_units),
         }
     }
--- a/crates/simulator-adapter/src/wire/tests/events.rs
+++ b/crates/simulator-adapter/src/wire/tests/events.rs
@@ -41,7 +41,7 @@
         endpoint: ENDPOINT,
         outcome,
         took_ms: 18.5,
-        closed: false,
+        request_closed: false,
         true_units: None,
     }
 }
@@ -71,7 +71,7 @@
     message["metered"] = 86.into();
     message["closed"] = true.into();
     message["load"] = json!({"queue": 3, "util": 0.5});
-    let expected = AttemptEnd { closed: true, true_units: Some(3.0), ..attempt_end(Outcome::Ok) };
+    let expected = AttemptEnd { request_closed: true, true_units: Some(3.0), ..attempt_end(Outcome::Ok) };
     assert_eq!(translate(message.clone()), Ok(Event::AttemptEnded(expected)));
     for (key, malformed) in [("load", json!({"queue": "long"})), ("metered", json!("much"))] {
         let mut message = message.clone();
