--- a/crates/admission/src/mechanism/common_value.rs
+++ b/crates/admission/src/mechanism/common_value.rs
@@ -15,12 +15,12 @@
 
 /// The value that was recorded most often recently, which is the candidate of the vote, and its votes.
 #[derive(Debug, Clone, Copy, Default)]
-pub(crate) struct CommonValue {
+pub(crate) struct MostCommonValue {
     value: f64,
     votes: i32,
 }
 
-impl CommonValue {
+impl MostCommonValue {
     /// Counts a value and returns whether it equals the candidate. A value that leaves the candidate without
     /// votes becomes the candidate.
     pub(crate) fn record(&mut self, value: f64, limits: VoteLimits) -> bool {
--- a/crates/admission/src/state/endpoint/latency_model.rs
+++ b/crates/admission/src/state/endpoint/latency_model.rs
@@ -1,6 +1,6 @@
 //! Learned response times.
 use crate::id::{ClassIndex, MachineKindIndex};
-use crate::mechanism::common_value::{CommonValue, VoteLimits};
+use crate::mechanism::common_value::{MostCommonValue, VoteLimits};
 use crate::mechanism::smoothing::smooth;
 use std::collections::BTreeMap;
 
@@ -36,7 +36,7 @@
     /// Smoothed response time of each class, in ms.
     mean_by_class_ms: Vec<f64>,
     /// The commonest time budget of each class: the time that clients wait.
-    time_budgets: Vec<CommonValue>,
+    time_budgets: Vec<MostCommonValue>,
     /// Age of own attempts in flight at an endpoint that is not among the slowest, in ms.
     typical_age_ms: f64,
     /// Usual relative response time of each machine kind.
@@ -57,7 +57,7 @@
             gains,
             floors,
             objective_fraction,
-            time_budgets: vec![CommonValue::default(); mean_by_class_ms.len()],
+            time_budgets: vec![MostCommonValue::default(); mean_by_class_ms.len()],
             mean_by_class_ms,
             ..LatencyModel::default()
         }
