--- a/crates/admission/src/mechanism/common_value.rs
+++ b/crates/admission/src/mechanism/common_value.rs
@@ -3,7 +3,7 @@
 
 /// The parameters of a vote on the most common value.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct VoteLimits {
+pub(crate) struct VoteParameters {
     /// Largest difference from the candidate at which a value counts as equal, as a fraction of the
     /// candidate.
     pub tolerance: f64,
@@ -23,7 +23,7 @@
 impl MostCommonValue {
     /// Counts a value and returns whether it equals the candidate. A value that leaves the candidate without
     /// votes becomes the candidate.
-    pub(crate) fn record(&mut self, value: f64, limits: VoteLimits) -> bool {
+    pub(crate) fn record(&mut self, value: f64, limits: VoteParameters) -> bool {
         if (value - self.value).abs() <= limits.tolerance * self.value {
             self.votes = (self.votes + limits.votes_per_match).min(limits.max_votes);
             return true;
--- a/crates/admission/src/policy/admission/elapsed_wait.rs
+++ b/crates/admission/src/policy/admission/elapsed_wait.rs
@@ -4,11 +4,11 @@
 //! first requests of a class all carry the same time budget, so the commonest budget of a class, found by
 //! vote, is that of a first request. One with less left is a client's retry, and the difference was spent
 //! before.
-use crate::mechanism::common_value::VoteLimits;
+use crate::mechanism::common_value::VoteParameters;
 
 /// How the vote on the commonest time budget of a class is counted.
-pub(crate) const TIME_BUDGET_VOTE: VoteLimits =
-    VoteLimits { tolerance: 0.02, votes_per_match: 4, max_votes: 30 };
+pub(crate) const TIME_BUDGET_VOTE: VoteParameters =
+    VoteParameters { tolerance: 0.02, votes_per_match: 4, max_votes: 30 };
 
 /// Votes from which the commonest time budget is taken for that of clients' first requests.
 const MIN_TIME_BUDGET_VOTES: i32 = 10;
--- a/crates/admission/src/state/endpoint/latency_model.rs
+++ b/crates/admission/src/state/endpoint/latency_model.rs
@@ -1,6 +1,6 @@
 //! Learned response times.
 use crate::id::{ClassIndex, MachineKindIndex};
-use crate::mechanism::common_value::{MostCommonValue, VoteLimits};
+use crate::mechanism::common_value::{MostCommonValue, VoteParameters};
 use crate::mechanism::smoothing::smooth;
 use std::collections::BTreeMap;
 
@@ -115,7 +115,7 @@
         &mut self,
         class: ClassIndex,
         time_left_ms: f64,
-        limits: VoteLimits,
+        limits: VoteParameters,
     ) -> Option<i32> {
         let common = &mut self.time_budgets[class.0];
         let is_common = common.record(time_left_ms, limits);
