--- a/crates/admission/src/event_handling.rs
+++ b/crates/admission/src/event_handling.rs
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Handles a peer's message in the fleet's mode.
+    /// Handles a peer's message: counts in broadcast mode, gossip in a large fleet.
     fn on_peer_message(&mut self, from: GatewayIndex, body: &str, actions: &mut Vec<Action>) {
         match self.coordination.fleet_mode() {
             FleetMode::Broadcast => self.on_counts_message(from, body),
--- a/crates/admission/src/lifecycle/attempts.rs
+++ b/crates/admission/src/lifecycle/attempts.rs
@@ -114,7 +114,7 @@
             max_units: self.settings.max_units,
         });
         if let ExcessCharge::Request { excess_units } = usage.charge {
-            active.settle(excess_units);
+            active.add_excess_units(excess_units);
         }
         let tag = active.tag;
         let Some(customer) = self.customers.get_mut(tag) else { return };
--- a/crates/admission/src/state/request/active_request.rs
+++ b/crates/admission/src/state/request/active_request.rs
@@ -60,7 +60,7 @@
 
     /// Adds the units by which an ended attempt's true units exceed the estimate, to be settled with the
     /// owner or the counter that counts the quota.
-    pub(crate) fn settle(&mut self, excess_units: f64) {
+    pub(crate) fn add_excess_units(&mut self, excess_units: f64) {
         self.excess_units += excess_units;
     }
 
