--- a/crates/admission/src/lifecycle/endpoints.rs
+++ b/crates/admission/src/lifecycle/endpoints.rs
@@ -1,15 +1,15 @@
-//! What the end of an attempt brings about in the records of its endpoint.
+//! Updates the records of an endpoint when an attempt at it ends.
 use crate::event::AttemptEnd;
 use crate::gateway::Gateway;
 use crate::id::{ClassIndex, PlanIndex};
 use crate::policy::outlier::{
     ejection_jitter, health_evidence, HealthEvidence, HealthVerdict, EJECTION, ERROR_GAIN,
 };
-use crate::state::{AttemptRef, EndpointHealth, FleetMode};
+use crate::state::{AttemptId, EndpointHealth, FleetMode};
 
 impl Gateway {
-    /// Records how an attempt ended in its endpoint's response time and health, and ejects the endpoint if
-    /// need be.
+    /// Records how an attempt ended in its endpoint's response time and health, and pauses or ejects the
+    /// endpoint if the rules say so.
     pub(crate) fn record_attempt_end(&mut self, end: &AttemptEnd, class: ClassIndex, plan: PlanIndex) {
         match self.coordination.fleet_mode() {
             FleetMode::Broadcast => self.learn_response_time(end, class),
@@ -21,7 +21,7 @@
         let now_ms = self.clock.now_ms();
         let jitter = ejection_jitter(self.random.next_fraction());
         let Some(endpoint) = self.endpoints.get_mut(end.endpoint) else { return };
-        endpoint.remove_in_flight(AttemptRef { request: end.request, attempt: end.attempt });
+        endpoint.remove_in_flight(AttemptId { request: end.request, attempt: end.attempt });
         record_health(&mut endpoint.health, health_evidence(end.outcome), now_ms);
         let Some(endpoint) = self.endpoints.get(end.endpoint) else { return };
         let verdict = self.health_verdict(endpoint, end, class);
@@ -38,7 +38,7 @@
     }
 }
 
-/// Records what the end of an attempt shows of its endpoint's health.
+/// Records what the end of an attempt shows of the health of its endpoint.
 fn record_health(health: &mut EndpointHealth, evidence: HealthEvidence, now_ms: f64) {
     match evidence {
         HealthEvidence::Served => {
--- a/crates/gateway/src/dispatcher/mod.rs
+++ b/crates/gateway/src/dispatcher/mod.rs
@@ -18,7 +18,7 @@
 use crate::peers::{PeerMessageHandler, Peers};
 use crate::quota_counter::QuotaCounter;
 use crate::upstream::{AttemptResult, UpstreamPool, UpstreamRequest};
-use irishinge_admission::{Event, Gateway, GatewayIndex, ListKind, Outcome, Request, RequestId};
+use irishinge_admission::{Event, Gateway, GatewayIndex, ListUpdateKind, Outcome, Request, RequestId};
 use irishinge_settings::Names;
 use std::cell::RefCell;
 use std::collections::{HashMap, VecDeque};
@@ -118,7 +118,7 @@
     pub(crate) fn on_client_gone(self: &Rc<Self>, request: RequestId) {
         let responder = self.state.borrow_mut().calls.get_mut(&request).and_then(ActiveCall::take_responder);
         if responder.is_some() {
-            self.on_event(Event::ClientGone { request });
+            self.on_event(Event::ClientDisconnected { request });
             self.forget_if_over(request);
         }
     }
@@ -150,7 +150,7 @@
             (responder, call.was_attempted())
         };
         responder.respond(response_without_result(was_attempted));
-        self.on_event(Event::ClientGone { request });
+        self.on_event(Event::ClientDisconnected { request });
         self.forget_if_over(request);
     }
 
@@ -204,7 +204,7 @@
 }
 
 impl EndpointListObserver for Rc<Dispatcher> {
-    fn list_received(&self, kind: ListKind, list: EndpointList) {
+    fn list_received(&self, kind: ListUpdateKind, list: EndpointList) {
         let endpoints = list.endpoints(&self.names, self.clock.now_ms());
         self.upstream.apply_list(kind, &endpoints);
         let entries = endpoints.into_iter().map(|endpoint| endpoint.entry).collect();
--- a/crates/simulator-adapter/src/wire/event.rs
+++ b/crates/simulator-adapter/src/wire/event.rs
@@ -8,8 +8,8 @@
 };
 use super::input::EventMessage;
 use irishinge_admission::{
-    AttemptEnd, CounterOutcome, CustomerId, EndpointEntry, EndpointState, Event, GatewayIndex, ListKind,
-    Outcome, Request, RequestId,
+    AttemptEnd, CounterOutcome, CustomerId, EndpointEntry, EndpointState, Event, GatewayIndex,
+    ListUpdateKind, Outcome, Request, RequestId,
 };
 use irishinge_settings::{Names, UnknownName};
 
@@ -35,7 +35,9 @@
             EventMessage::PeerMessage(message) => {
                 Event::PeerMessage { from: GatewayIndex(message.from), body: message.body }
             }
-            EventMessage::ClientGone(client) => Event::ClientGone { request: RequestId(client.request.0) },
+            EventMessage::ClientDisconnected(client) => {
+                Event::ClientDisconnected { request: RequestId(client.request.0) }
+            }
             EventMessage::AttemptEnded(attempt) => Event::AttemptEnded(attempt.into_attempt_end()),
             // No decision depends on them, but as after every event the library sends queued requests that
             // may go.
@@ -52,13 +54,13 @@
     }
 }
 
-impl From<EndpointListKind> for ListKind {
+impl From<EndpointListKind> for ListUpdateKind {
     fn from(kind: EndpointListKind) -> Self {
         match kind {
-            EndpointListKind::Changes => ListKind::Changes,
-            EndpointListKind::Complete => ListKind::Complete,
-            EndpointListKind::Cached => ListKind::Cached,
-            EndpointListKind::Failed => ListKind::Failed,
+            EndpointListKind::Changes => ListUpdateKind::Changes,
+            EndpointListKind::Complete => ListUpdateKind::Complete,
+            EndpointListKind::Cached => ListUpdateKind::Cached,
+            EndpointListKind::Failed => ListUpdateKind::Failed,
         }
     }
 }
@@ -123,7 +125,7 @@
             endpoint: self.endpoint.0,
             outcome: self.outcome.into(),
             took_ms: self.took_ms,
-            closed: self.request_closed,
+            request_closed: self.request_closed,
             true_units: positive(self.true_units),
         }
     }
