--- a/crates/admission/src/event_handling.rs
+++ b/crates/admission/src/event_handling.rs
@@ -3,7 +3,7 @@
 use crate::event::Event;
 use crate::gateway::Gateway;
 use crate::id::GatewayIndex;
-use crate::policy::upkeep::UPKEEP_MS;
+use crate::policy::upkeep::UPKEEP_INTERVAL_MS;
 use crate::state::FleetMode;
 
 impl Gateway {
@@ -12,12 +12,12 @@
     pub fn on_event(&mut self, now_ms: f64, event: Event, actions: &mut Vec<Action>) {
         self.clock.advance(now_ms);
         if self.clock.start_ticking() {
-            self.schedule_tick(UPKEEP_MS, actions);
+            self.schedule_tick(UPKEEP_INTERVAL_MS, actions);
         }
         self.handle(event, actions);
         self.dispatch(actions);
-        if !self.requests.is_empty() && self.clock.next_tick_is_beyond(UPKEEP_MS) {
-            self.schedule_tick(UPKEEP_MS, actions);
+        if !self.requests.is_empty() && self.clock.next_tick_is_beyond(UPKEEP_INTERVAL_MS) {
+            self.schedule_tick(UPKEEP_INTERVAL_MS, actions);
         }
     }
 
--- a/crates/admission/src/policy/admission/deadline.rs
+++ b/crates/admission/src/policy/admission/deadline.rs
@@ -1,5 +1,5 @@
 //! Whether a request can still be answered in time, and when it is overdue.
-use crate::policy::upkeep::UPKEEP_MS;
+use crate::policy::upkeep::UPKEEP_INTERVAL_MS;
 
 /// Mean response times that must be left for a request while the endpoints are saturated. Response times
 /// spread widely then, and a response that the client no longer waits for is wasted work.
@@ -33,7 +33,8 @@
     /// Time until the latency objective or the last round of upkeep that can still answer the client,
     /// whichever comes first, in ms.
     pub(crate) fn time_left_ms(&self) -> f64 {
-        let last_response_ms = self.deadline_at_ms - UPKEEP_MS - RESPONSE_MARGIN_TICKS * self.tick_ms;
+        let last_response_ms =
+            self.deadline_at_ms - UPKEEP_INTERVAL_MS - RESPONSE_MARGIN_TICKS * self.tick_ms;
         self.objective_at_ms.min(last_response_ms) - self.now_ms
     }
 
@@ -49,7 +50,7 @@
 
     /// Whether the deadline comes before the next round of upkeep could answer.
     fn deadline_is_near(&self) -> bool {
-        self.deadline_at_ms - self.now_ms < UPKEEP_MS + RESPONSE_MARGIN_TICKS * self.tick_ms
+        self.deadline_at_ms - self.now_ms < UPKEEP_INTERVAL_MS + RESPONSE_MARGIN_TICKS * self.tick_ms
     }
 }
 
--- a/crates/admission/src/policy/retry/stalled_attempt.rs
+++ b/crates/admission/src/policy/retry/stalled_attempt.rs
@@ -1,6 +1,6 @@
 //! Large fleets: which attempts take long, and which are stalled. A gateway there sends an endpoint too
 //! little to see a stall of the endpoint, and goes by the age of single attempts.
-use crate::policy::upkeep::UPKEEP_MS;
+use crate::policy::upkeep::UPKEEP_INTERVAL_MS;
 
 /// Mean response times after which an attempt takes long.
 const LONG_RESPONSE_TIMES: f64 = 2.5;
@@ -36,7 +36,7 @@
 
 /// Whether an attempt has begun to take long since the last round of upkeep.
 pub(crate) fn has_turned_long(age_ms: f64, long_response_ms: f64) -> bool {
-    age_ms > long_response_ms && age_ms < long_response_ms + UPKEEP_MS
+    age_ms > long_response_ms && age_ms < long_response_ms + UPKEEP_INTERVAL_MS
 }
 
 /// Whether an attempt is stalled: whatever its age where its endpoint is an outlier or unresponsive, once it
--- a/crates/admission/src/policy/upkeep.rs
+++ b/crates/admission/src/policy/upkeep.rs
@@ -2,7 +2,7 @@
 
 /// Time between two rounds of upkeep, in ms: short beside any latency objective, so that nothing is noticed
 /// late.
-pub(crate) const UPKEEP_MS: f64 = 20.0;
+pub(crate) const UPKEEP_INTERVAL_MS: f64 = 20.0;
 
 /// Time between two reviews of all endpoints in a large fleet, and between two rounds of upkeep there while
 /// the gateway has no request, in ms. With many gateways and endpoints each review costs more.
@@ -16,13 +16,13 @@
 
 /// Time until the next round of upkeep in broadcast mode, in ms.
 pub(crate) fn upkeep_interval_ms_in_broadcast_mode() -> f64 {
-    UPKEEP_MS
+    UPKEEP_INTERVAL_MS
 }
 
 /// Time until the next round of upkeep in a large fleet, in ms.
 pub(crate) fn upkeep_interval_ms_in_large_fleet(has_active_requests: bool) -> f64 {
     if has_active_requests {
-        UPKEEP_MS
+        UPKEEP_INTERVAL_MS
     } else {
         LARGE_FLEET_REVIEW_MS
     }
