--- a/crates/admission/src/lifecycle/queue_dispatch.rs
+++ b/crates/admission/src/lifecycle/queue_dispatch.rs
@@ -6,7 +6,8 @@
 use crate::policy::peer_messages::message_capacity::PEER_TIMEOUT_MS;
 use crate::policy::queue::customer_limits::{check_customer_limits, LimitDecision, LimitInput, SlotUse};
 use crate::policy::queue::dispatch_order::{
-    earlier_head, judge_head_in_broadcast_mode, judge_head_in_large_fleet, may_send_over_quota, HeadDecision,
+    earlier_head, head_decision_in_broadcast_mode, judge_head_in_large_fleet, may_send_over_quota,
+    HeadDecision,
 };
 use crate::state::{ActiveRequest, Customer, FleetMode, QuotaDecision};
 
@@ -49,7 +50,7 @@
     fn judge_head(&mut self, id: RequestId, mode: FleetMode) -> HeadDecision {
         let quota = self.quota_decision(id);
         match mode {
-            FleetMode::Broadcast => judge_head_in_broadcast_mode(quota),
+            FleetMode::Broadcast => head_decision_in_broadcast_mode(quota),
             FleetMode::LargeFleet => judge_head_in_large_fleet(quota, || self.band_position(id)),
         }
     }
--- a/crates/admission/src/policy/queue/dispatch_order.rs
+++ b/crates/admission/src/policy/queue/dispatch_order.rs
@@ -20,7 +20,7 @@
 
 /// Judges a head in broadcast mode. The band is the same for all heads there, so that it is checked once, for
 /// the head that is chosen.
-pub(crate) fn judge_head_in_broadcast_mode(quota: QuotaDecision) -> HeadDecision {
+pub(crate) fn head_decision_in_broadcast_mode(quota: QuotaDecision) -> HeadDecision {
     match quota {
         QuotaDecision::Admit => HeadDecision::Eligible,
         QuotaDecision::Wait => HeadDecision::AwaitsQuota,
