--- a/crates/admission/src/lifecycle/queue_dispatch.rs
+++ b/crates/admission/src/lifecycle/queue_dispatch.rs
@@ -6,7 +6,7 @@
 use crate::policy::peer_messages::message_capacity::PEER_TIMEOUT_MS;
 use crate::policy::queue::customer_limits::{check_customer_limits, LimitDecision, LimitInput, SlotUse};
 use crate::policy::queue::dispatch_order::{
-    earlier_head, head_decision_in_broadcast_mode, judge_head_in_large_fleet, may_send_over_quota,
+    earlier_head, head_decision_in_broadcast_mode, head_decision_in_large_fleet, may_send_over_quota,
     HeadDecision,
 };
 use crate::state::{ActiveRequest, Customer, FleetMode, QuotaDecision};
@@ -51,7 +51,7 @@
         let quota = self.quota_decision(id);
         match mode {
             FleetMode::Broadcast => head_decision_in_broadcast_mode(quota),
-            FleetMode::LargeFleet => judge_head_in_large_fleet(quota, || self.band_position(id)),
+            FleetMode::LargeFleet => head_decision_in_large_fleet(quota, || self.band_position(id)),
         }
     }
 
--- a/crates/admission/src/policy/queue/dispatch_order.rs
+++ b/crates/admission/src/policy/queue/dispatch_order.rs
@@ -30,7 +30,7 @@
 
 /// Judges a head in a large fleet. The credit required depends on the class there: another head may pass
 /// where this one can't. `band_position` is called only for a head that its quota permits.
-pub(crate) fn judge_head_in_large_fleet(
+pub(crate) fn head_decision_in_large_fleet(
     quota: QuotaDecision,
     band_position: impl FnOnce() -> BandPosition,
 ) -> HeadDecision {
--- a/crates/admission/src/tests/load_rules/dispatch_order_rules.rs
+++ b/crates/admission/src/tests/load_rules/dispatch_order_rules.rs
@@ -3,7 +3,7 @@
 use crate::id::{CustomerTag, RequestId};
 use crate::mechanism::virtual_finish_queue::FlowHead;
 use crate::policy::queue::dispatch_order::{
-    earlier_head, head_decision_in_broadcast_mode, judge_head_in_large_fleet, may_send_over_quota,
+    earlier_head, head_decision_in_broadcast_mode, head_decision_in_large_fleet, may_send_over_quota,
     HeadDecision,
 };
 use crate::policy::queue::flow_weight::{
@@ -32,7 +32,7 @@
     ];
     for (quota, position, in_broadcast_mode, in_large_fleet) in cases {
         assert_eq!(head_decision_in_broadcast_mode(quota), in_broadcast_mode);
-        assert_eq!(judge_head_in_large_fleet(quota, || position), in_large_fleet, "{quota:?}");
+        assert_eq!(head_decision_in_large_fleet(quota, || position), in_large_fleet, "{quota:?}");
     }
 }
 
