--- a/crates/admission/src/lifecycle/band_control.rs
+++ b/crates/admission/src/lifecycle/band_control.rs
@@ -5,7 +5,7 @@
 use crate::policy::band::band_bounds::{is_saturated_in_broadcast_mode, position_in_broadcast_mode};
 use crate::policy::band::counted_endpoints::{
     is_counted_despite_correlated_failure, is_counted_in_broadcast_mode, is_counted_in_large_fleet,
-    EndpointSymptoms,
+    HealthSignals,
 };
 use crate::policy::band::dispatch_credit::{
     credit_after_refill, credit_after_send, credit_required, position_in_large_fleet, LargeFleetBand,
@@ -40,7 +40,7 @@
     /// Whether the band counts an endpoint's work, by the endpoint alone.
     fn is_counted(&self, endpoint: &Endpoint, mode: FleetMode) -> bool {
         let now_ms = self.clock.now_ms();
-        let symptoms = EndpointSymptoms {
+        let symptoms = HealthSignals {
             is_gone: endpoint.is_gone(),
             consecutive_failures: endpoint.health.consecutive_failures(),
             is_ejected: endpoint.health.is_ejected(now_ms),
--- a/crates/admission/src/policy/band/counted_endpoints.rs
+++ b/crates/admission/src/policy/band/counted_endpoints.rs
@@ -13,7 +13,7 @@
 
 /// What is known of an endpoint's health, in both modes.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct EndpointSymptoms {
+pub(crate) struct HealthSignals {
     /// It is no longer listed.
     pub(crate) is_gone: bool,
     /// Own attempts in a row that failed.
@@ -26,7 +26,7 @@
     pub(crate) stall_ratio: f64,
 }
 
-impl EndpointSymptoms {
+impl HealthSignals {
     /// Whether its work counts as lost by what both modes know. An ejection without failures is a pause
     /// after an overload response: the endpoint still works on what it has.
     fn is_lost(&self) -> bool {
@@ -46,7 +46,7 @@
 }
 
 /// Whether the band counts an endpoint's work, in broadcast mode.
-pub(crate) fn is_counted_in_broadcast_mode(symptoms: &EndpointSymptoms) -> bool {
+pub(crate) fn is_counted_in_broadcast_mode(symptoms: &HealthSignals) -> bool {
     !symptoms.is_lost()
 }
 
@@ -54,7 +54,7 @@
 /// receives no responses, nor that of one that is far slower than others of its kind. `slowness` is its
 /// relative response time over that from which an endpoint of its kind is clearly slow.
 pub(crate) fn is_counted_in_large_fleet(
-    symptoms: &EndpointSymptoms,
+    symptoms: &HealthSignals,
     is_unresponsive: bool,
     slowness: f64,
 ) -> bool {
--- a/crates/admission/src/tests/load_rules/counted_endpoint_rules.rs
+++ b/crates/admission/src/tests/load_rules/counted_endpoint_rules.rs
@@ -1,10 +1,10 @@
 //! Which endpoints' work the band counts.
 use crate::policy::band::counted_endpoints::{
     is_counted_despite_correlated_failure, is_counted_in_broadcast_mode, is_counted_in_large_fleet,
-    EndpointSymptoms,
+    HealthSignals,
 };
 
-const HEALTHY: EndpointSymptoms = EndpointSymptoms {
+const HEALTHY: HealthSignals = HealthSignals {
     is_gone: false,
     consecutive_failures: 0,
     is_ejected: false,
@@ -16,13 +16,13 @@
 fn both_modes_leave_out_the_work_of_endpoints_that_failed() {
     let cases = [
         (HEALTHY, true),
-        (EndpointSymptoms { is_gone: true, ..HEALTHY }, false),
-        (EndpointSymptoms { consecutive_failures: 1, is_ejected: true, ..HEALTHY }, false),
+        (HealthSignals { is_gone: true, ..HEALTHY }, false),
+        (HealthSignals { consecutive_failures: 1, is_ejected: true, ..HEALTHY }, false),
         // It paused after an overload response, or its ejection has ended.
-        (EndpointSymptoms { is_ejected: true, ..HEALTHY }, true),
-        (EndpointSymptoms { consecutive_failures: 1, ..HEALTHY }, true),
-        (EndpointSymptoms { is_any_class_ejected: true, ..HEALTHY }, false),
-        (EndpointSymptoms { stall_ratio: 2.1, ..HEALTHY }, false),
+        (HealthSignals { is_ejected: true, ..HEALTHY }, true),
+        (HealthSignals { consecutive_failures: 1, ..HEALTHY }, true),
+        (HealthSignals { is_any_class_ejected: true, ..HEALTHY }, false),
+        (HealthSignals { stall_ratio: 2.1, ..HEALTHY }, false),
     ];
     for (condition, counted) in cases {
         assert_eq!(is_counted_in_broadcast_mode(&condition), counted, "{condition:?}");
