--- a/crates/admission/src/policy/band/dispatch_credit.rs
+++ b/crates/admission/src/policy/band/dispatch_credit.rs
@@ -41,7 +41,7 @@
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct LargeFleetBand {
     /// Attempts in flight of the mean gateway, by gossip.
-    pub(crate) mean_stock: f64,
+    pub(crate) mean_in_flight: f64,
     /// Gateways of the fleet.
     pub(crate) gateways: usize,
     /// Attempts in flight per ready endpoint at the band's middle.
@@ -58,7 +58,7 @@
 
     /// The fleet's stock as a fraction of the band's middle.
     pub(crate) fn fill(&self) -> f64 {
-        self.mean_stock * self.gateways as f64 / self.middle().max(MIN_MIDDLE)
+        self.mean_in_flight * self.gateways as f64 / self.middle().max(MIN_MIDDLE)
     }
 
     /// Attempts in flight of each gateway at the band's middle.
--- a/crates/admission/src/tests/load_rules/band_position_rules.rs
+++ b/crates/admission/src/tests/load_rules/band_position_rules.rs
@@ -13,7 +13,7 @@
 
 /// 10 gateways and 25 endpoints at a watermark of 4: a middle of 100 attempts, 10 for each gateway.
 fn gossip_band(stock: f64) -> LargeFleetBand {
-    LargeFleetBand { mean_stock: stock / 10.0, gateways: 10, watermark: 4.0, ready_capacity: 25.0 }
+    LargeFleetBand { mean_in_flight: stock / 10.0, gateways: 10, watermark: 4.0, ready_capacity: 25.0 }
 }
 
 #[test]
--- a/crates/admission/src/tests/load_rules/watermark_rules.rs
+++ b/crates/admission/src/tests/load_rules/watermark_rules.rs
@@ -16,7 +16,7 @@
 
 /// A large fleet's band that is filled to this fraction of its middle of 100 attempts.
 fn gossip_band(fill: f64) -> LargeFleetBand {
-    LargeFleetBand { mean_stock: 10.0 * fill, gateways: 10, watermark: 4.0, ready_capacity: 25.0 }
+    LargeFleetBand { mean_in_flight: 10.0 * fill, gateways: 10, watermark: 4.0, ready_capacity: 25.0 }
 }
 
 /// Whether a step raises the watermark by this factor.
