--- a/crates/admission/src/lifecycle/band_control.rs
+++ b/crates/admission/src/lifecycle/band_control.rs
@@ -75,7 +75,7 @@
 
     /// Whether a large fleet's stock is so low that requests are sent without credit.
     pub(crate) fn band_is_ungated(&self) -> bool {
-        self.gossip_band().is_ungated()
+        self.gossip_band().is_below_credit_threshold()
     }
 
     /// Whether the stock permits this request to be sent.
--- a/crates/admission/src/policy/band/dispatch_credit.rs
+++ b/crates/admission/src/policy/band/dispatch_credit.rs
@@ -67,7 +67,7 @@
     }
 
     /// Whether the stock is so low that requests are sent without credit.
-    pub(crate) fn is_ungated(&self) -> bool {
+    pub(crate) fn is_below_credit_threshold(&self) -> bool {
         self.fill() < UNGATED_FILL
     }
 
@@ -89,7 +89,7 @@
     dispatch_credit: f64,
     credit_required: f64,
 ) -> BandPosition {
-    if dispatch_credit >= credit_required || band.is_ungated() {
+    if dispatch_credit >= credit_required || band.is_below_credit_threshold() {
         BandPosition::UnderLower
     } else {
         BandPosition::NotUnderUpper
