--- a/crates/admission/src/lifecycle/request_admission.rs
+++ b/crates/admission/src/lifecycle/request_admission.rs
@@ -8,7 +8,7 @@
     reject_if_too_late, Admission, AdmissionInput, LargeFleetAdmissionInput,
 };
 use crate::policy::queue::flow_weight::{
-    flow_weight, queue_size_in_broadcast_mode, queue_size_in_large_fleet,
+    flow_weight, queue_size_in_large_fleet, request_size_in_broadcast_mode,
 };
 use crate::settings::PlanSettings;
 use crate::state::{FleetMode, GatewaySet, LocalBucketCheck, QuotaState};
@@ -74,7 +74,7 @@
         let Some(active) = self.requests.get(id) else { return };
         let units = active.request.units;
         let size = match self.coordination.fleet_mode() {
-            FleetMode::Broadcast => queue_size_in_broadcast_mode(units),
+            FleetMode::Broadcast => request_size_in_broadcast_mode(units),
             FleetMode::LargeFleet => {
                 let priority_weight = self.settings.class(active.request.class).priority_weight;
                 queue_size_in_large_fleet(units, priority_weight)
--- a/crates/admission/src/policy/queue/flow_weight.rs
+++ b/crates/admission/src/policy/queue/flow_weight.rs
@@ -17,7 +17,7 @@
 
 /// Size of a request in the queue of a gateway in broadcast mode: its units, since the queue also says how
 /// many units of a quota are reserved.
-pub(crate) fn queue_size_in_broadcast_mode(units: f64) -> f64 {
+pub(crate) fn request_size_in_broadcast_mode(units: f64) -> f64 {
     units
 }
 
