--- a/crates/admission/src/lifecycle/request_admission.rs
+++ b/crates/admission/src/lifecycle/request_admission.rs
@@ -8,7 +8,7 @@
     reject_if_too_late, Admission, AdmissionInput, LargeFleetAdmissionInput,
 };
 use crate::policy::queue::flow_weight::{
-    flow_weight, queue_size_in_large_fleet, request_size_in_broadcast_mode,
+    flow_weight, request_size_in_broadcast_mode, request_size_in_large_fleet,
 };
 use crate::settings::PlanSettings;
 use crate::state::{FleetMode, GatewaySet, LocalBucketCheck, QuotaState};
@@ -77,7 +77,7 @@
             FleetMode::Broadcast => request_size_in_broadcast_mode(units),
             FleetMode::LargeFleet => {
                 let priority_weight = self.settings.class(active.request.class).priority_weight;
-                queue_size_in_large_fleet(units, priority_weight)
+                request_size_in_large_fleet(units, priority_weight)
             }
         };
         let weight = self.flow_weight(self.settings.plan(active.request.plan));
--- a/crates/admission/src/policy/queue/flow_weight.rs
+++ b/crates/admission/src/policy/queue/flow_weight.rs
@@ -23,6 +23,6 @@
 
 /// Size of a request in the queue of a gateway of a large fleet: the higher the priority weight of its
 /// class, the less it counts, and the sooner it is dispatched.
-pub(crate) fn queue_size_in_large_fleet(units: f64, priority_weight: f64) -> f64 {
+pub(crate) fn request_size_in_large_fleet(units: f64, priority_weight: f64) -> f64 {
     units / priority_weight.max(MIN_WEIGHT)
 }
--- a/crates/admission/src/tests/load_rules/dispatch_order_rules.rs
+++ b/crates/admission/src/tests/load_rules/dispatch_order_rules.rs
@@ -7,7 +7,7 @@
     HeadDecision,
 };
 use crate::policy::queue::flow_weight::{
-    flow_weight, queue_size_in_large_fleet, request_size_in_broadcast_mode,
+    flow_weight, request_size_in_broadcast_mode, request_size_in_large_fleet,
 };
 use crate::settings::PlanSettings;
 use crate::state::{BandPosition, QuotaDecision};
@@ -74,5 +74,5 @@
 #[test]
 fn queue_sizes_count_priority_in_a_large_fleet_only() {
     assert_eq!(request_size_in_broadcast_mode(3.0), 3.0);
-    assert_eq!((queue_size_in_large_fleet(3.0, 2.0), queue_size_in_large_fleet(3.0, 0.0)), (1.5, 300.0));
+    assert_eq!((request_size_in_large_fleet(3.0, 2.0), request_size_in_large_fleet(3.0, 0.0)), (1.5, 300.0));
 }
