--- a/crates/admission/src/lifecycle/attempts.rs
+++ b/crates/admission/src/lifecycle/attempts.rs
@@ -55,7 +55,7 @@
         let usage = usage_at_attempt_start(&AttemptStartInput {
             quota: active.quota(),
             is_first: active.attempt_count() == 1,
-            has_rate: plan.rate_per_second > 0.0,
+            has_quota: plan.rate_per_second > 0.0,
             has_open_limit: plan.open_limit > 0,
         });
         if usage.takes_slot {
@@ -106,7 +106,7 @@
         let plan = self.settings.plan(active.request.plan);
         let usage = usage_at_attempt_end(&AttemptEndInput {
             quota: active.quota(),
-            has_rate: plan.rate_per_second > 0.0,
+            has_quota: plan.rate_per_second > 0.0,
             has_open_limit: plan.open_limit > 0,
             estimated_units: active.request.units,
             true_units: end.true_units,
--- a/crates/admission/src/policy/customer_usage/attempt_end_usage.rs
+++ b/crates/admission/src/policy/customer_usage/attempt_end_usage.rs
@@ -7,7 +7,7 @@
     /// Where its request stands with the quota.
     pub quota: QuotaState,
     /// Its plan has a rate, so that the customer has a token bucket.
-    pub has_rate: bool,
+    pub has_quota: bool,
     /// Its plan limits the attempts in flight.
     pub has_open_limit: bool,
     /// Units that the request was estimated at.
@@ -49,7 +49,7 @@
 /// Guards against corrupt figures: no request counts more than `max_units`, and a larger figure from an
 /// endpoint would empty a customer's bucket for a long time. Such a figure counts as none.
 pub(crate) fn usage_at_attempt_end(input: &AttemptEndInput) -> AttemptEndUsage {
-    let has_quota = input.quota.is_within_quota() && input.has_rate;
+    let has_quota = input.quota.is_within_quota() && input.has_quota;
     let true_units = input.true_units.filter(|units| has_quota && *units <= input.max_units);
     let excess_units = true_units.map_or(0.0, |units| units - input.estimated_units);
     let is_local_bucket = input.quota.is_local_bucket();
--- a/crates/admission/src/policy/customer_usage/attempt_start_usage.rs
+++ b/crates/admission/src/policy/customer_usage/attempt_start_usage.rs
@@ -9,7 +9,7 @@
     /// It is the first attempt of its request.
     pub is_first: bool,
     /// Its plan has a rate, so that the customer has a token bucket.
-    pub has_rate: bool,
+    pub has_quota: bool,
     /// Its plan limits the attempts in flight.
     pub has_open_limit: bool,
 }
@@ -37,7 +37,7 @@
     AttemptStartUsage {
         takes_slot: true,
         consumes_ceiling: input.is_first,
-        consumes_quota: is_first_within_quota && input.has_rate && input.quota.is_local_bucket(),
+        consumes_quota: is_first_within_quota && input.has_quota && input.quota.is_local_bucket(),
         is_reported: input.has_open_limit || is_first_within_quota,
     }
 }
--- a/crates/admission/src/tests/endpoint_rules/customer_usage_rules.rs
+++ b/crates/admission/src/tests/endpoint_rules/customer_usage_rules.rs
@@ -17,13 +17,13 @@
 #[test]
 fn a_starting_attempt_takes_a_slot_and_the_first_one_the_units() {
     let first =
-        AttemptStartInput { quota: WITHIN_QUOTA, is_first: true, has_rate: true, has_open_limit: false };
+        AttemptStartInput { quota: WITHIN_QUOTA, is_first: true, has_quota: true, has_open_limit: false };
     let retry = AttemptStartInput { is_first: false, ..first };
     let uncounted = AttemptStartInput { quota: QuotaState::AdmittedUncounted, ..first };
     // Whether it takes a slot, consumes ceiling and quota, and is reported.
     let rows = [
         (first, [true, true, true, true]),
-        (AttemptStartInput { has_rate: false, ..first }, [true, true, false, true]),
+        (AttemptStartInput { has_quota: false, ..first }, [true, true, false, true]),
         (AttemptStartInput { quota: OVER_QUOTA, ..first }, [true, true, false, false]),
         (uncounted, [true, true, false, true]),
         (retry, [true, false, false, false]),
@@ -41,7 +41,7 @@
 fn an_ended_attempt_is_charged_what_its_true_units_exceed_the_estimate_by() {
     let ended = AttemptEndInput {
         quota: WITHIN_QUOTA,
-        has_rate: true,
+        has_quota: true,
         has_open_limit: false,
         estimated_units: 2.0,
         true_units: Some(5.0),
@@ -58,7 +58,7 @@
         (AttemptEndInput { true_units: None, ..ended }, true, local(0.0), false),
         (AttemptEndInput { true_units: None, has_open_limit: true, ..ended }, true, local(0.0), true),
         (AttemptEndInput { true_units: Some(64.5), ..ended }, true, local(0.0), false),
-        (AttemptEndInput { has_rate: false, ..ended }, true, local(0.0), false),
+        (AttemptEndInput { has_quota: false, ..ended }, true, local(0.0), false),
         (AttemptEndInput { quota: OVER_QUOTA, ..ended }, true, local(0.0), false),
         (counter, true, request(3.0), false),
         (owner, false, request(3.0), false),
