--- a/crates/admission/src/lifecycle/attempts.rs
+++ b/crates/admission/src/lifecycle/attempts.rs
@@ -67,7 +67,7 @@
         if usage.consumes_quota {
             customer.consume_quota(active.request.units);
         }
-        if usage.is_reported {
+        if usage.triggers_report {
             self.schedule_report(tag);
         }
     }
@@ -123,7 +123,7 @@
         if let ExcessCharge::LocalBucket { excess_units } = usage.charge {
             customer.consume_quota(excess_units);
         }
-        if usage.is_reported {
+        if usage.triggers_report {
             self.schedule_report(tag);
         }
     }
--- a/crates/admission/src/policy/customer_usage/attempt_end_usage.rs
+++ b/crates/admission/src/policy/customer_usage/attempt_end_usage.rs
@@ -41,7 +41,7 @@
     /// Where the difference from the estimate is charged.
     pub charge: ExcessCharge,
     /// The customer's counts are reported to its other gateways.
-    pub is_reported: bool,
+    pub triggers_report: bool,
 }
 
 /// What the end of an attempt changes.
@@ -61,6 +61,6 @@
     AttemptEndUsage {
         frees_slot: input.quota.holds_slot_here(),
         charge,
-        is_reported: is_local_bucket && (excess_units != 0.0 || input.has_open_limit),
+        triggers_report: is_local_bucket && (excess_units != 0.0 || input.has_open_limit),
     }
 }
--- a/crates/admission/src/policy/customer_usage/attempt_start_usage.rs
+++ b/crates/admission/src/policy/customer_usage/attempt_start_usage.rs
@@ -24,7 +24,7 @@
     /// The request's units of the token bucket here.
     pub consumes_quota: bool,
     /// The customer's counts are reported to its other gateways.
-    pub is_reported: bool,
+    pub triggers_report: bool,
 }
 
 /// What an attempt takes when it starts: nothing where another gateway counts it, and the request's units
@@ -38,6 +38,6 @@
         takes_slot: true,
         consumes_ceiling: input.is_first,
         consumes_quota: is_first_within_quota && input.has_quota && input.quota.is_local_bucket(),
-        is_reported: input.has_open_limit || is_first_within_quota,
+        triggers_report: input.has_open_limit || is_first_within_quota,
     }
 }
--- a/crates/admission/src/tests/endpoint_rules/customer_usage_rules.rs
+++ b/crates/admission/src/tests/endpoint_rules/customer_usage_rules.rs
@@ -32,7 +32,7 @@
     ];
     for (input, expected) in rows {
         let usage = usage_at_attempt_start(&input);
-        let found = [usage.takes_slot, usage.consumes_ceiling, usage.consumes_quota, usage.is_reported];
+        let found = [usage.takes_slot, usage.consumes_ceiling, usage.consumes_quota, usage.triggers_report];
         assert_eq!(found, expected, "{input:?}");
     }
 }
@@ -63,10 +63,10 @@
         (counter, true, request(3.0), false),
         (owner, false, request(3.0), false),
     ];
-    for (input, frees_slot, charge, is_reported) in rows {
+    for (input, frees_slot, charge, triggers_report) in rows {
         let usage = usage_at_attempt_end(&input);
         assert_eq!(usage.frees_slot, frees_slot, "{input:?}");
         assert_eq!(usage.charge, charge, "{input:?}");
-        assert_eq!(usage.is_reported, is_reported, "{input:?}");
+        assert_eq!(usage.triggers_report, triggers_report, "{input:?}");
     }
 }
