--- a/crates/admission/src/policy/admission/new_request.rs
+++ b/crates/admission/src/policy/admission/new_request.rs
@@ -1,62 +1,64 @@
 //! Whether a new request is sent at once, queued or rejected.
 //!
-//! Both modes reject a request that comes too late. In broadcast mode a gateway knows the customer's quota
-//! and the stock itself, so that a request may be sent at once. In a large fleet both are requested from
-//! others, so that every request in time is queued first.
+//! Both modes reject a request that comes too late to be answered in time. In broadcast mode a gateway itself
+//! knows the customer's quota and the fleet's attempts in flight, so it may send a request at once. In a
+//! large fleet it learns both from others, so every request that is in time is queued first.
 use crate::policy::admission::deadline::RequestTimes;
 use crate::policy::admission::retry_after::retry_after_overload;
 use crate::policy::queue::customer_limits::LimitDecision;
 use crate::state::{BandPosition, LocalBucketCheck};
 
-/// Requests queued at most: a bound on memory, far above what can be served within a latency objective.
+/// Most requests that a gateway queues. This bounds memory; it is far above the number that can be served
+/// within a latency objective.
 const MAX_QUEUED_REQUESTS: usize = 4000;
 
-/// What becomes of a new request.
+/// The decision on a new request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum Admission {
-    /// It is sent now, if an endpoint is found.
+    /// The request is sent now, if an endpoint is found.
     Send,
-    /// It waits in the queue.
+    /// The request waits in the queue.
     Queue,
-    /// It is rejected. The client may retry after this time in ms; `None`: no advice.
+    /// The request is rejected. Its client may retry after `retry_after_ms`; `None` gives no advice.
     Reject { retry_after_ms: Option<f64> },
 }
 
-/// What admission in broadcast mode goes by, once a request is known to be in time.
+/// The input of admission in broadcast mode, for a request that is known to be in time.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct AdmissionInput {
-    /// What the customer's token bucket has for the request.
+    /// The result of checking the request against the customer's token bucket.
     pub(crate) quota: LocalBucketCheck,
-    /// What the customer's open limit and ceiling permit now.
+    /// Whether the customer's open limit and ceiling permit the request now.
     pub(crate) limits: LimitDecision,
-    /// Where the stock lies against the band's bounds.
+    /// The position of the fleet's attempts in flight relative to the band's bounds.
     pub(crate) band: BandPosition,
-    /// Whether queued requests wait for the band or for an endpoint: a new one must not overtake them.
+    /// Whether queued requests wait for the band or for an endpoint. A new request must not overtake them.
     pub(crate) queue_is_blocked: bool,
     /// Number of queued requests.
     pub(crate) queued_requests: usize,
 }
 
-/// What admission in a large fleet goes by.
+/// The input of admission in a large fleet.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct LargeFleetAdmissionInput {
-    /// The times by which the request is judged.
+    /// The times that decide whether the request can still be answered in time.
     pub(crate) times: RequestTimes,
     /// Number of queued requests.
     pub(crate) queued_requests: usize,
-    /// Longest Retry-After that clients honour, in ms; 0: none.
+    /// Longest Retry-After that clients honour, in ms; 0 if they honour none.
     pub(crate) max_retry_after_ms: f64,
 }
 
-/// The rejection of a request that can no longer be answered in time; `None` for one that can. In broadcast
-/// mode it comes first, because finding the band's position takes a look at all endpoints.
+/// Returns the rejection of a request that can no longer be answered in time; `None` if it can. In broadcast
+/// mode this is checked before anything else, because the band's position is computed from all endpoints.
 pub(crate) fn reject_if_too_late(times: &RequestTimes, max_retry_after_ms: f64) -> Option<Admission> {
     let rejection = Admission::Reject { retry_after_ms: retry_after_overload(max_retry_after_ms) };
     times.is_too_late().then_some(rejection)
 }
 
-/// Admits a request in broadcast mode. Within its quota it may be sent up to the band's upper bound; beyond
-/// its quota, where the plan pays for that, only up to the lower bound, which queued requests also keep to.
+/// Decides on a new request in broadcast mode. A request within its quota may be sent while the fleet's
+/// attempts in flight are below the band's upper bound. A request over its quota may be sent only if the plan
+/// pays for that, and only below the lower bound, to which queued requests are also held.
 pub(crate) fn admit_in_broadcast_mode(input: &AdmissionInput) -> Admission {
     let may_send = if input.quota.is_within_quota {
         input.band.permits_new_request() && input.limits == LimitDecision::Admit
@@ -70,7 +72,8 @@
     }
 }
 
-/// What becomes of a request in broadcast mode that is not sent now: within its quota it is queued.
+/// Decides on a request in broadcast mode that is not sent now: it is queued if it is within its quota and
+/// the queue is not full, and rejected otherwise.
 pub(crate) fn queue_or_reject(input: &AdmissionInput) -> Admission {
     if input.quota.is_within_quota && input.queued_requests < MAX_QUEUED_REQUESTS {
         Admission::Queue
@@ -79,16 +82,16 @@
     }
 }
 
-/// Whether peers are sent a request for units of the customer's ceiling: where only the lack of these keeps
-/// a new request from being sent.
+/// Returns whether quota, band and open limit permit a new request and only units of the customer's ceiling
+/// are lacking, so that peers are asked for some.
 pub(crate) fn lacks_ceiling_units_only(input: &AdmissionInput) -> bool {
     input.quota.is_within_quota
         && input.band.permits_new_request()
         && input.limits == LimitDecision::WaitForCeiling
 }
 
-/// Admits a request in a large fleet: it is queued until its quota is known, unless it comes too late or the
-/// queue is full.
+/// Decides on a new request in a large fleet: it is queued until its quota is known, unless it comes too late
+/// or the queue is full.
 pub(crate) fn admit_in_large_fleet(input: &LargeFleetAdmissionInput) -> Admission {
     if input.times.is_too_late() || input.queued_requests >= MAX_QUEUED_REQUESTS {
         Admission::Reject { retry_after_ms: retry_after_overload(input.max_retry_after_ms) }
--- a/crates/admission/src/policy/admission/retry_after.rs
+++ b/crates/admission/src/policy/admission/retry_after.rs
@@ -1,13 +1,14 @@
-//! Which Retry-After a rejected request carries.
+//! The Retry-After of a rejected request.
 
-/// Retry-After of a request that found no capacity in time, in ms: the longest that clients honour. A sooner
-/// retry would most likely be too late as well, and each costs work. `None` where clients honour none.
+/// Returns the Retry-After of a request that found no capacity in time, in ms: the longest that clients
+/// honour. An earlier retry would most likely be too late as well, and each retry costs work. Returns `None`
+/// if clients honour none.
 pub(crate) fn retry_after_overload(max_retry_after_ms: f64) -> Option<f64> {
     Some(max_retry_after_ms).filter(|ms| *ms > 0.0)
 }
 
-/// Retry-After of a request that ran out of time, in ms. One that was sent was not short of capacity: it
-/// carries none.
+/// Returns the Retry-After of a request that ran out of time, in ms. A request that was sent gets none,
+/// because it did not lack capacity.
 pub(crate) fn retry_after_overdue(is_unsent: bool, max_retry_after_ms: f64) -> Option<f64> {
     if is_unsent {
         retry_after_overload(max_retry_after_ms)
@@ -16,14 +17,15 @@
     }
 }
 
-/// Retry-After in broadcast mode of a request that went over its quota while it was queued: none. When the
-/// bucket will have filled enough is computed for new requests only.
+/// Returns the Retry-After, in broadcast mode, of a queued request that turned out to be over its quota. It
+/// is none: the time until the bucket has filled enough is computed for new requests only.
 pub(crate) fn retry_after_over_quota_in_broadcast_mode() -> Option<f64> {
     None
 }
 
-/// Retry-After in a large fleet of a request over its quota, in ms. This gateway does not know when the quota
-/// has filled, so it gives the longest that clients honour: 0 where they honour none.
+/// Returns the Retry-After, in a large fleet, of a request over its quota, in ms. This gateway does not know
+/// when the quota will have filled, so it gives the longest that clients honour, which is 0 if they honour
+/// none.
 pub(crate) fn retry_after_over_quota_in_large_fleet(max_retry_after_ms: f64) -> Option<f64> {
     Some(max_retry_after_ms)
 }
