--- a/crates/admission/src/policy/band/band_bounds.rs
+++ b/crates/admission/src/policy/band/band_bounds.rs
@@ -1,16 +1,16 @@
-//! In broadcast mode: where the stock lies against the band's bounds.
+//! The position of the fleet's attempts in flight relative to the band's bounds, in broadcast mode.
 use crate::state::{Band, BandPosition};
 
-/// Distance of the bounds from the band's middle, as a fraction of it: `percentageDeviationForBounds` of the
-/// published design that the queue follows, "Inference Gateway Queuing System Design".
+/// Distance of the bounds from the band's middle, as a fraction of the middle: `percentageDeviationForBounds`
+/// of the published design that the queue follows, "Inference Gateway Queuing System Design".
 const BAND_DEVIATION: f64 = 0.1;
 
 /// Fraction of the band's middle above which the endpoints are saturated, in both modes.
 pub(crate) const SATURATED_FILL: f64 = 0.5;
 
-/// The stock's position in broadcast mode. A gateway with less in flight than an even fraction of the lower
-/// bound counts as under both bounds, whatever the stock: else peers with a higher watermark could keep it
-/// from sending at all.
+/// Returns the position of the fleet's attempts in flight in broadcast mode. A gateway with fewer attempts in
+/// flight than an even fraction of the lower bound is always positioned under both bounds: otherwise peers
+/// with a higher watermark could keep it from sending at all.
 pub(crate) fn position_in_broadcast_mode(band: &Band) -> BandPosition {
     let lower = band.middle * (1.0 - BAND_DEVIATION);
     let upper = band.middle * (1.0 + BAND_DEVIATION);
@@ -24,7 +24,7 @@
     }
 }
 
-/// Whether the endpoints are saturated, in broadcast mode.
+/// Returns whether the endpoints are saturated, in broadcast mode.
 pub(crate) fn is_saturated_in_broadcast_mode(band: &Band) -> bool {
     band.stock > SATURATED_FILL * band.middle
 }
--- a/crates/admission/src/policy/band/dispatch_credit.rs
+++ b/crates/admission/src/policy/band/dispatch_credit.rs
@@ -1,89 +1,95 @@
-//! In a large fleet: the stock by gossip, and the dispatch credit that each gateway earns by it.
+//! The band in a large fleet: the fleet's attempts in flight as gossip reports them, and the dispatch credit
+//! that each gateway earns.
 use crate::policy::band::band_bounds::SATURATED_FILL;
 use crate::state::BandPosition;
 
 /// Fraction of the band's middle below which gateways of a large fleet send without credit. Above it each
-/// sends at an even fraction of the rate that keeps the band filled. The stock that gossip brings is old: if
-/// it alone stopped and started all gateways at once, the stock would swing.
-const UNGATED_FILL: f64 = 0.6;
+/// gateway sends at an even fraction of the rate that keeps the band filled. The number of attempts in flight
+/// arrives late by gossip: if it alone stopped and started all gateways at once, it would oscillate.
+const CREDIT_THRESHOLD_FILL: f64 = 0.6;
 
-/// Highest refill rate of dispatch credit, as a multiple of the rate at the band's middle: that of
-/// an empty band.
+/// Highest refill rate of dispatch credit, as a multiple of the rate at the band's middle. It applies while
+/// the band is empty.
 const MAX_REFILL_FACTOR: f64 = 3.0;
 
-/// Lowest refill rate of dispatch credit, as a multiple of the rate at the band's middle: that of a
-/// band that is over-full.
+/// Lowest refill rate of dispatch credit, as a multiple of the rate at the band's middle. It applies while
+/// the band is overfull.
 const MIN_REFILL_FACTOR: f64 = 0.3;
 
-/// Dispatch credit at the start, in requests: the first one need not wait for a refill.
+/// Dispatch credit at a gateway's start, in requests: its first request need not wait for a refill.
 pub(crate) const INITIAL_DISPATCH_CREDIT: f64 = 1.0;
 
-/// Least limit of the dispatch credit that is saved up, in requests: else a gateway that may have less
-/// than one attempt in flight could never send.
+/// Smallest limit of saved dispatch credit, in requests. Without it a gateway whose even fraction of the band
+/// is less than one attempt could never send.
 const MIN_CREDIT_LIMIT: f64 = 1.0;
 
-/// Credit that one request needs where its class has the lowest priority weight.
-const FULL_CREDIT: f64 = 1.0;
+/// Dispatch credit that a request spends. A class of the lowest priority weight also requires as much before
+/// it sends.
+const CREDIT_PER_REQUEST: f64 = 1.0;
 
-/// Overdraft of dispatch credit that a request of unbounded priority weight may take, in requests.
-const CREDIT_OVERDRAFT: f64 = 1.5;
+/// Largest reduction of the credit that a request requires, in requests: the limit for an unbounded priority
+/// weight. The reduction is larger than `CREDIT_PER_REQUEST`, so that such a request may overdraw the credit.
+const MAX_CREDIT_REDUCTION: f64 = 1.5;
 
-/// Largest overdraft of dispatch credit of all requests together, in requests.
+/// Largest overdraft of a gateway's dispatch credit, in requests.
 const MAX_CREDIT_OVERDRAFT: f64 = 1.0;
 
-/// A priority weight counts as this at least where it divides.
+/// Smallest priority weight that is used as a divisor; a smaller one is replaced by it.
 const MIN_WEIGHT_DIVISOR: f64 = 1e-9;
 
-/// The band's middle counts as this many attempts at least where it divides.
+/// Smallest middle of the band that is used as a divisor, in attempts in flight; a smaller one is replaced by
+/// it.
 const MIN_MIDDLE: f64 = 1.0;
 
 /// The band of a large fleet, as one gateway knows it.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct LargeFleetBand {
-    /// Attempts in flight of the mean gateway, by gossip.
+    /// Mean number of attempts in flight per gateway, as gossip reports it.
     pub(crate) mean_in_flight: f64,
-    /// Gateways of the fleet.
+    /// Number of gateways in the fleet.
     pub(crate) gateways: usize,
     /// Attempts in flight per ready endpoint at the band's middle.
     pub(crate) watermark: f64,
-    /// Ready endpoints; one that is warming up counts as a fraction.
+    /// Number of ready endpoints; an endpoint that is warming up counts as a fraction.
     pub(crate) ready_capacity: f64,
 }
 
 impl LargeFleetBand {
-    /// The stock that the band is centred on.
+    /// Returns the number of attempts in flight that the band is centred on.
     fn middle(&self) -> f64 {
         self.watermark * self.ready_capacity
     }
 
-    /// The fleet's stock as a fraction of the band's middle.
+    /// Returns the fleet's attempts in flight as a fraction of the band's middle.
     pub(crate) fn fill(&self) -> f64 {
         self.mean_in_flight * self.gateways as f64 / self.middle().max(MIN_MIDDLE)
     }
 
-    /// Attempts in flight of each gateway at the band's middle.
+    /// Returns the number of attempts in flight that each gateway has at the band's middle.
     fn middle_per_gateway(&self) -> f64 {
         self.middle() / self.gateways as f64
     }
 
-    /// Whether the stock is so low that requests are sent without credit.
+    /// Returns whether the fleet has so few attempts in flight that requests are sent without credit.
     pub(crate) fn is_below_credit_threshold(&self) -> bool {
-        self.fill() < UNGATED_FILL
+        self.fill() < CREDIT_THRESHOLD_FILL
     }
 
-    /// Whether the stock is so high that more would be sent if the band were higher.
-    pub(crate) fn is_gated(&self) -> bool {
-        self.fill() > UNGATED_FILL
+    /// Returns whether the fleet has so many attempts in flight that a lack of credit may hold requests back,
+    /// which a higher band would let pass.
+    pub(crate) fn is_above_credit_threshold(&self) -> bool {
+        self.fill() > CREDIT_THRESHOLD_FILL
     }
 
-    /// Whether the endpoints are saturated.
+    /// Returns whether the endpoints are saturated.
     pub(crate) fn is_saturated(&self) -> bool {
         self.fill() > SATURATED_FILL
     }
 }
 
-/// The position of a request in a large fleet, by the dispatch credit that there is and that it requires.
-/// There is one bound only: a request of enough credit, or any while the band is ungated, is under both.
+/// Returns the band's position for a request in a large fleet, by the dispatch credit that the gateway has
+/// and the credit that the request requires. The two bounds coincide: a request is under both if there is
+/// enough credit or if the band is below the credit threshold, and under neither otherwise.
 pub(crate) fn position_in_large_fleet(
     band: &LargeFleetBand,
     dispatch_credit: f64,
@@ -96,17 +102,17 @@
     }
 }
 
-/// Dispatch credit that a request requires. The class of the lowest priority weight needs a full credit; one
-/// of a higher weight may overdraw, so that requests of low weight are the first to wait while credit is
-/// short.
+/// Returns the dispatch credit that a request requires. A class of the lowest priority weight requires the
+/// credit of a whole request. A class of a higher weight requires less, and may overdraw the credit, so that
+/// requests of low weight are the first to wait while credit is short.
 pub(crate) fn credit_required(priority_weight: f64, lowest_priority_weight: f64) -> f64 {
     let relative = lowest_priority_weight / priority_weight.max(MIN_WEIGHT_DIVISOR);
-    FULL_CREDIT - CREDIT_OVERDRAFT * (1.0 - relative).max(0.0)
+    CREDIT_PER_REQUEST - MAX_CREDIT_REDUCTION * (1.0 - relative).max(0.0)
 }
 
-/// The dispatch credit after some seconds of refill, in requests. In a mean response time a gateway earns an
-/// even fraction of the band's middle, more while the stock is low and less while it is high. It saves up
-/// that fraction at most.
+/// Returns the dispatch credit after `seconds` of refill, in requests. In one mean response time a gateway
+/// earns an even fraction of the band's middle; it earns more while the fleet has few attempts in flight, and
+/// less while it has many. A gateway saves at most that fraction, or one request if the fraction is smaller.
 pub(crate) fn credit_after_refill(
     dispatch_credit: f64,
     band: &LargeFleetBand,
@@ -121,7 +127,7 @@
     (dispatch_credit + earned).min(MIN_CREDIT_LIMIT.max(middle_per_gateway))
 }
 
-/// The dispatch credit after a request was sent, in requests.
+/// Returns the dispatch credit after a request was sent, in requests.
 pub(crate) fn credit_after_send(dispatch_credit: f64) -> f64 {
-    (dispatch_credit - FULL_CREDIT).max(-MAX_CREDIT_OVERDRAFT)
+    (dispatch_credit - CREDIT_PER_REQUEST).max(-MAX_CREDIT_OVERDRAFT)
 }
--- a/crates/admission/src/policy/band/mod.rs
+++ b/crates/admission/src/policy/band/mod.rs
@@ -1,8 +1,9 @@
 //! The in-flight band: how many attempts the fleet may have in flight, and whether one more may be sent.
 //!
-//! The band lies around the watermark, in attempts in flight per ready endpoint. In broadcast mode gateways
-//! sum up the stock that all of them report, and compare it with the band's bounds. In a large fleet gossip
-//! brings the stock late, so that each gateway earns dispatch credit for its even quota of the band.
+//! The band's middle is the watermark, a number of attempts in flight per ready endpoint, times the number of
+//! ready endpoints. In broadcast mode every gateway adds up the attempts in flight that all gateways report,
+//! and compares the sum with the band's bounds. In a large fleet gossip reports them late, so each gateway
+//! earns dispatch credit for its even fraction of the band instead.
 pub(crate) mod band_bounds;
 pub(crate) mod counted_endpoints;
 pub(crate) mod dispatch_credit;
--- a/crates/admission/src/tests/load_rules/band_position_rules.rs
+++ b/crates/admission/src/tests/load_rules/band_position_rules.rs
@@ -51,7 +51,7 @@
         let position = position_in_large_fleet(&gossip_band(stock), credit, 1.0);
         assert_eq!(position, expected, "{stock}, {credit}");
     }
-    assert!(gossip_band(61.0).is_gated() && !gossip_band(59.0).is_gated());
+    assert!(gossip_band(61.0).is_above_credit_threshold() && !gossip_band(59.0).is_above_credit_threshold());
 }
 
 #[test]
