--- a/crates/admission/src/policy/queue/customer_limits.rs
+++ b/crates/admission/src/policy/queue/customer_limits.rs
@@ -1,61 +1,63 @@
-//! Whether quota, open limit and ceiling of a customer, as this gateway records them, permit a request now.
+//! Whether a customer's quota, open limit and ceiling permit a request now, by this gateway's own records.
 use crate::settings::PlanSettings;
 use crate::state::QuotaDecision;
 
-/// Gateways that may each use one of `SLOTS_PER_GROUP` slots, where gateways outnumber a customer's slots.
-/// More gateways than slots may, because few of them are busy for the customer at once.
-const GATEWAYS_PER_GROUP: u32 = 4;
+/// Gateways that share `OVERCOMMIT_SLOTS` slots, if a customer has fewer slots than gateways. More gateways
+/// than slots may send, because few of them have requests of the customer at the same time.
+const OVERCOMMIT_GATEWAYS: u32 = 4;
 
-/// Slots that `GATEWAYS_PER_GROUP` gateways may use.
-const SLOTS_PER_GROUP: u32 = 3;
+/// Slots that `OVERCOMMIT_GATEWAYS` gateways share.
+const OVERCOMMIT_SLOTS: u32 = 3;
 
 /// A request and the limits of its customer.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct LimitInput<'a> {
     /// The customer's plan.
     pub(crate) plan: &'a PlanSettings,
-    /// Units that the request counts.
+    /// Units that the request consumes.
     pub(crate) units: f64,
-    /// Whether this gateway's token bucket decides on the quota; else another gateway or the counter did.
+    /// Whether this gateway's token bucket decides on the quota; if not, another gateway or the quota counter
+    /// has decided.
     pub(crate) local_bucket_decides: bool,
     /// Units in the quota's bucket.
     pub(crate) quota_tokens: f64,
-    /// Units in this gateway's fraction of the hard ceiling.
+    /// Units in the bucket of this gateway's fraction of the hard ceiling.
     pub(crate) ceiling_tokens: f64,
-    /// The customer's attempts in flight; `None` where the plan has no open limit.
+    /// The customer's attempts in flight; `None` if the plan has no open limit.
     pub(crate) slots: Option<SlotUse>,
 }
 
-/// A customer's attempts in flight, and how its slots are spread over gateways.
+/// How many of a customer's slots are in use, and how they are divided among gateways. A slot is one attempt
+/// in flight of those that the plan's open limit allows.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct SlotUse {
-    /// Attempts in flight of this gateway.
+    /// The customer's attempts in flight that this gateway sent.
     pub(crate) in_flight: u32,
-    /// Attempts in flight of peers, by their last reports.
+    /// The customer's attempts in flight that peers sent, by their last reports.
     pub(crate) peer_in_flight: u32,
-    /// Peers whose last report of the customer still counts, whether it had attempts in flight or not.
+    /// Number of peers with a recent report on the customer, whether with or without attempts in flight.
     pub(crate) reporting_peers: u32,
-    /// Gateways that the customer's requests come through.
+    /// Number of gateways that the customer's requests come through.
     pub(crate) gateways: u32,
-    /// This gateway's place among them for this customer, from 0.
+    /// Position of this gateway among them, from 0. It differs from customer to customer.
     pub(crate) place: u32,
 }
 
 /// Whether a customer's limits permit a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum LimitDecision {
-    /// It may be sent now.
+    /// The request may be sent now.
     Admit,
-    /// It is over the quota.
+    /// The request is over the quota.
     OverQuota,
     /// The customer has as many attempts in flight as its plan allows.
     WaitForSlot,
-    /// This gateway's fraction of the ceiling lacks units: peers must give some, or it must fill.
+    /// This gateway's fraction of the ceiling has too few units: it must refill, or peers must transfer some.
     WaitForCeiling,
 }
 
 impl LimitDecision {
-    /// What this means for the request in the queue.
+    /// Returns the decision on a queued request that these limits lead to.
     pub(crate) fn quota_decision(self) -> QuotaDecision {
         match self {
             LimitDecision::Admit => QuotaDecision::Admit,
@@ -82,10 +84,11 @@
     LimitDecision::Admit
 }
 
-/// Whether a customer has as many attempts in flight as its plan allows. Peers' reports come late: once this
-/// gateway uses all slots of its own, each busy peer may have one attempt more than it reported.
+/// Returns whether a customer has as many attempts in flight as its plan allows. Peers' reports arrive late:
+/// once this gateway uses its own fraction of the slots, each reporting peer is assumed to have one attempt
+/// more in flight than it reported.
 fn open_limit_reached(limit: u32, slots: &SlotUse) -> bool {
-    let has_slot = slots.place < (GATEWAYS_PER_GROUP * limit).div_ceil(SLOTS_PER_GROUP);
+    let has_slot = slots.place < (OVERCOMMIT_GATEWAYS * limit).div_ceil(OVERCOMMIT_SLOTS);
     let own_slots = (limit / slots.gateways).max(u32::from(has_slot));
     let unreported = if slots.in_flight < own_slots { 0 } else { slots.reporting_peers };
     slots.in_flight + slots.peer_in_flight + unreported >= limit
--- a/crates/admission/src/policy/queue/dispatch_order.rs
+++ b/crates/admission/src/policy/queue/dispatch_order.rs
@@ -1,25 +1,25 @@
 //! Which queued request is dispatched next.
 //!
 //! Only the head of each customer's flow is considered, so that requests of a customer stay in order. Of the
-//! heads that quota and band permit, the one with the smallest virtual finish is dispatched.
+//! heads that quota and band permit, the one with the smallest virtual finish time is dispatched.
 use crate::mechanism::virtual_finish_queue::FlowHead;
 use crate::state::{BandPosition, QuotaDecision};
 
-/// What becomes of the head of a flow in a round of dispatch.
+/// The decision on the head of a flow in a round of dispatch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum HeadDecision {
-    /// It may be dispatched next.
+    /// The head may be dispatched next.
     Eligible,
-    /// Its customer's quota does not permit it yet.
+    /// The customer's quota does not permit the head yet.
     AwaitsQuota,
-    /// Its quota permits it, but dispatch credit for its class is short.
+    /// The quota permits the head, but there is too little dispatch credit for its class.
     BlockedByBand,
-    /// It is over its quota: it is removed from the queue, and sent beyond the quota or rejected.
+    /// The head is over its quota: it is removed from the queue, and sent over the quota or rejected.
     OverQuota,
 }
 
-/// Judges a head in broadcast mode. The band is the same for all heads there, so that it is checked once, for
-/// the head that is chosen.
+/// Decides on a head in broadcast mode. The band is the same for all heads there, so it is checked only once,
+/// for the head that is chosen.
 pub(crate) fn head_decision_in_broadcast_mode(quota: QuotaDecision) -> HeadDecision {
     match quota {
         QuotaDecision::Admit => HeadDecision::Eligible,
@@ -28,8 +28,9 @@
     }
 }
 
-/// Judges a head in a large fleet. The credit required depends on the class there: another head may pass
-/// where this one can't. `band_position` is called only for a head that its quota permits.
+/// Decides on a head in a large fleet. The dispatch credit that a head requires depends on its class, so the
+/// band may permit one head and not another. `band_position` is called only for a head that its quota
+/// permits.
 pub(crate) fn head_decision_in_large_fleet(
     quota: QuotaDecision,
     band_position: impl FnOnce() -> BandPosition,
@@ -42,19 +43,19 @@
     }
 }
 
-/// Which of two eligible heads is dispatched first: the one with the smaller virtual finish, and of two
-/// alike the one seen first.
-pub(crate) fn earlier_head(seen: Option<FlowHead>, head: FlowHead) -> FlowHead {
-    match seen {
-        Some(seen) if !head.precedes(&seen) => seen,
+/// Returns the eligible head that is dispatched first: the one with the smaller virtual finish time, or
+/// `earliest`, the first of the heads compared so far, if both are equal.
+pub(crate) fn earlier_head(earliest: Option<FlowHead>, head: FlowHead) -> FlowHead {
+    match earliest {
+        Some(earliest) if !head.precedes(&earliest) => earliest,
         _ => head,
     }
 }
 
-/// Whether a head over its quota is sent beyond it: where its plan pays for that, within the ceiling, and
-/// the stock is under the band's lower bound. In broadcast mode a queued request never is: it was queued as
-/// within its quota. `band_position` is called only for a head that may exceed its
-/// quota.
+/// Returns whether a head that is over its quota is sent all the same: only if it may exceed its quota,
+/// because its plan pays for that and its ceiling permits it, and if the band is under its lower bound. In
+/// broadcast mode no head may exceed its quota, because only requests within their quota are queued there.
+/// `band_position` is called only for a head that may exceed its quota.
 pub(crate) fn may_send_over_quota(
     may_exceed_quota: bool,
     band_position: impl FnOnce() -> BandPosition,
--- a/crates/admission/src/policy/request_end/final_response.rs
+++ b/crates/admission/src/policy/request_end/final_response.rs
@@ -4,13 +4,14 @@
 /// The final response to a request without a good response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum FinalResponse {
-    /// A retry by the client does no harm.
+    /// The request is rejected: its client may safely retry.
     Reject,
-    /// The request may have run, and a retry by the client could run it a second time.
+    /// The request fails: it may have run, and a retry by its client could run it a second time.
     Fail,
 }
 
-/// The final response, by whether some endpoint may have run the request and what its class allows then.
+/// Returns the final response to a request without a good response. `may_have_run` tells whether any endpoint
+/// may have run the request, and `idempotency` whether its class allows it to run again.
 pub(crate) fn final_response(may_have_run: bool, idempotency: Idempotency) -> FinalResponse {
     if !may_have_run || client_retry_is_harmless(idempotency) {
         FinalResponse::Reject
@@ -19,7 +20,8 @@
     }
 }
 
-/// Whether a client's retry does no harm, to whichever endpoint it goes, once an attempt may have run.
+/// Returns whether a retry by the client does no harm after an attempt may have run, whichever endpoint the
+/// retry is sent to.
 fn client_retry_is_harmless(idempotency: Idempotency) -> bool {
     match idempotency {
         Idempotency::Idempotent => true,
--- a/crates/admission/src/policy/request_end/quota_settlement.rs
+++ b/crates/admission/src/policy/request_end/quota_settlement.rs
@@ -1,4 +1,4 @@
-//! What whoever counts a customer's quota is sent when a request has ended.
+//! What is sent to the quota's owner or to the quota counter when a request has ended.
 use crate::id::GatewayIndex;
 use crate::messages::quota_message::QuotaRequestNumber;
 use crate::state::QuotaState;
@@ -6,34 +6,36 @@
 /// A request that has ended, with all its attempts.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct EndedRequest {
-    /// Where it stands with the quota.
+    /// The state of the request's quota check.
     pub(crate) quota: QuotaState,
     /// Whether no attempt was sent.
     pub(crate) is_unsent: bool,
-    /// Units that it counts.
+    /// Units that the request was estimated at.
     pub(crate) units: f64,
-    /// Units by which its attempts passed these.
+    /// Units that the attempts consumed beyond the estimate; negative if they consumed less.
     pub(crate) settled_units: f64,
-    /// Whether its plan has an open limit, so that the quota's owner counts it as in flight.
+    /// Whether the plan has an open limit, so that the quota's owner counts the request as in flight.
     pub(crate) has_open_limit: bool,
 }
 
-/// What is sent about a request that has ended.
+/// What is sent to the quota's owner or to the quota counter about a request that has ended.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum QuotaSettlement {
-    /// Nothing: this gateway counts it alone, or the count is right already.
+    /// Nothing is sent: only this gateway counts the request, or the count is already right.
     Nothing,
-    /// The quota counter's count is settled.
+    /// The request's units in the quota counter are corrected.
     SettleWithCounter,
-    /// The quota's owner is sent a release with the units to take beyond those granted; below 0 they go back.
+    /// The quota's owner is sent a release. It takes `additional_units` beyond the units granted; if they are
+    /// negative, it returns them to the quota.
     Release { owner: GatewayIndex, number: QuotaRequestNumber, additional_units: f64 },
-    /// The quota request is withdrawn before a response to it was used: no response is awaited any more, and
-    /// the owner is sent a release.
+    /// The quota request is withdrawn, because the request ended before the owner granted it: its response is
+    /// no longer awaited, and the owner is sent a release.
     Withdraw { owner: GatewayIndex, number: QuotaRequestNumber, additional_units: f64 },
 }
 
-/// What is sent about a request that has ended. A release costs a message, so a request that was sent is
-/// released only where it occupied a slot, or where its true units differ and the quota is not ample.
+/// Returns what is sent about a request that has ended. A release costs a message, so a request that was sent
+/// is released only if it occupied a slot, or if its true units differ from the estimate and the quota is not
+/// ample.
 pub(crate) fn settlement_at_end(ended: &EndedRequest) -> QuotaSettlement {
     let unused_units = -ended.units;
     match ended.quota {
