--- a/crates/admission/src/policy/customer_usage/attempt_end_usage.rs
+++ b/crates/admission/src/policy/customer_usage/attempt_end_usage.rs
@@ -1,56 +1,57 @@
-//! What the end of an attempt changes in its customer's limits.
+//! How the end of an attempt changes its customer's usage at this gateway.
 use crate::state::QuotaState;
 
-/// What decides what the end of an attempt changes.
+/// An attempt that has ended.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct AttemptEndInput {
-    /// Where its request stands with the quota.
+    /// The state of the request's quota check.
     pub quota: QuotaState,
-    /// Its plan has a rate, so that the customer has a token bucket.
+    /// Whether the plan has a quota, so that the customer has a token bucket.
     pub has_quota: bool,
-    /// Its plan limits the attempts in flight.
+    /// Whether the plan limits the attempts in flight.
     pub has_open_limit: bool,
     /// Units that the request was estimated at.
     pub estimated_units: f64,
-    /// Units that the response gives, if it does.
+    /// Units that the request consumed, as the response reports them; `None` if it does not.
     pub true_units: Option<f64>,
-    /// Most units that one request counts, from the settings.
+    /// Most units that one request can consume, from the settings.
     pub max_units: f64,
 }
 
-/// Where the units are charged by which the true figure exceeds the estimate; below 0 they go back.
+/// Where the true units minus the estimated units are charged. A negative difference is a refund.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum ExcessCharge {
-    /// To the token bucket here.
+    /// The difference is charged to the customer's token bucket at this gateway.
     LocalBucket {
-        /// The units.
+        /// True units minus estimated units.
         excess_units: f64,
     },
-    /// To the request's record, for the quota's owner or the counter.
+    /// The difference is added to the request's record, to be settled with the quota's owner or the quota
+    /// counter.
     Request {
-        /// The units.
+        /// True units minus estimated units.
         excess_units: f64,
     },
 }
 
-/// What the end of an attempt changes.
+/// How the end of an attempt changes its customer's usage at this gateway.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct AttemptEndUsage {
-    /// It frees the slot that it took here.
+    /// Whether the attempt frees a slot that it took here.
     pub frees_slot: bool,
     /// Where the difference from the estimate is charged.
     pub charge: ExcessCharge,
-    /// The customer's counts are reported to its other gateways.
+    /// Whether the customer's counts are to be reported to the other gateways that its requests come through.
     pub triggers_report: bool,
 }
 
-/// What the end of an attempt changes.
+/// Returns how the end of an attempt changes its customer's usage.
 ///
-/// Guards against corrupt figures: no request counts more than `max_units`, and a larger figure from an
-/// endpoint would empty a customer's bucket for a long time. Such a figure counts as none.
+/// Guards against corrupt figures: no request consumes more than `max_units`, and a larger figure from an
+/// endpoint would empty a customer's bucket for a long time. Such a figure is ignored.
 pub(crate) fn usage_at_attempt_end(input: &AttemptEndInput) -> AttemptEndUsage {
-    let has_quota = input.quota.is_within_quota() && input.has_quota;
-    let true_units = input.true_units.filter(|units| has_quota && *units <= input.max_units);
+    let counts_to_quota = input.quota.is_within_quota() && input.has_quota;
+    let true_units = input.true_units.filter(|units| counts_to_quota && *units <= input.max_units);
     let excess_units = true_units.map_or(0.0, |units| units - input.estimated_units);
     let is_local_bucket = input.quota.is_local_bucket();
     let charge = if is_local_bucket {
--- a/crates/admission/src/policy/customer_usage/attempt_start_usage.rs
+++ b/crates/admission/src/policy/customer_usage/attempt_start_usage.rs
@@ -1,34 +1,34 @@
-//! What an attempt takes of its customer's limits when it starts.
+//! What an attempt takes from its customer's limits at this gateway when it starts.
 use crate::state::QuotaState;
 
-/// What decides what an attempt takes when it starts.
+/// An attempt that starts.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct AttemptStartInput {
-    /// Where its request stands with the quota.
+    /// The state of the request's quota check.
     pub quota: QuotaState,
-    /// It is the first attempt of its request.
+    /// Whether this is the request's first attempt.
     pub is_first: bool,
-    /// Its plan has a rate, so that the customer has a token bucket.
+    /// Whether the plan has a quota, so that the customer has a token bucket.
     pub has_quota: bool,
-    /// Its plan limits the attempts in flight.
+    /// Whether the plan limits the attempts in flight.
     pub has_open_limit: bool,
 }
 
-/// What an attempt takes when it starts.
+/// What an attempt takes from its customer's limits at this gateway when it starts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub(crate) struct AttemptStartUsage {
-    /// A slot: it counts to the customer's attempts in flight here.
+    /// Whether the attempt takes a slot: it counts as one of the customer's attempts in flight here.
     pub takes_slot: bool,
-    /// The request's units of the ceiling's bucket.
+    /// Whether the request's units are taken from the ceiling's bucket.
     pub consumes_ceiling: bool,
-    /// The request's units of the token bucket here.
+    /// Whether the request's units are taken from the quota's bucket.
     pub consumes_quota: bool,
-    /// The customer's counts are reported to its other gateways.
+    /// Whether the customer's counts are to be reported to the other gateways that its requests come through.
     pub triggers_report: bool,
 }
 
-/// What an attempt takes when it starts: nothing where another gateway counts it, and the request's units
-/// only with its first attempt.
+/// Returns what an attempt takes when it starts. It takes nothing here if another gateway counts it, and the
+/// request's units are taken only with the first attempt.
 pub(crate) fn usage_at_attempt_start(input: &AttemptStartInput) -> AttemptStartUsage {
     if !input.quota.holds_slot_here() {
         return AttemptStartUsage::default();
--- a/crates/admission/src/policy/customer_usage/mod.rs
+++ b/crates/admission/src/policy/customer_usage/mod.rs
@@ -1,4 +1,4 @@
-//! What an attempt takes of its customer's limits at this gateway, when it starts and when it ends.
+//! How attempts change the usage of their customer at this gateway, when they start and when they end.
 mod attempt_end_usage;
 mod attempt_start_usage;
 
