--- a/crates/admission/src/policy/mod.rs
+++ b/crates/admission/src/policy/mod.rs
@@ -1,4 +1,4 @@
-//! Every decision and the figures it goes by, one file for each.
+//! The rules that make a gateway's decisions, each with its constants in a file of its own.
 //!
 //! A rule is a function of its inputs: it does not see `Gateway`. The methods of `Gateway` in `lifecycle` and
 //! `coordination` gather the inputs, call the rule and apply its result.
--- a/crates/admission/src/policy/over_quota_use.rs
+++ b/crates/admission/src/policy/over_quota_use.rs
@@ -1,7 +1,8 @@
 //! Whether a plan pays for use over its quota.
 use crate::settings::PlanSettings;
 
-/// Whether a request over the quota earns more than it costs. Plans with an open limit permit none.
+/// Returns whether a request over the quota is worth more than it costs. Under a plan with an open limit no
+/// request may exceed the quota.
 pub(crate) fn pays_over_quota(plan: &PlanSettings) -> bool {
     plan.over_quota_value > plan.over_quota_cost && plan.open_limit == 0
 }
