--- a/crates/admission/src/tests/endpoint_rules/customer_usage_rules.rs
+++ b/crates/admission/src/tests/endpoint_rules/customer_usage_rules.rs
@@ -1,4 +1,4 @@
-//! What attempts take of their customer's limits at this gateway.
+//! How attempts change the usage of their customer at this gateway.
 use crate::id::GatewayIndex;
 use crate::messages::quota_message::QuotaRequestNumber;
 use crate::policy::customer_usage::{
@@ -9,18 +9,18 @@
 const WITHIN_QUOTA: QuotaState = QuotaState::LocalBucket { within_quota: true };
 const OVER_QUOTA: QuotaState = QuotaState::LocalBucket { within_quota: false };
 
-/// A quota granted by another gateway.
+/// Returns the state of a request that another gateway granted as the owner of its quota.
 fn granted() -> QuotaState {
     QuotaState::GrantedByOwner { owner: GatewayIndex(1), number: QuotaRequestNumber::default(), ample: false }
 }
 
 #[test]
-fn a_starting_attempt_takes_a_slot_and_the_first_one_the_units() {
+fn attempt_start_takes_a_slot_and_the_first_attempt_the_units() {
     let first =
         AttemptStartInput { quota: WITHIN_QUOTA, is_first: true, has_quota: true, has_open_limit: false };
     let retry = AttemptStartInput { is_first: false, ..first };
     let uncounted = AttemptStartInput { quota: QuotaState::AdmittedUncounted, ..first };
-    // Whether it takes a slot, consumes ceiling and quota, and is reported.
+    // The input, and whether the attempt takes a slot, consumes ceiling and quota, and triggers a report.
     let rows = [
         (first, [true, true, true, true]),
         (AttemptStartInput { has_quota: false, ..first }, [true, true, false, true]),
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn an_ended_attempt_is_charged_what_its_true_units_exceed_the_estimate_by() {
+fn attempt_end_charges_the_true_units_minus_the_estimate() {
     let ended = AttemptEndInput {
         quota: WITHIN_QUOTA,
         has_quota: true,
@@ -51,7 +51,7 @@
     let request = |excess_units| ExcessCharge::Request { excess_units };
     let owner = AttemptEndInput { quota: granted(), ..ended };
     let counter = AttemptEndInput { quota: QuotaState::AdmittedByCounter { ample: false }, ..ended };
-    // The input, whether it frees a slot, where the units are charged, and whether it is reported.
+    // The input, whether a slot is freed, where the units are charged, and whether a report is triggered.
     let rows = [
         (ended, true, local(3.0), true),
         (AttemptEndInput { true_units: Some(1.5), ..ended }, true, local(-0.5), true),
--- a/crates/admission/src/tests/load_rules/band_position_rules.rs
+++ b/crates/admission/src/tests/load_rules/band_position_rules.rs
@@ -1,4 +1,4 @@
-//! Where the stock lies against the band, in both modes.
+//! The position of the attempts in flight relative to the band, and dispatch credit.
 use super::is_close;
 use crate::policy::band::band_bounds::{is_saturated_in_broadcast_mode, position_in_broadcast_mode};
 use crate::policy::band::dispatch_credit::{
@@ -6,18 +6,20 @@
 };
 use crate::state::{Band, BandPosition};
 
-/// Two gateways, and a band from 90 to 110 around 100 attempts: 45 at its lower bound for each gateway.
+/// A band of two gateways with bounds of 90 and 110 around 100 attempts in flight: an even fraction of the
+/// lower bound is 45.
 fn reported_band(own_in_flight: f64, stock: f64) -> Band {
     Band { own_in_flight, stock, middle: 100.0, gateways: 2.0 }
 }
 
-/// 10 gateways and 25 endpoints at a watermark of 4: a middle of 100 attempts, 10 for each gateway.
+/// A band of 10 gateways, with 25 endpoints and a watermark of 4: its middle is 100 attempts in flight, 10
+/// for each gateway.
 fn gossip_band(stock: f64) -> LargeFleetBand {
     LargeFleetBand { mean_in_flight: stock / 10.0, gateways: 10, watermark: 4.0, ready_capacity: 25.0 }
 }
 
 #[test]
-fn broadcast_mode_compares_the_stock_with_both_bounds_above_the_even_quota() {
+fn broadcast_position_follows_both_bounds_above_the_even_fraction() {
     let cases = [
         (60.0, 89.0, BandPosition::UnderLower),
         (60.0, 91.0, BandPosition::BetweenBounds),
@@ -33,7 +35,7 @@
 }
 
 #[test]
-fn endpoints_are_saturated_beyond_half_of_the_middle() {
+fn endpoints_are_saturated_above_half_of_the_middle() {
     for (stock, saturated) in [(50.0, false), (51.0, true)] {
         assert_eq!(is_saturated_in_broadcast_mode(&reported_band(0.0, stock)), saturated, "{stock}");
         assert_eq!(gossip_band(stock).is_saturated(), saturated, "{stock} by gossip");
@@ -41,7 +43,7 @@
 }
 
 #[test]
-fn large_fleet_requires_credit_from_six_tenths_of_the_middle_on() {
+fn large_fleet_requires_credit_above_six_tenths_of_the_middle() {
     let cases = [
         (59.0, 0.0, BandPosition::UnderLower),
         (61.0, 0.9, BandPosition::NotUnderUpper),
@@ -61,27 +63,35 @@
 }
 
 #[test]
-fn credit_required_falls_with_the_priority_weight() {
+fn higher_priority_weight_requires_less_credit() {
     for (weight, required) in [(1.0, 1.0), (3.0, 0.0), (0.0, 1.0)] {
         assert!(is_close(credit_required(weight, 1.0), required), "weight {weight}");
     }
-    assert!(is_close(credit_required(1e12, 1.0), -0.5), "half a credit may be overdrawn at most");
+    assert!(is_close(credit_required(1e12, 1.0), -0.5), "the overdraft is at most half a credit");
     assert_eq!(credit_required(0.0, 0.0), -0.5, "no division by 0 where no class has a weight");
 }
 
 #[test]
-fn credit_refills_by_the_even_quota_faster_while_the_stock_is_low() {
-    // 10 attempts at a mean response time of 500 ms are 20 requests a second.
+fn credit_refills_faster_while_fewer_attempts_are_in_flight() {
+    // 10 attempts in flight at a mean response time of 500 ms are 20 requests per second.
     for (stock, earned) in [(0.0, 6.0), (100.0, 2.0), (120.0, 1.2), (1000.0, 0.6)] {
         let credit = credit_after_refill(-1.0, &gossip_band(stock), 500.0, 0.1);
         assert!(is_close(credit, earned - 1.0), "{credit} at {stock}");
     }
-    assert_eq!(credit_after_refill(9.0, &gossip_band(0.0), 500.0, 1.0), 10.0, "the even quota is the limit");
+    assert_eq!(
+        credit_after_refill(9.0, &gossip_band(0.0), 500.0, 1.0),
+        10.0,
+        "the even fraction is the limit"
+    );
     let band = LargeFleetBand { ready_capacity: 1.0, ..gossip_band(0.0) };
-    assert_eq!(credit_after_refill(0.9, &band, 500.0, 1.0), 1.0, "an even quota of 0.4 allows one request");
+    assert_eq!(
+        credit_after_refill(0.9, &band, 500.0, 1.0),
+        1.0,
+        "one request may be saved for if the even fraction is 0.4"
+    );
 }
 
 #[test]
-fn each_request_spends_a_credit_down_to_an_overdraft_of_one() {
+fn request_spends_one_credit_down_to_an_overdraft_of_one() {
     assert_eq!([2.0, 0.5, -0.5].map(credit_after_send), [1.0, -0.5, -1.0]);
 }
--- a/crates/admission/src/tests/load_rules/counted_endpoint_rules.rs
+++ b/crates/admission/src/tests/load_rules/counted_endpoint_rules.rs
@@ -1,4 +1,4 @@
-//! Which endpoints' work the band counts.
+//! Which endpoints the band counts.
 use crate::policy::band::counted_endpoints::{
     is_counted_despite_correlated_failure, is_counted_in_broadcast_mode, is_counted_in_large_fleet,
     HealthSignals,
@@ -13,32 +13,32 @@
 };
 
 #[test]
-fn both_modes_leave_out_the_work_of_endpoints_that_failed() {
+fn failed_endpoints_are_not_counted_in_either_mode() {
     let cases = [
         (HEALTHY, true),
         (HealthSignals { is_gone: true, ..HEALTHY }, false),
         (HealthSignals { consecutive_failures: 1, is_ejected: true, ..HEALTHY }, false),
-        // It paused after an overload response, or its ejection has ended.
+        // The endpoint is paused after an overload response, or its ejection has ended.
         (HealthSignals { is_ejected: true, ..HEALTHY }, true),
         (HealthSignals { consecutive_failures: 1, ..HEALTHY }, true),
         (HealthSignals { is_any_class_ejected: true, ..HEALTHY }, false),
         (HealthSignals { stall_ratio: 2.1, ..HEALTHY }, false),
     ];
-    for (condition, counted) in cases {
-        assert_eq!(is_counted_in_broadcast_mode(&condition), counted, "{condition:?}");
-        assert_eq!(is_counted_in_large_fleet(&condition, false, 1.0), counted, "{condition:?}");
+    for (signals, counted) in cases {
+        assert_eq!(is_counted_in_broadcast_mode(&signals), counted, "{signals:?}");
+        assert_eq!(is_counted_in_large_fleet(&signals, false, 1.0), counted, "{signals:?}");
     }
 }
 
 #[test]
-fn large_fleet_leaves_out_the_work_of_unresponsive_and_far_slower_endpoints() {
+fn large_fleet_does_not_count_unresponsive_or_far_slower_endpoints() {
     assert!(is_counted_in_large_fleet(&HEALTHY, false, 1.6));
     assert!(!is_counted_in_large_fleet(&HEALTHY, false, 1.7));
     assert!(!is_counted_in_large_fleet(&HEALTHY, true, 1.0));
 }
 
 #[test]
-fn all_count_during_a_correlated_failure() {
+fn all_endpoints_are_counted_during_a_correlated_failure() {
     for (is_correlated_failure, counted_alone, counted) in
         [(true, false, true), (false, false, false), (false, true, true)]
     {
--- a/crates/admission/src/tests/load_rules/customer_limit_rules.rs
+++ b/crates/admission/src/tests/load_rules/customer_limit_rules.rs
@@ -1,10 +1,10 @@
-//! What quota, open limit and ceiling of a customer permit.
+//! Whether a customer's quota, open limit and ceiling permit a request.
 use super::plan;
 use crate::policy::queue::customer_limits::{check_customer_limits, LimitDecision, LimitInput, SlotUse};
 use crate::settings::PlanSettings;
 use crate::state::QuotaDecision;
 
-/// A request of one unit, of a customer with one unit of each token.
+/// A request of one unit, of a customer with one unit in each bucket.
 fn input(plan: &PlanSettings) -> LimitInput<'_> {
     LimitInput {
         plan,
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn quota_is_checked_only_where_the_local_bucket_decides() {
+fn quota_is_checked_only_if_the_local_bucket_decides() {
     let plan = plan();
     let unlimited = PlanSettings { rate_per_second: 0.0, ..plan.clone() };
     let short = LimitInput { quota_tokens: 0.9, ..input(&plan) };
@@ -40,10 +40,10 @@
     assert_eq!(check_customer_limits(&LimitInput { slots, ..short }), LimitDecision::WaitForSlot);
 }
 
-/// Limit 4 over 3 gateways: each has one slot of its own. Limit 2 over 8 gateways: the first 3 places (4 for
-/// each 3 slots, rounded up) have one.
+/// With a limit of 4 and 3 gateways, each gateway has one slot of its own. With a limit of 2 and 8 gateways,
+/// the first 3 positions have one: 4 gateways for 3 slots, rounded up.
 #[test]
-fn open_limit_counts_unreported_attempts_beyond_the_own_slots() {
+fn open_limit_counts_unreported_attempts_once_own_slots_are_used() {
     let cases = [
         (4, 3, 2, [0, 3, 2], LimitDecision::Admit),
         (4, 3, 2, [0, 4, 2], LimitDecision::WaitForSlot),
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn queue_decision_follows_the_limits() {
+fn quota_decision_follows_the_limit_decision() {
     let cases = [
         (LimitDecision::Admit, QuotaDecision::Admit),
         (LimitDecision::OverQuota, QuotaDecision::OverQuota),
--- a/crates/admission/src/tests/load_rules/deadline_rules.rs
+++ b/crates/admission/src/tests/load_rules/deadline_rules.rs
@@ -1,4 +1,4 @@
-//! Which requests come too late, which are overdue, and what a client has waited already.
+//! Which requests come too late, which are overdue, and how long a client has already waited.
 use crate::policy::admission::deadline::{is_overdue, RequestTimes};
 use crate::policy::admission::elapsed_wait::{already_waited_ms, TimeBudgetInput};
 use crate::policy::admission::retry_after::{
@@ -6,8 +6,8 @@
     retry_after_overload,
 };
 
-/// A request at time 1,000 with 500 ms until its objective and 2,000 ms until its deadline, in a class that
-/// is answered in 200 ms.
+/// A request 500 ms before its latency objective and 2,000 ms before its deadline, in a class with a mean
+/// response time of 200 ms. The current time is 1,000 ms.
 const TIMES: RequestTimes = RequestTimes {
     now_ms: 1000.0,
     objective_at_ms: 1500.0,
@@ -18,15 +18,15 @@
 };
 
 #[test]
-fn time_left_ends_with_the_objective_or_the_last_response_before_the_deadline() {
+fn time_left_ends_at_the_objective_or_the_last_upkeep_before_the_deadline() {
     assert_eq!(TIMES.time_left_ms(), 500.0);
-    // 20 ms for a round of upkeep and 4 ms for two ticks.
+    // 400 ms less 20 ms for a round of upkeep and 4 ms for two ticks.
     assert_eq!(RequestTimes { deadline_at_ms: 1400.0, ..TIMES }.time_left_ms(), 376.0);
 }
 
 #[test]
-fn too_late_depends_on_the_mean_response_time_and_on_saturation() {
-    // 0.8 mean response times are 160 ms; while saturated 2.5 are 500 ms.
+fn too_late_begins_earlier_while_the_endpoints_are_saturated() {
+    // The limit is 0.8 mean response times, 160 ms, or 2.5 while the endpoints are saturated, 500 ms.
     let cases = [(160.0, false, false), (159.0, false, true), (500.0, true, false), (499.0, true, true)];
     for (left_ms, endpoints_saturated, too_late) in cases {
         let times = RequestTimes { objective_at_ms: 1000.0 + left_ms, endpoints_saturated, ..TIMES };
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn overdue_near_the_deadline_or_unsent_and_too_late() {
+fn request_is_overdue_near_the_deadline_or_if_unsent_and_too_late() {
     let late = RequestTimes { objective_at_ms: 1100.0, ..TIMES };
     let cases = [(TIMES, true, false), (late, true, true), (late, false, false)];
     for (times, is_unsent, overdue) in cases {
@@ -47,12 +47,12 @@
 }
 
 #[test]
-fn client_has_waited_for_what_its_budget_lacks_where_the_usual_budget_is_certain() {
+fn small_time_budget_shows_an_earlier_wait_once_votes_suffice() {
     let cases = [
         (None, 1900.0, 0.0),
         (Some(9), 1900.0, 0.0),
         (Some(10), 1900.0, 1100.0),
-        // No more than the objective: an impatient client's first attempt.
+        // A budget of at most the latency objective is that of an impatient client's first request.
         (Some(10), 1000.0, 0.0),
         (Some(10), 4000.0, 0.0),
     ];
--- a/crates/admission/src/tests/load_rules/dispatch_order_rules.rs
+++ b/crates/admission/src/tests/load_rules/dispatch_order_rules.rs
@@ -13,7 +13,7 @@
 use crate::state::{BandPosition, QuotaDecision};
 
 #[test]
-fn heads_are_judged_by_quota_and_in_a_large_fleet_by_credit() {
+fn head_needs_quota_and_in_a_large_fleet_also_credit() {
     let cases = [
         (QuotaDecision::Admit, BandPosition::UnderLower, HeadDecision::Eligible, HeadDecision::Eligible),
         (
@@ -37,16 +37,16 @@
 }
 
 #[test]
-fn the_smallest_virtual_finish_is_first_and_of_two_alike_the_first_seen() {
+fn smallest_virtual_finish_is_dispatched_first_and_a_tie_keeps_the_order() {
     let head = |id, virtual_finish| FlowHead { tag: CustomerTag(id), id: RequestId(id), virtual_finish };
-    let next = |seen, other| earlier_head(seen, other).id;
+    let next = |earliest, other| earlier_head(earliest, other).id;
     assert_eq!(next(None, head(1, 5.0)), RequestId(1));
     assert_eq!(next(Some(head(1, 5.0)), head(2, 4.0)), RequestId(2));
     assert_eq!(next(Some(head(1, 5.0)), head(2, 5.0)), RequestId(1));
 }
 
 #[test]
-fn over_quota_requests_are_sent_only_where_the_plan_pays_and_the_stock_is_low() {
+fn request_over_quota_is_sent_only_if_it_may_exceed_and_under_the_lower_bound() {
     let cases = [
         (true, BandPosition::UnderLower, true),
         (true, BandPosition::BetweenBounds, false),
@@ -58,11 +58,11 @@
 }
 
 #[test]
-fn flows_weigh_by_the_rate_or_by_what_their_slots_can_do() {
+fn flow_weight_follows_the_rate_or_the_throughput_of_the_slots() {
     let cases = [
         (PlanSettings { plan_weight: 2.0, ..plan() }, 20.0),
         (PlanSettings { plan_weight: 0.0, ..plan() }, 0.1),
-        // 3 slots of 200 ms each serve 15 requests a second.
+        // 3 slots serve 15 requests per second at a mean response time of 200 ms.
         (PlanSettings { rate_per_second: 0.0, open_limit: 3, ..plan() }, 15.0),
         (PlanSettings { rate_per_second: 0.0, ..plan() }, 5.0),
     ];
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn queue_sizes_count_priority_in_a_large_fleet_only() {
+fn request_size_depends_on_priority_in_a_large_fleet_only() {
     assert_eq!(request_size_in_broadcast_mode(3.0), 3.0);
     assert_eq!((request_size_in_large_fleet(3.0, 2.0), request_size_in_large_fleet(3.0, 0.0)), (1.5, 300.0));
 }
--- a/crates/admission/src/tests/load_rules/local_bucket_rules.rs
+++ b/crates/admission/src/tests/load_rules/local_bucket_rules.rs
@@ -1,8 +1,9 @@
-//! What the customer's token bucket at a gateway has for a new request.
+//! Checks of a new request against its customer's token bucket at a gateway.
 use super::plan;
 use crate::policy::admission::local_bucket::{check_local_bucket, withheld_burst_units, LocalBucketInput};
 use crate::settings::PlanSettings;
 
+/// A request of 2 units, exactly as many as queued requests and peers leave of the 10 in the bucket.
 fn input(plan: &PlanSettings) -> LocalBucketInput<'_> {
     LocalBucketInput {
         plan,
@@ -15,23 +16,23 @@
 }
 
 #[test]
-fn quota_is_met_by_what_queued_requests_and_peers_leave() {
+fn queued_requests_and_peers_reduce_the_available_units() {
     let plan = plan();
     assert!(check_local_bucket(&input(&plan)).is_within_quota);
     let short = check_local_bucket(&LocalBucketInput { queued_units: 6.0, ..input(&plan) });
-    // One unit short, at 10 units a second.
+    // One unit is lacking, and the bucket fills at 10 units per second.
     assert_eq!((short.is_within_quota, short.retry_after_ms), (false, Some(100.0)));
 }
 
 #[test]
-fn plan_without_a_rate_is_always_met_and_refills_never() {
+fn request_is_always_within_quota_without_a_rate() {
     let plan = PlanSettings { rate_per_second: 0.0, ..plan() };
     let check = check_local_bucket(&LocalBucketInput { quota_tokens: 0.0, ..input(&plan) });
     assert_eq!((check.is_within_quota, check.retry_after_ms), (true, None));
 }
 
 #[test]
-fn quota_may_be_exceeded_where_the_plan_pays_within_the_ceiling() {
+fn quota_may_be_exceeded_if_the_plan_pays_and_the_ceiling_permits() {
     let paying = PlanSettings { over_quota_value: 2.0, ..plan() };
     let with_ceiling = PlanSettings { ceiling_rate_per_second: 1.0, ..paying.clone() };
     for (plan, units, may_exceed) in
@@ -43,7 +44,7 @@
 }
 
 #[test]
-fn burst_of_peers_is_withheld_for_a_second_after_the_start() {
+fn burst_fraction_of_peers_is_withheld_for_a_second_after_the_start() {
     for (gateways, since_start_ms, withheld) in [(4, 999.0, 30.0), (4, 1000.0, 0.0), (1, 0.0, 0.0)] {
         assert_eq!(withheld_burst_units(40.0, gateways, since_start_ms), withheld, "{gateways}");
     }
--- a/crates/admission/src/tests/load_rules/mod.rs
+++ b/crates/admission/src/tests/load_rules/mod.rs
@@ -1,4 +1,4 @@
-//! Rules on load: admission, the queue, and the in-flight band.
+//! Tests of the rules on load: admission, the queue, the in-flight band, upkeep and the end of a request.
 mod band_position_rules;
 mod counted_endpoint_rules;
 mod customer_limit_rules;
@@ -14,7 +14,8 @@
 use crate::settings::PlanSettings;
 use crate::tests::plan_builder::quota_plan;
 
-/// A plan of 10 units a second and bursts of 40, without slots, ceiling or use beyond the quota.
+/// A plan with a quota of 10 units per second and a burst of 40 units, without an open limit, a ceiling or
+/// paid use over the quota.
 fn plan() -> PlanSettings {
     quota_plan(10.0, 40.0)
 }
--- a/crates/admission/src/tests/load_rules/new_request_rules.rs
+++ b/crates/admission/src/tests/load_rules/new_request_rules.rs
@@ -1,4 +1,4 @@
-//! What becomes of a new request.
+//! Whether a new request is sent, queued or rejected.
 use crate::policy::admission::deadline::RequestTimes;
 use crate::policy::admission::new_request::{
     admit_in_broadcast_mode, admit_in_large_fleet, lacks_ceiling_units_only, queue_or_reject,
@@ -9,7 +9,7 @@
 
 const REJECTED: Admission = Admission::Reject { retry_after_ms: Some(70.0) };
 
-/// A request within its quota while the stock is under both bounds.
+/// A request within its quota, while the fleet's attempts in flight are under both bounds.
 const ADMITTED: AdmissionInput = AdmissionInput {
     quota: LocalBucketCheck { is_within_quota: true, may_exceed: false, retry_after_ms: Some(70.0) },
     limits: LimitDecision::Admit,
@@ -18,7 +18,7 @@
     queued_requests: 3999,
 };
 
-/// A request with this much time left in a class that is answered in 100 ms.
+/// The times of a request with `time_left_ms` left, in a class with a mean response time of 100 ms.
 fn times(time_left_ms: f64) -> RequestTimes {
     RequestTimes {
         now_ms: 0.0,
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn broadcast_mode_sends_within_quota_up_to_the_upper_bound() {
+fn request_within_quota_is_sent_under_the_upper_bound() {
     let cases = [
         (ADMITTED, Admission::Send),
         (AdmissionInput { band: BandPosition::BetweenBounds, ..ADMITTED }, Admission::Send),
@@ -46,10 +46,10 @@
 }
 
 #[test]
-fn broadcast_mode_sends_beyond_the_quota_up_to_the_lower_bound_where_the_plan_pays() {
+fn request_over_quota_is_sent_under_the_lower_bound_if_the_plan_pays() {
     let over = LocalBucketCheck { is_within_quota: false, ..ADMITTED.quota };
     let paying = LocalBucketCheck { may_exceed: true, ..over };
-    // The customer's limits bind use within the quota only.
+    // The customer's limits apply only to a request within the quota.
     let limits = LimitDecision::WaitForSlot;
     let cases = [
         (AdmissionInput { quota: over, ..ADMITTED }, REJECTED),
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn without_an_endpoint_a_request_within_its_quota_is_queued() {
+fn request_within_quota_is_queued_without_an_endpoint() {
     let over = LocalBucketCheck { is_within_quota: false, may_exceed: true, ..ADMITTED.quota };
     assert_eq!(queue_or_reject(&ADMITTED), Admission::Queue);
     assert_eq!(queue_or_reject(&AdmissionInput { queued_requests: 4000, ..ADMITTED }), REJECTED);
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn ceiling_units_are_requested_where_nothing_else_is_lacking() {
+fn ceiling_units_are_requested_if_nothing_else_is_lacking() {
     let lacking = AdmissionInput { limits: LimitDecision::WaitForCeiling, ..ADMITTED };
     let over = LocalBucketCheck { is_within_quota: false, may_exceed: true, ..ADMITTED.quota };
     let cases = [
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn both_modes_reject_what_comes_too_late_and_a_large_fleet_queues_the_rest() {
+fn late_requests_are_rejected_and_a_large_fleet_queues_the_others() {
     let overloaded = Admission::Reject { retry_after_ms: Some(1000.0) };
     assert_eq!(reject_if_too_late(&times(79.0), 1000.0), Some(overloaded));
     assert_eq!(reject_if_too_late(&times(80.0), 1000.0), None);
--- a/crates/admission/src/tests/load_rules/request_end_rules.rs
+++ b/crates/admission/src/tests/load_rules/request_end_rules.rs
@@ -7,7 +7,7 @@
 use crate::state::QuotaState;
 
 #[test]
-fn fails_only_what_may_have_run_and_must_not_run_again() {
+fn request_fails_only_if_a_retry_could_run_it_twice() {
     let key = |group| Idempotency::IdempotencyKey { group, window_ms: 1000.0 };
     let cases = [
         (false, Idempotency::NonIdempotent, FinalResponse::Reject),
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn owner_is_sent_a_release_where_its_count_would_be_wrong() {
+fn owner_is_sent_a_release_if_its_count_would_be_wrong() {
     let (owner, number) = (GatewayIndex(3), QuotaRequestNumber::default());
     let release = |additional_units| QuotaSettlement::Release { owner, number, additional_units };
     let granted = |ample| EndedRequest {
--- a/crates/admission/src/tests/load_rules/upkeep_rules.rs
+++ b/crates/admission/src/tests/load_rules/upkeep_rules.rs
@@ -1,4 +1,4 @@
-//! When periodic work is due, and how long an attempt may take.
+//! When periodic work is due, and the time-out of an attempt.
 use crate::policy::retry::attempt_timeout_ms;
 use crate::policy::upkeep::{
     eviction_is_due, review_is_due, upkeep_interval_ms_in_broadcast_mode, upkeep_interval_ms_in_large_fleet,
@@ -16,17 +16,17 @@
 }
 
 #[test]
-fn work_is_due_from_its_interval_on() {
+fn periodic_work_is_due_once_its_interval_has_passed() {
     assert!(
         upkeep_is_due(99.5, 100.0) && !upkeep_is_due(99.4, 100.0),
-        "half a millisecond early still counts"
+        "a timer may fire half a millisecond early"
     );
     assert!(review_is_due(100.0) && !review_is_due(99.0));
     assert!(eviction_is_due(1000.0) && !eviction_is_due(999.0));
 }
 
 #[test]
-fn attempt_takes_two_objectives_at_most_and_never_longer_than_its_client_waits() {
+fn attempt_timeout_is_two_objectives_but_at_most_the_time_left() {
     for (time_left_ms, timeout_ms) in [(3000.0, 2000.0), (1500.0, 1500.0), (-5.0, 1.0)] {
         assert_eq!(attempt_timeout_ms(1000.0, time_left_ms), timeout_ms);
     }
--- a/crates/admission/src/tests/load_rules/watermark_rules.rs
+++ b/crates/admission/src/tests/load_rules/watermark_rules.rs
@@ -9,37 +9,37 @@
 
 const LOWER: WatermarkStep = WatermarkStep::Lower { factor: 0.93 };
 
-/// Responses and ages against an objective of a second; the band has made requests wait.
+/// The input of a step, with a latency objective of 1 s and requests that waited for the band.
 fn input(response_fraction: f64, typical_age_ms: f64) -> WatermarkInput {
     WatermarkInput { response_fraction, typical_age_ms, shortest_objective_ms: 1000.0, was_blocked: true }
 }
 
-/// A large fleet's band that is filled to this fraction of its middle of 100 attempts.
+/// The band of a large fleet that is filled to `fill` of its middle of 100 attempts in flight.
 fn gossip_band(fill: f64) -> LargeFleetBand {
     LargeFleetBand { mean_in_flight: 10.0 * fill, gateways: 10, watermark: 4.0, ready_capacity: 25.0 }
 }
 
-/// Whether a step raises the watermark by this factor.
+/// Returns whether a step raises the watermark by the expected factor.
 fn raises_by(step: WatermarkStep, expected: f64) -> bool {
     matches!(step, WatermarkStep::Raise { factor } if is_close(factor, expected))
 }
 
 #[test]
-fn floor_is_higher_and_steps_are_as_frequent_in_a_large_fleet() {
+fn floor_depends_on_the_mode_and_the_step_interval_does_not() {
     assert_eq!((watermark_floor_in_broadcast_mode(), watermark_floor_in_large_fleet()), (2.0, 4.0));
     assert!(watermark_step_is_due(120.0, 1000.0) && !watermark_step_is_due(119.0, 1000.0));
 }
 
 #[test]
-fn broadcast_mode_lowers_it_while_responses_or_attempts_in_flight_are_slow() {
+fn slow_responses_or_old_attempts_lower_the_watermark_in_broadcast_mode() {
     let step = |response, age_ms| watermark_step_in_broadcast_mode(&input(response, age_ms));
     assert_eq!((step(0.37, 0.0), step(0.35, 0.0)), (LOWER, WatermarkStep::Stay));
-    // An age counts one and a half times: 250 ms as 0.375 objectives, 230 ms as 0.345.
+    // The age has a weight of 1.5: 250 ms count as 0.375 objectives, 230 ms as 0.345.
     assert_eq!((step(0.0, 250.0), step(0.0, 230.0)), (LOWER, WatermarkStep::Stay));
 }
 
 #[test]
-fn broadcast_mode_raises_it_while_responses_are_prompt_and_requests_wait() {
+fn fast_responses_raise_the_watermark_in_broadcast_mode_if_requests_wait() {
     assert!(raises_by(watermark_step_in_broadcast_mode(&input(0.0, 0.0)), 1.4));
     assert!(raises_by(watermark_step_in_broadcast_mode(&input(0.13, 0.0)), 1.2));
     let unblocked = WatermarkInput { was_blocked: false, ..input(0.13, 0.0) };
@@ -47,9 +47,10 @@
 }
 
 #[test]
-fn large_fleet_takes_slower_responses_for_prompt_and_raises_a_gated_band() {
+fn large_fleet_has_higher_thresholds_and_raises_a_full_band() {
     let step = |input, fill| watermark_step_in_large_fleet(&input, &gossip_band(fill));
-    // The limits are 0.39 and 0.54 objectives, and an age counts nine tenths: 610 ms as 0.549 objectives.
+    // The thresholds are 0.39 and 0.54 objectives. The age has a weight of 0.9: 610 ms count as 0.549
+    // objectives.
     assert_eq!((step(input(0.55, 0.0), 0.0), step(input(0.53, 0.0), 0.0)), (LOWER, WatermarkStep::Stay));
     assert_eq!((step(input(0.0, 610.0), 0.0), step(input(0.0, 590.0), 0.0)), (LOWER, WatermarkStep::Stay));
     assert!(raises_by(step(input(0.195, 0.0), 0.0), 1.2));
--- a/crates/admission/src/tests/plan_builder.rs
+++ b/crates/admission/src/tests/plan_builder.rs
@@ -1,7 +1,7 @@
 //! Plans for table tests.
 use crate::settings::PlanSettings;
 
-/// A plan with a quota of this rate and burst, without slots, ceiling or use beyond the quota.
+/// Returns a plan with a quota, but without an open limit, a ceiling or paid use over the quota.
 pub(crate) fn quota_plan(rate_per_second: f64, burst_units: f64) -> PlanSettings {
     PlanSettings {
         rate_per_second,
@@ -15,7 +15,7 @@
     }
 }
 
-/// The same plan, where use beyond the quota earns more than it costs.
+/// Returns a plan with a quota, under which use over the quota is worth more than it costs.
 pub(crate) fn paying_plan(rate_per_second: f64, burst_units: f64) -> PlanSettings {
     PlanSettings { over_quota_value: 0.5, over_quota_cost: 0.2, ..quota_plan(rate_per_second, burst_units) }
 }
