--- a/crates/admission/src/policy/band/counted_endpoints.rs
+++ b/crates/admission/src/policy/band/counted_endpoints.rs
@@ -23,7 +23,7 @@
     pub(crate) is_ejected: bool,
     /// Whether the endpoint is ejected for at least one class because of attempts that the fleet observed.
     pub(crate) is_any_class_ejected: bool,
-    /// Time without a response while attempts are in flight, in multiples of the time that is a stall.
+    /// Time without a response while attempts are in flight, in multiples of the shortest stall.
     pub(crate) stall_ratio: f64,
 }
 
@@ -37,10 +37,10 @@
     }
 }
 
-/// Returns whether the band counts an endpoint, where a correlated failure makes it count all endpoints. If
-/// most endpoints look like outliers, the cause lies elsewhere: without them the band would have almost no
-/// capacity, and almost nothing would be sent. `is_counted` decides by the endpoint alone, and is called only
-/// if there is no correlated failure.
+/// Returns whether the band counts an endpoint: during a correlated failure it counts all of them. If most
+/// endpoints look like outliers, the cause does not lie with them, and without them the band would have
+/// almost no capacity and almost nothing would be sent. `is_counted` decides by the endpoint alone, and is
+/// called only if there is no correlated failure.
 pub(crate) fn is_counted_despite_correlated_failure(
     is_correlated_failure: bool,
     is_counted: impl FnOnce() -> bool,
--- a/crates/admission/src/policy/customer_retention.rs
+++ b/crates/admission/src/policy/customer_retention.rs
@@ -26,8 +26,8 @@
     fill_ms.max(MIN_CUSTOMER_IDLE_MS)
 }
 
-/// Returns whether a customer is evicted that has been idle for `idle_ms`. A customer with attempts in flight
-/// at this gateway is not.
+/// Returns whether a customer that has been idle for `idle_ms` is evicted. A customer with attempts in flight
+/// at this gateway never is.
 pub(crate) fn is_evicted(attempts_in_flight: u32, idle_ms: f64, idle_limit_ms: f64) -> bool {
     attempts_in_flight == 0 && idle_ms >= idle_limit_ms
 }
--- a/crates/admission/src/policy/queue/customer_limits.rs
+++ b/crates/admission/src/policy/queue/customer_limits.rs
@@ -27,8 +27,8 @@
     pub(crate) slots: Option<SlotUse>,
 }
 
-/// How many of a customer's slots are in use, and how they are divided among gateways. A slot is one attempt
-/// in flight of those that the plan's open limit allows.
+/// How many of a customer's slots are in use, and how they are divided among gateways. A slot is one of the
+/// attempts in flight that the plan's open limit allows.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct SlotUse {
     /// The customer's attempts in flight that this gateway sent.
--- a/crates/admission/src/policy/queue/dispatch_order.rs
+++ b/crates/admission/src/policy/queue/dispatch_order.rs
@@ -14,7 +14,7 @@
     AwaitsQuota,
     /// The quota permits the head, but there is too little dispatch credit for its class.
     BlockedByBand,
-    /// The head is over its quota: it is removed from the queue, and sent over the quota or rejected.
+    /// The head is over its quota: it is removed from the queue, and sent although it is over, or rejected.
     OverQuota,
 }
 
@@ -44,7 +44,7 @@
 }
 
 /// Returns the eligible head that is dispatched first: the one with the smaller virtual finish time, or
-/// `earliest`, the first of the heads compared so far, if both are equal.
+/// `earliest` if both are equal. `earliest` is the result for the heads compared so far.
 pub(crate) fn earlier_head(earliest: Option<FlowHead>, head: FlowHead) -> FlowHead {
     match earliest {
         Some(earliest) if !head.precedes(&earliest) => earliest,
--- a/crates/admission/src/tests/load_rules/band_position_rules.rs
+++ b/crates/admission/src/tests/load_rules/band_position_rules.rs
@@ -68,7 +68,7 @@
         assert!(is_close(credit_required(weight, 1.0), required), "weight {weight}");
     }
     assert!(is_close(credit_required(1e12, 1.0), -0.5), "the overdraft is at most half a credit");
-    assert_eq!(credit_required(0.0, 0.0), -0.5, "no division by 0 where no class has a weight");
+    assert_eq!(credit_required(0.0, 0.0), -0.5, "no division by 0 if no class has a weight");
 }
 
 #[test]
--- a/crates/admission/src/tests/load_rules/local_bucket_rules.rs
+++ b/crates/admission/src/tests/load_rules/local_bucket_rules.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn request_is_always_within_quota_without_a_rate() {
+fn plan_without_a_rate_is_unlimited_and_gives_no_retry_after() {
     let plan = PlanSettings { rate_per_second: 0.0, ..plan() };
     let check = check_local_bucket(&LocalBucketInput { quota_tokens: 0.0, ..input(&plan) });
     assert_eq!((check.is_within_quota, check.retry_after_ms), (true, None));
