--- a/crates/admission/src/lifecycle/attempts.rs
+++ b/crates/admission/src/lifecycle/attempts.rs
@@ -55,7 +55,7 @@
         let usage = usage_at_attempt_start(&AttemptStartInput {
             quota: active.quota(),
             is_first: active.attempt_count() == 1,
-            has_rate: plan.rate_per_second > 0.0,
+            has_quota: plan.rate_per_second > 0.0,
             has_concurrency_limit: plan.concurrency_limit > 0,
         });
         if usage.takes_slot {
@@ -67,7 +67,7 @@
         if usage.consumes_quota {
             customer.consume_quota(active.request.units);
         }
-        if usage.is_reported {
+        if usage.triggers_report {
             self.schedule_report(tag);
         }
     }
@@ -107,7 +107,7 @@
         let plan = self.settings.plan(active.request.plan);
         let usage = usage_at_attempt_end(&AttemptEndInput {
             quota: active.quota(),
-            has_rate: plan.rate_per_second > 0.0,
+            has_quota: plan.rate_per_second > 0.0,
             has_concurrency_limit: plan.concurrency_limit > 0,
             estimated_units: active.request.units,
             true_units: end.true_units,
@@ -124,7 +124,7 @@
         if let ExcessCharge::LocalBucket { excess_units } = usage.charge {
             customer.consume_quota(excess_units);
         }
-        if usage.is_reported {
+        if usage.triggers_report {
             self.schedule_report(tag);
         }
     }
--- a/crates/admission/src/lifecycle/band_control.rs
+++ b/crates/admission/src/lifecycle/band_control.rs
@@ -5,7 +5,7 @@
 use crate::policy::band::band_bounds::{is_saturated_in_broadcast_mode, position_in_broadcast_mode};
 use crate::policy::band::counted_endpoints::{
     is_counted_despite_correlated_failure, is_counted_in_broadcast_mode, is_counted_in_large_fleet,
-    EndpointSymptoms,
+    HealthSignals,
 };
 use crate::policy::band::dispatch_credit::{
     credit_after_refill, credit_after_send, credit_required, position_in_large_fleet, LargeFleetBand,
@@ -41,7 +41,7 @@
     /// Returns whether the band counts an endpoint, judged by that endpoint's symptoms alone.
     fn is_counted(&self, endpoint: &Endpoint, mode: FleetMode) -> bool {
         let now_ms = self.clock.now_ms();
-        let symptoms = EndpointSymptoms {
+        let symptoms = HealthSignals {
             is_gone: endpoint.is_gone(),
             consecutive_failures: endpoint.health.consecutive_failures(),
             is_ejected: endpoint.health.is_ejected(now_ms),
@@ -67,7 +67,7 @@
     /// Returns the band of a large fleet, computed from means over the fleet.
     fn gossip_band(&self) -> LargeFleetBand {
         LargeFleetBand {
-            mean_stock: self.fleet_means.received().stock,
+            mean_in_flight: self.fleet_means.received().stock,
             gateways: self.settings.gateways,
             watermark: self.band.watermark(),
             ready_capacity: self.band.ready_capacity(),
@@ -77,7 +77,7 @@
     /// Returns whether so few attempts are in flight in a large fleet that requests are sent without dispatch
     /// credit.
     pub(crate) fn band_is_ungated(&self) -> bool {
-        self.gossip_band().is_ungated()
+        self.gossip_band().is_below_credit_threshold()
     }
 
     /// Returns where a request stands relative to the band's bounds, which decides whether it may be sent.
