--- a/crates/admission/src/lifecycle/outlier_checks.rs
+++ b/crates/admission/src/lifecycle/outlier_checks.rs
@@ -4,7 +4,9 @@
 use crate::id::ClassIndex;
 use crate::policy::observation::OBSERVATION_SPAN_S;
 use crate::policy::outlier;
-use crate::policy::outlier::{AttemptFailureInput, HealthVerdict, StallInput, Symptoms, UnresponsiveInput};
+use crate::policy::outlier::{
+    AttemptFailureInput, HealthVerdict, OutlierInput, StallInput, UnresponsiveInput,
+};
 use crate::state::{Endpoint, FleetMode};
 
 impl Gateway {
@@ -17,7 +19,7 @@
 
     /// Whether an endpoint shows a fault to this gateway itself.
     pub(crate) fn is_outlier(&self, endpoint: &Endpoint) -> bool {
-        outlier::is_outlier(&Symptoms {
+        outlier::is_outlier(&OutlierInput {
             is_gone: endpoint.is_gone(),
             is_ejected: endpoint.health.is_ejected(self.clock.now_ms()),
             stall_ratio: self.stall_ratio(endpoint),
--- a/crates/admission/src/policy/outlier/ejection.rs
+++ b/crates/admission/src/policy/outlier/ejection.rs
@@ -16,7 +16,7 @@
 
 /// What shows that an endpoint is faulty.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Symptoms {
+pub(crate) struct OutlierInput {
     /// The list no longer has it, though it has attempts in flight.
     pub is_gone: bool,
     /// It is ejected after failures.
@@ -26,7 +26,7 @@
 }
 
 /// Whether an endpoint is an outlier, whatever the cause: a stopped process, a hung machine, a broken link.
-pub(crate) fn is_outlier(symptoms: &Symptoms) -> bool {
+pub(crate) fn is_outlier(symptoms: &OutlierInput) -> bool {
     symptoms.is_gone || symptoms.is_ejected || symptoms.stall_ratio > OUTLIER_STALL_RATIO
 }
 
--- a/crates/admission/src/tests/endpoint_rules/outlier_rules.rs
+++ b/crates/admission/src/tests/endpoint_rules/outlier_rules.rs
@@ -5,18 +5,18 @@
 use crate::policy::outlier::{
     ejection_jitter, fails_class, health_evidence, is_correlated_failure, is_outlier, is_unresponsive,
     reference_ms, stall_ratio, typical_age_ms, verdict_in_broadcast_mode, verdict_in_large_fleet,
-    AttemptFailureInput, HealthEvidence, HealthVerdict, StallInput, Symptoms, UnresponsiveInput,
+    AttemptFailureInput, HealthEvidence, HealthVerdict, OutlierInput, StallInput, UnresponsiveInput,
     CLASS_FAILURE_GAIN, ERROR_GAIN,
 };
 use crate::state::{EndpointHealth, ObservedHealth};
 
 #[test]
 fn an_endpoint_is_an_outlier_by_any_symptom() {
-    let healthy = Symptoms { is_gone: false, is_ejected: false, stall_ratio: 1.0 };
+    let healthy = OutlierInput { is_gone: false, is_ejected: false, stall_ratio: 1.0 };
     assert!(!is_outlier(&healthy));
-    assert!(is_outlier(&Symptoms { is_gone: true, ..healthy }));
-    assert!(is_outlier(&Symptoms { is_ejected: true, ..healthy }));
-    assert!(is_outlier(&Symptoms { stall_ratio: 1.01, ..healthy }));
+    assert!(is_outlier(&OutlierInput { is_gone: true, ..healthy }));
+    assert!(is_outlier(&OutlierInput { is_ejected: true, ..healthy }));
+    assert!(is_outlier(&OutlierInput { stall_ratio: 1.01, ..healthy }));
 }
 
 #[test]
