--- a/crates/admission/src/lifecycle/outlier_checks.rs
+++ b/crates/admission/src/lifecycle/outlier_checks.rs
@@ -4,9 +4,7 @@
 use crate::id::ClassIndex;
 use crate::policy::observation::OBSERVATION_SPAN_S;
 use crate::policy::outlier;
-use crate::policy::outlier::{
-    AttemptFailureInput, HealthVerdict, OutlierInput, StallInput, UnresponsiveInput,
-};
+use crate::policy::outlier::{EjectionInput, HealthVerdict, OutlierInput, StallInput, UnresponsiveInput};
 use crate::state::{Endpoint, FleetMode};
 
 impl Gateway {
@@ -68,7 +66,7 @@
         end: &AttemptEnd,
         class: ClassIndex,
     ) -> HealthVerdict {
-        let input = AttemptFailureInput {
+        let input = EjectionInput {
             outcome: end.outcome,
             took_ms: end.took_ms,
             error_fraction: endpoint.health.error_fraction(),
--- a/crates/admission/src/policy/outlier/attempt_failure.rs
+++ b/crates/admission/src/policy/outlier/attempt_failure.rs
@@ -21,7 +21,7 @@
 
 /// What the verdict on an endpoint goes by once an attempt has ended and is recorded in its health.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct AttemptFailureInput {
+pub(crate) struct EjectionInput {
     /// How the attempt ended.
     pub outcome: Outcome,
     /// Time that the attempt took, in ms.
@@ -54,7 +54,7 @@
 
 /// Broadcast mode: what follows for the endpoint. A long time without a response is the endpoint's own fault
 /// only where attempts elsewhere are not as old.
-pub(crate) fn verdict_in_broadcast_mode(input: &AttemptFailureInput) -> HealthVerdict {
+pub(crate) fn verdict_in_broadcast_mode(input: &EjectionInput) -> HealthVerdict {
     match input.outcome {
         Outcome::Overloaded => {
             HealthVerdict::Pause { duration_ms: OVERLOAD_PAUSE_FRACTION * EJECTION.base_ms }
@@ -66,7 +66,7 @@
 
 /// Large fleets: what follows for the endpoint. Each gateway sends it little, so that a time-out without any
 /// response since is enough.
-pub(crate) fn verdict_in_large_fleet(input: &AttemptFailureInput) -> HealthVerdict {
+pub(crate) fn verdict_in_large_fleet(input: &EjectionInput) -> HealthVerdict {
     match input.outcome {
         Outcome::TimedOut => eject_if(input.got_no_response()),
         _ => verdict_in_any_mode(input),
@@ -74,7 +74,7 @@
 }
 
 /// What follows for the endpoint where both modes decide alike.
-fn verdict_in_any_mode(input: &AttemptFailureInput) -> HealthVerdict {
+fn verdict_in_any_mode(input: &EjectionInput) -> HealthVerdict {
     match input.outcome {
         Outcome::Error => {
             eject_if(input.error_fraction > MAX_ERROR_FRACTION || input.consecutive_failures > 0)
@@ -97,7 +97,7 @@
     }
 }
 
-impl AttemptFailureInput {
+impl EjectionInput {
     /// Whether the endpoint responded to no own attempt for as long as this one took.
     fn got_no_response(&self) -> bool {
         self.since_response_ms > self.took_ms
--- a/crates/admission/src/tests/endpoint_rules/outlier_rules.rs
+++ b/crates/admission/src/tests/endpoint_rules/outlier_rules.rs
@@ -5,7 +5,7 @@
 use crate::policy::outlier::{
     ejection_jitter, fails_class, health_evidence, is_correlated_failure, is_outlier, is_unresponsive,
     reference_ms, stall_ratio, typical_age_ms, verdict_in_broadcast_mode, verdict_in_large_fleet,
-    AttemptFailureInput, HealthEvidence, HealthVerdict, OutlierInput, StallInput, UnresponsiveInput,
+    EjectionInput, HealthEvidence, HealthVerdict, OutlierInput, StallInput, UnresponsiveInput,
     CLASS_FAILURE_GAIN, ERROR_GAIN,
 };
 use crate::state::{EndpointHealth, ObservedHealth};
@@ -100,8 +100,8 @@
 }
 
 /// An attempt that ended after 400 ms at an endpoint that responded 10 ms ago; 100 ms are usual.
-fn ended(outcome: Outcome) -> AttemptFailureInput {
-    AttemptFailureInput {
+fn ended(outcome: Outcome) -> EjectionInput {
+    EjectionInput {
         outcome,
         took_ms: 400.0,
         error_fraction: 0.0,
@@ -115,23 +115,23 @@
 #[test]
 fn the_end_of_an_attempt_ejects_its_endpoint_alike_in_both_modes() {
     use HealthVerdict::{Eject, Unchanged};
-    let failing = |outcome, error_fraction| AttemptFailureInput { error_fraction, ..ended(outcome) };
-    let silent = |outcome, since_response_ms| AttemptFailureInput { since_response_ms, ..ended(outcome) };
+    let failing = |outcome, error_fraction| EjectionInput { error_fraction, ..ended(outcome) };
+    let silent = |outcome, since_response_ms| EjectionInput { since_response_ms, ..ended(outcome) };
     let rows = [
         (silent(Outcome::Ok, 9000.0), Unchanged),
         (silent(Outcome::TooLate, 9000.0), Unchanged),
         (failing(Outcome::Error, 0.3), Unchanged),
         (failing(Outcome::Error, 0.31), Eject),
-        (AttemptFailureInput { consecutive_failures: 1, ..ended(Outcome::Error) }, Eject),
+        (EjectionInput { consecutive_failures: 1, ..ended(Outcome::Error) }, Eject),
         (failing(Outcome::Reset, 0.5), Unchanged),
         (failing(Outcome::Reset, 0.51), Eject),
         (silent(Outcome::ConnectFailed, 400.0), Unchanged),
         (silent(Outcome::ConnectFailed, 401.0), Eject),
-        (AttemptFailureInput { took_ms: 1.0, ..silent(Outcome::ConnectFailed, 99.0) }, Unchanged),
+        (EjectionInput { took_ms: 1.0, ..silent(Outcome::ConnectFailed, 99.0) }, Unchanged),
         (silent(Outcome::Cancelled, 400.0), Unchanged),
         (silent(Outcome::Cancelled, 401.0), Eject),
-        (AttemptFailureInput { took_ms: 300.0, ..silent(Outcome::Cancelled, 401.0) }, Unchanged),
-        (AttemptFailureInput { took_ms: 301.0, ..silent(Outcome::Cancelled, 401.0) }, Eject),
+        (EjectionInput { took_ms: 300.0, ..silent(Outcome::Cancelled, 401.0) }, Unchanged),
+        (EjectionInput { took_ms: 301.0, ..silent(Outcome::Cancelled, 401.0) }, Eject),
     ];
     for (input, expected) in rows {
         assert_eq!(verdict_in_broadcast_mode(&input), expected, "broadcast mode: {input:?}");
@@ -144,11 +144,11 @@
     let overloaded = ended(Outcome::Overloaded);
     assert_eq!(verdict_in_broadcast_mode(&overloaded), HealthVerdict::Pause { duration_ms: 100.0 });
     assert_eq!(verdict_in_large_fleet(&overloaded), HealthVerdict::Unchanged);
-    let silent = AttemptFailureInput { since_response_ms: 401.0, ..ended(Outcome::TimedOut) };
+    let silent = EjectionInput { since_response_ms: 401.0, ..ended(Outcome::TimedOut) };
     assert_eq!(verdict_in_broadcast_mode(&silent), HealthVerdict::Eject);
     assert_eq!(verdict_in_large_fleet(&silent), HealthVerdict::Eject);
     // Attempts at all endpoints are old: 300 ms are usual, and 400 ms not long.
-    let all_slow = AttemptFailureInput { typical_age_ms: 200.0, ..silent };
+    let all_slow = EjectionInput { typical_age_ms: 200.0, ..silent };
     assert_eq!(verdict_in_broadcast_mode(&all_slow), HealthVerdict::Unchanged);
     assert_eq!(verdict_in_large_fleet(&all_slow), HealthVerdict::Eject);
     let responding = ended(Outcome::TimedOut);
@@ -163,7 +163,7 @@
         health.record_response(now_ms);
         health.record_error(ERROR_GAIN);
         let error_fraction = health.error_fraction();
-        verdict_in_broadcast_mode(&AttemptFailureInput { error_fraction, ..ended(Outcome::Error) })
+        verdict_in_broadcast_mode(&EjectionInput { error_fraction, ..ended(Outcome::Error) })
     });
     let unchanged = HealthVerdict::Unchanged;
     assert_eq!(verdicts, [unchanged, unchanged, unchanged, HealthVerdict::Eject]);
