--- a/crates/admission/src/lifecycle/endpoints.rs
+++ b/crates/admission/src/lifecycle/endpoints.rs
@@ -3,7 +3,7 @@
 use crate::gateway::Gateway;
 use crate::id::{ClassIndex, PlanIndex};
 use crate::policy::outlier::{
-    ejection_jitter, health_evidence, HealthEvidence, HealthVerdict, EJECTION, ERROR_GAIN,
+    ejection_jitter, health_evidence, EjectionDecision, HealthEvidence, EJECTION, ERROR_GAIN,
 };
 use crate::state::{AttemptRef, EndpointHealth, FleetMode};
 
@@ -27,11 +27,11 @@
         let verdict = self.health_verdict(endpoint, end, class);
         if let Some(endpoint) = self.endpoints.get_mut(end.endpoint) {
             match verdict {
-                HealthVerdict::Unchanged => {}
-                HealthVerdict::Pause { duration_ms } => {
+                EjectionDecision::Unchanged => {}
+                EjectionDecision::Pause { duration_ms } => {
                     endpoint.health.pause_until(now_ms + duration_ms * jitter);
                 }
-                HealthVerdict::Eject => endpoint.health.eject(now_ms, EJECTION, jitter),
+                EjectionDecision::Eject => endpoint.health.eject(now_ms, EJECTION, jitter),
             }
         }
         self.endpoints.remove_if_finished(end.endpoint);
--- a/crates/admission/src/lifecycle/outlier_checks.rs
+++ b/crates/admission/src/lifecycle/outlier_checks.rs
@@ -4,7 +4,7 @@
 use crate::id::ClassIndex;
 use crate::policy::observation::OBSERVATION_SPAN_S;
 use crate::policy::outlier;
-use crate::policy::outlier::{EjectionInput, HealthVerdict, OutlierInput, StallInput, UnresponsiveInput};
+use crate::policy::outlier::{EjectionDecision, EjectionInput, OutlierInput, StallInput, UnresponsiveInput};
 use crate::state::{Endpoint, FleetMode};
 
 impl Gateway {
@@ -65,7 +65,7 @@
         endpoint: &Endpoint,
         end: &AttemptEnd,
         class: ClassIndex,
-    ) -> HealthVerdict {
+    ) -> EjectionDecision {
         let input = EjectionInput {
             outcome: end.outcome,
             took_ms: end.took_ms,
--- a/crates/admission/src/policy/outlier/attempt_failure.rs
+++ b/crates/admission/src/policy/outlier/attempt_failure.rs
@@ -40,7 +40,7 @@
 
 /// What follows for an endpoint from the end of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(crate) enum HealthVerdict {
+pub(crate) enum EjectionDecision {
     /// Nothing.
     Unchanged,
     /// It gets no attempts for a time, before jitter. That counts as no failure.
@@ -54,10 +54,10 @@
 
 /// Broadcast mode: what follows for the endpoint. A long time without a response is the endpoint's own fault
 /// only where attempts elsewhere are not as old.
-pub(crate) fn verdict_in_broadcast_mode(input: &EjectionInput) -> HealthVerdict {
+pub(crate) fn verdict_in_broadcast_mode(input: &EjectionInput) -> EjectionDecision {
     match input.outcome {
         Outcome::Overloaded => {
-            HealthVerdict::Pause { duration_ms: OVERLOAD_PAUSE_FRACTION * EJECTION.base_ms }
+            EjectionDecision::Pause { duration_ms: OVERLOAD_PAUSE_FRACTION * EJECTION.base_ms }
         }
         Outcome::TimedOut => eject_if(input.got_no_response() && input.took_long()),
         _ => verdict_in_any_mode(input),
@@ -66,7 +66,7 @@
 
 /// Large fleets: what follows for the endpoint. Each gateway sends it little, so that a time-out without any
 /// response since is enough.
-pub(crate) fn verdict_in_large_fleet(input: &EjectionInput) -> HealthVerdict {
+pub(crate) fn verdict_in_large_fleet(input: &EjectionInput) -> EjectionDecision {
     match input.outcome {
         Outcome::TimedOut => eject_if(input.got_no_response()),
         _ => verdict_in_any_mode(input),
@@ -74,7 +74,7 @@
 }
 
 /// What follows for the endpoint where both modes decide alike.
-fn verdict_in_any_mode(input: &EjectionInput) -> HealthVerdict {
+fn verdict_in_any_mode(input: &EjectionInput) -> EjectionDecision {
     match input.outcome {
         Outcome::Error => {
             eject_if(input.error_fraction > MAX_ERROR_FRACTION || input.consecutive_failures > 0)
@@ -84,16 +84,18 @@
             eject_if(input.error_fraction > MAX_BROKEN_FRACTION || input.since_response_ms > silent_ms)
         }
         Outcome::Cancelled => eject_if(input.got_no_response() && input.took_long()),
-        Outcome::Ok | Outcome::Overloaded | Outcome::TooLate | Outcome::TimedOut => HealthVerdict::Unchanged,
+        Outcome::Ok | Outcome::Overloaded | Outcome::TooLate | Outcome::TimedOut => {
+            EjectionDecision::Unchanged
+        }
     }
 }
 
 /// An ejection where the endpoint failed.
-fn eject_if(has_failed: bool) -> HealthVerdict {
+fn eject_if(has_failed: bool) -> EjectionDecision {
     if has_failed {
-        HealthVerdict::Eject
+        EjectionDecision::Eject
     } else {
-        HealthVerdict::Unchanged
+        EjectionDecision::Unchanged
     }
 }
 
--- a/crates/admission/src/tests/endpoint_rules/outlier_rules.rs
+++ b/crates/admission/src/tests/endpoint_rules/outlier_rules.rs
@@ -5,7 +5,7 @@
 use crate::policy::outlier::{
     ejection_jitter, fails_class, health_evidence, is_correlated_failure, is_outlier, is_unresponsive,
     reference_ms, stall_ratio, typical_age_ms, verdict_in_broadcast_mode, verdict_in_large_fleet,
-    EjectionInput, HealthEvidence, HealthVerdict, OutlierInput, StallInput, UnresponsiveInput,
+    EjectionDecision, EjectionInput, HealthEvidence, OutlierInput, StallInput, UnresponsiveInput,
     CLASS_FAILURE_GAIN, ERROR_GAIN,
 };
 use crate::state::{EndpointHealth, ObservedHealth};
@@ -114,7 +114,7 @@
 
 #[test]
 fn the_end_of_an_attempt_ejects_its_endpoint_alike_in_both_modes() {
-    use HealthVerdict::{Eject, Unchanged};
+    use EjectionDecision::{Eject, Unchanged};
     let failing = |outcome, error_fraction| EjectionInput { error_fraction, ..ended(outcome) };
     let silent = |outcome, since_response_ms| EjectionInput { since_response_ms, ..ended(outcome) };
     let rows = [
@@ -142,18 +142,18 @@
 #[test]
 fn overload_and_time_outs_are_judged_by_the_mode() {
     let overloaded = ended(Outcome::Overloaded);
-    assert_eq!(verdict_in_broadcast_mode(&overloaded), HealthVerdict::Pause { duration_ms: 100.0 });
-    assert_eq!(verdict_in_large_fleet(&overloaded), HealthVerdict::Unchanged);
+    assert_eq!(verdict_in_broadcast_mode(&overloaded), EjectionDecision::Pause { duration_ms: 100.0 });
+    assert_eq!(verdict_in_large_fleet(&overloaded), EjectionDecision::Unchanged);
     let silent = EjectionInput { since_response_ms: 401.0, ..ended(Outcome::TimedOut) };
-    assert_eq!(verdict_in_broadcast_mode(&silent), HealthVerdict::Eject);
-    assert_eq!(verdict_in_large_fleet(&silent), HealthVerdict::Eject);
+    assert_eq!(verdict_in_broadcast_mode(&silent), EjectionDecision::Eject);
+    assert_eq!(verdict_in_large_fleet(&silent), EjectionDecision::Eject);
     // Attempts at all endpoints are old: 300 ms are usual, and 400 ms not long.
     let all_slow = EjectionInput { typical_age_ms: 200.0, ..silent };
-    assert_eq!(verdict_in_broadcast_mode(&all_slow), HealthVerdict::Unchanged);
-    assert_eq!(verdict_in_large_fleet(&all_slow), HealthVerdict::Eject);
+    assert_eq!(verdict_in_broadcast_mode(&all_slow), EjectionDecision::Unchanged);
+    assert_eq!(verdict_in_large_fleet(&all_slow), EjectionDecision::Eject);
     let responding = ended(Outcome::TimedOut);
-    assert_eq!(verdict_in_broadcast_mode(&responding), HealthVerdict::Unchanged);
-    assert_eq!(verdict_in_large_fleet(&responding), HealthVerdict::Unchanged);
+    assert_eq!(verdict_in_broadcast_mode(&responding), EjectionDecision::Unchanged);
+    assert_eq!(verdict_in_large_fleet(&responding), EjectionDecision::Unchanged);
 }
 
 #[test]
@@ -165,8 +165,8 @@
         let error_fraction = health.error_fraction();
         verdict_in_broadcast_mode(&EjectionInput { error_fraction, ..ended(Outcome::Error) })
     });
-    let unchanged = HealthVerdict::Unchanged;
-    assert_eq!(verdicts, [unchanged, unchanged, unchanged, HealthVerdict::Eject]);
+    let unchanged = EjectionDecision::Unchanged;
+    assert_eq!(verdicts, [unchanged, unchanged, unchanged, EjectionDecision::Eject]);
     let mut observed = ObservedHealth::new(0.0);
     let mut fails = || fails_class(observed.record_failure(ClassIndex(0), CLASS_FAILURE_GAIN));
     assert_eq!([fails(), fails()], [false, true]);
