--- a/crates/admission/src/lifecycle/outlier_checks.rs
+++ b/crates/admission/src/lifecycle/outlier_checks.rs
@@ -76,7 +76,7 @@
             typical_age_ms: self.latency.typical_age_ms(),
         };
         match self.coordination.fleet_mode() {
-            FleetMode::Broadcast => outlier::verdict_in_broadcast_mode(&input),
+            FleetMode::Broadcast => outlier::decide_ejection_in_broadcast_mode(&input),
             FleetMode::LargeFleet => outlier::verdict_in_large_fleet(&input),
         }
     }
--- a/crates/admission/src/policy/outlier/attempt_failure.rs
+++ b/crates/admission/src/policy/outlier/attempt_failure.rs
@@ -54,7 +54,7 @@
 
 /// Broadcast mode: what follows for the endpoint. A long time without a response is the endpoint's own fault
 /// only where attempts elsewhere are not as old.
-pub(crate) fn verdict_in_broadcast_mode(input: &EjectionInput) -> EjectionDecision {
+pub(crate) fn decide_ejection_in_broadcast_mode(input: &EjectionInput) -> EjectionDecision {
     match input.outcome {
         Outcome::Overloaded => {
             EjectionDecision::Pause { duration_ms: OVERLOAD_PAUSE_FRACTION * EJECTION.base_ms }
--- a/crates/admission/src/tests/endpoint_rules/outlier_rules.rs
+++ b/crates/admission/src/tests/endpoint_rules/outlier_rules.rs
@@ -3,8 +3,8 @@
 use crate::event::Outcome;
 use crate::id::ClassIndex;
 use crate::policy::outlier::{
-    ejection_jitter, fails_class, health_evidence, is_correlated_failure, is_outlier, is_unresponsive,
-    reference_ms, stall_ratio, typical_age_ms, verdict_in_broadcast_mode, verdict_in_large_fleet,
+    decide_ejection_in_broadcast_mode, ejection_jitter, fails_class, health_evidence, is_correlated_failure,
+    is_outlier, is_unresponsive, reference_ms, stall_ratio, typical_age_ms, verdict_in_large_fleet,
     EjectionDecision, EjectionInput, HealthEvidence, OutlierInput, StallInput, UnresponsiveInput,
     CLASS_FAILURE_GAIN, ERROR_GAIN,
 };
@@ -134,7 +134,7 @@
         (EjectionInput { took_ms: 301.0, ..silent(Outcome::Cancelled, 401.0) }, Eject),
     ];
     for (input, expected) in rows {
-        assert_eq!(verdict_in_broadcast_mode(&input), expected, "broadcast mode: {input:?}");
+        assert_eq!(decide_ejection_in_broadcast_mode(&input), expected, "broadcast mode: {input:?}");
         assert_eq!(verdict_in_large_fleet(&input), expected, "large fleet: {input:?}");
     }
 }
@@ -142,17 +142,20 @@
 #[test]
 fn overload_and_time_outs_are_judged_by_the_mode() {
     let overloaded = ended(Outcome::Overloaded);
-    assert_eq!(verdict_in_broadcast_mode(&overloaded), EjectionDecision::Pause { duration_ms: 100.0 });
+    assert_eq!(
+        decide_ejection_in_broadcast_mode(&overloaded),
+        EjectionDecision::Pause { duration_ms: 100.0 }
+    );
     assert_eq!(verdict_in_large_fleet(&overloaded), EjectionDecision::Unchanged);
     let silent = EjectionInput { since_response_ms: 401.0, ..ended(Outcome::TimedOut) };
-    assert_eq!(verdict_in_broadcast_mode(&silent), EjectionDecision::Eject);
+    assert_eq!(decide_ejection_in_broadcast_mode(&silent), EjectionDecision::Eject);
     assert_eq!(verdict_in_large_fleet(&silent), EjectionDecision::Eject);
     // Attempts at all endpoints are old: 300 ms are usual, and 400 ms not long.
     let all_slow = EjectionInput { typical_age_ms: 200.0, ..silent };
-    assert_eq!(verdict_in_broadcast_mode(&all_slow), EjectionDecision::Unchanged);
+    assert_eq!(decide_ejection_in_broadcast_mode(&all_slow), EjectionDecision::Unchanged);
     assert_eq!(verdict_in_large_fleet(&all_slow), EjectionDecision::Eject);
     let responding = ended(Outcome::TimedOut);
-    assert_eq!(verdict_in_broadcast_mode(&responding), EjectionDecision::Unchanged);
+    assert_eq!(decide_ejection_in_broadcast_mode(&responding), EjectionDecision::Unchanged);
     assert_eq!(verdict_in_large_fleet(&responding), EjectionDecision::Unchanged);
 }
 
@@ -163,7 +166,7 @@
         health.record_response(now_ms);
         health.record_error(ERROR_GAIN);
         let error_fraction = health.error_fraction();
-        verdict_in_broadcast_mode(&EjectionInput { error_fraction, ..ended(Outcome::Error) })
+        decide_ejection_in_broadcast_mode(&EjectionInput { error_fraction, ..ended(Outcome::Error) })
     });
     let unchanged = EjectionDecision::Unchanged;
     assert_eq!(verdicts, [unchanged, unchanged, unchanged, EjectionDecision::Eject]);
