--- a/crates/admission/src/lifecycle/outlier_checks.rs
+++ b/crates/admission/src/lifecycle/outlier_checks.rs
@@ -77,7 +77,7 @@
         };
         match self.coordination.fleet_mode() {
             FleetMode::Broadcast => outlier::decide_ejection_in_broadcast_mode(&input),
-            FleetMode::LargeFleet => outlier::verdict_in_large_fleet(&input),
+            FleetMode::LargeFleet => outlier::decide_ejection_in_large_fleet(&input),
         }
     }
 
--- a/crates/admission/src/policy/outlier/attempt_failure.rs
+++ b/crates/admission/src/policy/outlier/attempt_failure.rs
@@ -66,7 +66,7 @@
 
 /// Large fleets: what follows for the endpoint. Each gateway sends it little, so that a time-out without any
 /// response since is enough.
-pub(crate) fn verdict_in_large_fleet(input: &EjectionInput) -> EjectionDecision {
+pub(crate) fn decide_ejection_in_large_fleet(input: &EjectionInput) -> EjectionDecision {
     match input.outcome {
         Outcome::TimedOut => eject_if(input.got_no_response()),
         _ => verdict_in_any_mode(input),
--- a/crates/admission/src/policy/outlier/mod.rs
+++ b/crates/admission/src/policy/outlier/mod.rs
@@ -8,7 +8,8 @@
 mod unresponsive;
 
 pub(crate) use attempt_failure::{
-    decide_ejection_in_broadcast_mode, verdict_in_large_fleet, EjectionDecision, EjectionInput, ERROR_GAIN,
+    decide_ejection_in_broadcast_mode, decide_ejection_in_large_fleet, EjectionDecision, EjectionInput,
+    ERROR_GAIN,
 };
 pub(crate) use class_failure::{fails_class, CLASS_FAILURE_GAIN};
 pub(crate) use correlated_failure::is_correlated_failure;
--- a/crates/admission/src/tests/endpoint_rules/outlier_rules.rs
+++ b/crates/admission/src/tests/endpoint_rules/outlier_rules.rs
@@ -3,10 +3,10 @@
 use crate::event::Outcome;
 use crate::id::ClassIndex;
 use crate::policy::outlier::{
-    decide_ejection_in_broadcast_mode, ejection_jitter, fails_class, health_evidence, is_correlated_failure,
-    is_outlier, is_unresponsive, reference_ms, stall_ratio, typical_age_ms, verdict_in_large_fleet,
-    EjectionDecision, EjectionInput, HealthEvidence, OutlierInput, StallInput, UnresponsiveInput,
-    CLASS_FAILURE_GAIN, ERROR_GAIN,
+    decide_ejection_in_broadcast_mode, decide_ejection_in_large_fleet, ejection_jitter, fails_class,
+    health_evidence, is_correlated_failure, is_outlier, is_unresponsive, reference_ms, stall_ratio,
+    typical_age_ms, EjectionDecision, EjectionInput, HealthEvidence, OutlierInput, StallInput,
+    UnresponsiveInput, CLASS_FAILURE_GAIN, ERROR_GAIN,
 };
 use crate::state::{EndpointHealth, ObservedHealth};
 
@@ -135,7 +135,7 @@
     ];
     for (input, expected) in rows {
         assert_eq!(decide_ejection_in_broadcast_mode(&input), expected, "broadcast mode: {input:?}");
-        assert_eq!(verdict_in_large_fleet(&input), expected, "large fleet: {input:?}");
+        assert_eq!(decide_ejection_in_large_fleet(&input), expected, "large fleet: {input:?}");
     }
 }
 
@@ -146,17 +146,17 @@
         decide_ejection_in_broadcast_mode(&overloaded),
         EjectionDecision::Pause { duration_ms: 100.0 }
     );
-    assert_eq!(verdict_in_large_fleet(&overloaded), EjectionDecision::Unchanged);
+    assert_eq!(decide_ejection_in_large_fleet(&overloaded), EjectionDecision::Unchanged);
     let silent = EjectionInput { since_response_ms: 401.0, ..ended(Outcome::TimedOut) };
     assert_eq!(decide_ejection_in_broadcast_mode(&silent), EjectionDecision::Eject);
-    assert_eq!(verdict_in_large_fleet(&silent), EjectionDecision::Eject);
+    assert_eq!(decide_ejection_in_large_fleet(&silent), EjectionDecision::Eject);
     // Attempts at all endpoints are old: 300 ms are usual, and 400 ms not long.
     let all_slow = EjectionInput { typical_age_ms: 200.0, ..silent };
     assert_eq!(decide_ejection_in_broadcast_mode(&all_slow), EjectionDecision::Unchanged);
-    assert_eq!(verdict_in_large_fleet(&all_slow), EjectionDecision::Eject);
+    assert_eq!(decide_ejection_in_large_fleet(&all_slow), EjectionDecision::Eject);
     let responding = ended(Outcome::TimedOut);
     assert_eq!(decide_ejection_in_broadcast_mode(&responding), EjectionDecision::Unchanged);
-    assert_eq!(verdict_in_large_fleet(&responding), EjectionDecision::Unchanged);
+    assert_eq!(decide_ejection_in_large_fleet(&responding), EjectionDecision::Unchanged);
 }
 
 #[test]
