--- a/crates/admission/src/lifecycle/outlier_checks.rs
+++ b/crates/admission/src/lifecycle/outlier_checks.rs
@@ -35,7 +35,7 @@
             in_flight: endpoint.in_flight().len(),
             relative_response_time: endpoint.response_time.last(),
             warm_fraction: self.warm_fraction(endpoint),
-            reference_ms: outlier::reference_ms(
+            usual_response_ms: outlier::usual_response_ms(
                 self.latency.mean_response_ms(),
                 self.latency.typical_age_ms(),
             ),
--- a/crates/admission/src/policy/outlier/attempt_failure.rs
+++ b/crates/admission/src/policy/outlier/attempt_failure.rs
@@ -1,7 +1,7 @@
 //! Whether the end of an attempt is a failure of its endpoint.
 use crate::event::Outcome;
 use crate::policy::outlier::ejection::EJECTION;
-use crate::policy::outlier::stall::reference_ms;
+use crate::policy::outlier::stall::usual_response_ms;
 
 /// Weight of each error and each broken connection in an endpoint's error fraction.
 pub(crate) const ERROR_GAIN: f64 = 0.1;
@@ -107,7 +107,7 @@
 
     /// Whether the attempt took far longer than is usual just now.
     fn took_long(&self) -> bool {
-        let usual_ms = reference_ms(self.class_response_ms, self.typical_age_ms);
+        let usual_ms = usual_response_ms(self.class_response_ms, self.typical_age_ms);
         self.took_ms > FAILED_RESPONSE_TIMES * usual_ms
     }
 }
--- a/crates/admission/src/policy/outlier/stall.rs
+++ b/crates/admission/src/policy/outlier/stall.rs
@@ -35,7 +35,7 @@
     /// Fraction of its full capacity that it has at least.
     pub warm_fraction: f64,
     /// The response time that is usual just now, in ms.
-    pub reference_ms: f64,
+    pub usual_response_ms: f64,
 }
 
 /// Time without any response while attempts are in flight, in multiples of what counts as a stall.
@@ -45,13 +45,13 @@
 pub(crate) fn stall_ratio(input: &StallInput) -> f64 {
     let stalled_ms = input.now_ms - input.oldest_sent_ms.max(input.last_response_ms);
     let relative = input.relative_response_time.max(1.0);
-    let expected_ms = input.reference_ms * relative / input.warm_fraction;
+    let expected_ms = input.usual_response_ms * relative / input.warm_fraction;
     let in_flight = input.in_flight as f64;
     stalled_ms / expected_ms * (in_flight / SINGLE_STALL_RESPONSE_TIMES).min(1.0 / STALL_RESPONSE_TIMES)
 }
 
 /// The response time that is usual just now: the mean, or more while attempts in flight grow old.
-pub(crate) fn reference_ms(mean_response_ms: f64, typical_age_ms: f64) -> f64 {
+pub(crate) fn usual_response_ms(mean_response_ms: f64, typical_age_ms: f64) -> f64 {
     mean_response_ms.max(TYPICAL_AGE_FACTOR * typical_age_ms)
 }
 
--- a/crates/admission/src/tests/endpoint_rules/outlier_rules.rs
+++ b/crates/admission/src/tests/endpoint_rules/outlier_rules.rs
@@ -4,8 +4,8 @@
 use crate::id::ClassIndex;
 use crate::policy::outlier::{
     decide_ejection_in_broadcast_mode, decide_ejection_in_large_fleet, ejection_jitter, fails_class,
-    health_evidence, is_correlated_failure, is_outlier, is_unresponsive, reference_ms, stall_ratio,
-    typical_age_ms, EjectionDecision, EjectionInput, HealthEvidence, OutlierInput, StallInput,
+    health_evidence, is_correlated_failure, is_outlier, is_unresponsive, stall_ratio, typical_age_ms,
+    usual_response_ms, EjectionDecision, EjectionInput, HealthEvidence, OutlierInput, StallInput,
     UnresponsiveInput, CLASS_FAILURE_GAIN, ERROR_GAIN,
 };
 use crate::state::{EndpointHealth, ObservedHealth};
@@ -29,7 +29,7 @@
         in_flight: 5,
         relative_response_time: 1.0,
         warm_fraction: 1.0,
-        reference_ms: 100.0,
+        usual_response_ms: 100.0,
     };
     let rows = [
         ("several attempts", busy, 2.0),
@@ -47,8 +47,8 @@
 
 #[test]
 fn the_usual_response_time_follows_old_attempts_in_flight() {
-    assert!(is_close(reference_ms(100.0, 50.0), 100.0));
-    assert!(is_close(reference_ms(100.0, 200.0), 300.0));
+    assert!(is_close(usual_response_ms(100.0, 50.0), 100.0));
+    assert!(is_close(usual_response_ms(100.0, 200.0), 300.0));
     // Of five endpoints the third youngest is typical; an idle one counts as half of 100 ms.
     let ages = [Some(900.0), Some(10.0), None, Some(70.0), Some(800.0)];
     assert!(is_close(typical_age_ms(ages.into_iter(), 100.0), 70.0));
