--- a/crates/admission/src/lifecycle/outlier_checks.rs
+++ b/crates/admission/src/lifecycle/outlier_checks.rs
@@ -72,7 +72,7 @@
             error_fraction: endpoint.health.error_fraction(),
             consecutive_failures: endpoint.health.consecutive_failures(),
             since_response_ms: endpoint.health.since_response_ms(self.clock.now_ms()),
-            class_response_ms: self.latency.expected_ms(class),
+            class_response_ms: self.latency.floored_response_ms(class),
             typical_age_ms: self.latency.typical_age_ms(),
         };
         match self.coordination.fleet_mode() {
--- a/crates/admission/src/lifecycle/response_times.rs
+++ b/crates/admission/src/lifecycle/response_times.rs
@@ -59,7 +59,7 @@
         Some(OwnAttemptInput {
             outcome: end.outcome,
             took_ms: end.took_ms,
-            class_response_ms: self.latency.expected_ms(class),
+            class_response_ms: self.latency.floored_response_ms(class),
             latency_objective_ms: self.settings.class(class).latency_objective_ms,
             has_warmed_up: has_warmed_up(endpoint.age_ms(self.clock.now_ms()), self.settings.warm_up_ms),
         })
--- a/crates/admission/src/state/endpoint/latency_model.rs
+++ b/crates/admission/src/state/endpoint/latency_model.rs
@@ -95,7 +95,7 @@
     }
 
     /// Smoothed response time of a class, in ms, as a divisor: its floor at least.
-    pub(crate) fn expected_ms(&self, class: ClassIndex) -> f64 {
+    pub(crate) fn floored_response_ms(&self, class: ClassIndex) -> f64 {
         self.response_ms(class).max(self.floors.response_ms)
     }
 
