--- a/crates/admission/src/lifecycle/retries.rs
+++ b/crates/admission/src/lifecycle/retries.rs
@@ -118,7 +118,7 @@
     pub(crate) fn turned_long(&self, pending: &PendingAttempt) -> bool {
         let age_ms = self.clock.now_ms() - pending.sent_ms;
         self.endpoints.get(pending.endpoint).is_some()
-            && retry::has_turned_long(age_ms, self.long_response_ms(pending.class))
+            && retry::has_become_slow(age_ms, self.long_response_ms(pending.class))
     }
 
     /// The time after which an attempt of a class takes long.
--- a/crates/admission/src/policy/retry/stalled_attempt.rs
+++ b/crates/admission/src/policy/retry/stalled_attempt.rs
@@ -35,7 +35,7 @@
 }
 
 /// Whether an attempt has begun to take long since the last round of upkeep.
-pub(crate) fn has_turned_long(age_ms: f64, long_response_ms: f64) -> bool {
+pub(crate) fn has_become_slow(age_ms: f64, long_response_ms: f64) -> bool {
     age_ms > long_response_ms && age_ms < long_response_ms + UPKEEP_MS
 }
 
