--- a/crates/admission/src/lifecycle/retries.rs
+++ b/crates/admission/src/lifecycle/retries.rs
@@ -107,7 +107,7 @@
         let class_scope = EjectionScope::Class(pending.class);
         retry::is_stalled(&PendingAttemptInput {
             age_ms: now_ms - pending.sent_ms,
-            long_response_ms: self.long_response_ms(pending.class),
+            slow_after_ms: self.slow_after_ms(pending.class),
             is_class_ejected: endpoint.observed.is_ejected(class_scope, now_ms),
             is_outlier: self.is_outlier(endpoint),
             is_unresponsive: self.is_unresponsive(endpoint),
@@ -118,12 +118,12 @@
     pub(crate) fn turned_long(&self, pending: &PendingAttempt) -> bool {
         let age_ms = self.clock.now_ms() - pending.sent_ms;
         self.endpoints.get(pending.endpoint).is_some()
-            && retry::has_become_slow(age_ms, self.long_response_ms(pending.class))
+            && retry::has_become_slow(age_ms, self.slow_after_ms(pending.class))
     }
 
     /// The time after which an attempt of a class takes long.
-    fn long_response_ms(&self, class: ClassIndex) -> f64 {
+    fn slow_after_ms(&self, class: ClassIndex) -> f64 {
         let latency_objective_ms = self.settings.class(class).latency_objective_ms;
-        retry::long_response_ms(self.latency.response_ms(class), latency_objective_ms)
+        retry::slow_after_ms(self.latency.response_ms(class), latency_objective_ms)
     }
 }
--- a/crates/admission/src/policy/retry/stalled_attempt.rs
+++ b/crates/admission/src/policy/retry/stalled_attempt.rs
@@ -18,7 +18,7 @@
     /// Time since it was sent, in ms.
     pub age_ms: f64,
     /// Time after which attempts of its class take long, in ms.
-    pub long_response_ms: f64,
+    pub slow_after_ms: f64,
     /// The endpoint is ejected for the class: other attempts took long there or failed.
     pub is_class_ejected: bool,
     /// The endpoint is an outlier.
@@ -29,14 +29,14 @@
 
 /// The time after which an attempt takes long, by the mean response time and the latency objective of its
 /// class.
-pub(crate) fn long_response_ms(class_response_ms: f64, latency_objective_ms: f64) -> f64 {
+pub(crate) fn slow_after_ms(class_response_ms: f64, latency_objective_ms: f64) -> f64 {
     let by_mean_ms = class_response_ms * LONG_RESPONSE_TIMES;
     by_mean_ms.max(LONG_OBJECTIVE_FRACTION * latency_objective_ms)
 }
 
 /// Whether an attempt has begun to take long since the last round of upkeep.
-pub(crate) fn has_become_slow(age_ms: f64, long_response_ms: f64) -> bool {
-    age_ms > long_response_ms && age_ms < long_response_ms + UPKEEP_MS
+pub(crate) fn has_become_slow(age_ms: f64, slow_after_ms: f64) -> bool {
+    age_ms > slow_after_ms && age_ms < slow_after_ms + UPKEEP_MS
 }
 
 /// Whether an attempt is stalled: whatever its age where its endpoint is an outlier or unresponsive, once it
@@ -44,6 +44,6 @@
 /// long.
 pub(crate) fn is_stalled(input: &PendingAttemptInput) -> bool {
     let factor = if input.is_class_ejected { 1.0 } else { STALLED_FACTOR };
-    let limit_ms = input.long_response_ms * factor;
+    let limit_ms = input.slow_after_ms * factor;
     input.is_outlier || input.is_unresponsive || input.age_ms > limit_ms
 }
--- a/crates/admission/src/tests/endpoint_rules/retry_rules.rs
+++ b/crates/admission/src/tests/endpoint_rules/retry_rules.rs
@@ -3,9 +3,9 @@
 use crate::event::{EndpointEntry, EndpointState, Outcome};
 use crate::id::{EndpointId, MachineKindIndex, ZoneIndex};
 use crate::policy::retry::{
-    after_attempt, decide_retry, earned_retry_tokens, has_become_slow, is_stalled, long_response_ms,
-    may_have_run, retry_scope, stalled_action, AfterAttempt, EndedAttempt, PendingAttemptInput,
-    RetryDecision, RetryInput, RetryScope, RetryScopeInput, StalledAction, StalledActionInput,
+    after_attempt, decide_retry, earned_retry_tokens, has_become_slow, is_stalled, may_have_run, retry_scope,
+    slow_after_ms, stalled_action, AfterAttempt, EndedAttempt, PendingAttemptInput, RetryDecision,
+    RetryInput, RetryScope, RetryScopeInput, StalledAction, StalledActionInput,
 };
 use crate::settings::{DedupGroup, Idempotency};
 use crate::state::{Attempt, Endpoint, EndpointSmoothing};
@@ -133,14 +133,14 @@
 
 #[test]
 fn an_attempt_is_stalled_by_its_age_or_by_its_endpoint() {
-    assert!(is_close(long_response_ms(100.0, 800.0), 250.0), "2.5 mean response times");
-    assert!(is_close(long_response_ms(10.0, 800.0), 200.0), "a quarter of the objective");
+    assert!(is_close(slow_after_ms(100.0, 800.0), 250.0), "2.5 mean response times");
+    assert!(is_close(slow_after_ms(10.0, 800.0), 200.0), "a quarter of the objective");
     for (age_ms, expected) in [(250.0, false), (251.0, true), (269.0, true), (270.0, false)] {
         assert_eq!(has_become_slow(age_ms, 250.0), expected, "{age_ms} ms; upkeep is every 20 ms");
     }
     let young = PendingAttemptInput {
         age_ms: 399.0,
-        long_response_ms: 250.0,
+        slow_after_ms: 250.0,
         is_class_ejected: false,
         is_outlier: false,
         is_unresponsive: false,
