--- a/crates/admission/src/lifecycle/band_control.rs
+++ b/crates/admission/src/lifecycle/band_control.rs
@@ -51,7 +51,7 @@
             FleetMode::Broadcast => is_counted_in_broadcast_mode(&symptoms),
             FleetMode::LargeFleet => {
                 let is_unresponsive = self.is_unresponsive(endpoint);
-                let slowness = self.kind_deviation(endpoint).excess;
+                let slowness = self.kind_deviation(endpoint).slowness;
                 is_counted_in_large_fleet(&symptoms, is_unresponsive, slowness)
             }
         }
--- a/crates/admission/src/policy/response_time/kind_deviation.rs
+++ b/crates/admission/src/policy/response_time/kind_deviation.rs
@@ -18,7 +18,7 @@
     /// Usual relative response time of the kind.
     pub baseline: f64,
     /// The endpoint's relative response time over that of a clearly slow endpoint of the kind; at least 1.
-    pub excess: f64,
+    pub slowness: f64,
 }
 
 /// How far an endpoint's response time, as the fleet observes it, is above what is usual of its kind.
@@ -29,7 +29,7 @@
 ) -> KindDeviation {
     let baseline = learned_baseline.max(MIN_KIND_BASELINE);
     let observed = response_time.observed(now_ms, baseline);
-    KindDeviation { baseline, excess: (observed / baseline / CLEARLY_SLOW).max(1.0) }
+    KindDeviation { baseline, slowness: (observed / baseline / CLEARLY_SLOW).max(1.0) }
 }
 
 /// The sample of a kind's relative response time that an observed response gives.
--- a/crates/admission/src/policy/selection/attempt_cost.rs
+++ b/crates/admission/src/policy/selection/attempt_cost.rs
@@ -85,7 +85,7 @@
     let kind = input.kind;
     let mut cost = load / input.warm_fraction;
     cost *= if input.was_attempted { ATTEMPTED_BEFORE_COST } else { 1.0 };
-    cost *= load * kind.baseline * kind.excess * kind.excess / warm_up_weight;
+    cost *= load * kind.baseline * kind.slowness * kind.slowness / warm_up_weight;
     cost *= if input.is_unresponsive { UNRESPONSIVE_COST } else { 1.0 };
     cost
 }
--- a/crates/admission/src/tests/endpoint_rules/response_time_rules.rs
+++ b/crates/admission/src/tests/endpoint_rules/response_time_rules.rs
@@ -67,10 +67,11 @@
     // A gain of 1 takes the sample as it is.
     let mut response_time = RelativeResponseTime::new(0.0, 4000.0);
     response_time.record_observed(0.0, 3.2, 1.0, 1.0);
-    for (learned, baseline, excess) in [(1.0, 1.0, 2.0), (0.5, 0.5, 4.0), (4.0, 4.0, 1.0), (0.0, 0.1, 20.0)] {
+    for (learned, baseline, slowness) in [(1.0, 1.0, 2.0), (0.5, 0.5, 4.0), (4.0, 4.0, 1.0), (0.0, 0.1, 20.0)]
+    {
         let deviation = kind_deviation(learned, &response_time, 0.0);
         assert!(
-            is_close(deviation.baseline, baseline) && is_close(deviation.excess, excess),
+            is_close(deviation.baseline, baseline) && is_close(deviation.slowness, slowness),
             "{deviation:?}"
         );
     }
--- a/crates/admission/src/tests/endpoint_rules/selection_rules.rs
+++ b/crates/admission/src/tests/endpoint_rules/selection_rules.rs
@@ -45,7 +45,7 @@
 
 #[test]
 fn in_a_large_fleet_load_counts_twice_and_observations_weigh() {
-    let usual = KindDeviation { baseline: 1.0, excess: 1.0 };
+    let usual = KindDeviation { baseline: 1.0, slowness: 1.0 };
     let plain = LargeFleetCostInput {
         in_flight: 1,
         mean_warm_in_flight: 3.0,
@@ -54,7 +54,7 @@
         kind: usual,
         is_unresponsive: false,
     };
-    let slow = KindDeviation { baseline: 0.5, excess: 3.0 };
+    let slow = KindDeviation { baseline: 0.5, slowness: 3.0 };
     let rows = [
         ("two attempts with the new one", plain, 4.0),
         ("attempted before", LargeFleetCostInput { was_attempted: true, ..plain }, 16.0),
