--- a/crates/admission/src/coordination/observations.rs
+++ b/crates/admission/src/coordination/observations.rs
@@ -17,7 +17,7 @@
         if end.outcome == Outcome::Ok {
             self.fleet_means.record_response(self.clock.now_ms(), QUOTA_RATE_SPAN_S);
             if let Some(endpoint) = self.endpoints.get_mut(end.endpoint) {
-                endpoint.observed.relax_ejections(class, plan);
+                endpoint.observed.record_own_success(class, plan);
             }
         }
         let objective_fraction = end.took_ms / self.settings.class(class).latency_objective_ms;
--- a/crates/admission/src/state/endpoint/observed_health.rs
+++ b/crates/admission/src/state/endpoint/observed_health.rs
@@ -89,7 +89,7 @@
     /// Records a good response to an own attempt: it ends an ejection for the class at once. For the plan it
     /// only shortens the next ejection, because an endpoint that rejects a plan above a rate still accepts
     /// some of it.
-    pub(crate) fn relax_ejections(&mut self, class: ClassIndex, plan: PlanIndex) {
+    pub(crate) fn record_own_success(&mut self, class: ClassIndex, plan: PlanIndex) {
         self.scoped_ejections.remove(&EjectionScope::Class(class));
         if let Some(ejection) = self.scoped_ejections.get_mut(&EjectionScope::Plan(plan)) {
             ejection.forgive_failure();
