--- a/crates/admission/src/gateway.rs
+++ b/crates/admission/src/gateway.rs
@@ -6,7 +6,7 @@
 use crate::settings::Settings;
 use crate::state::{
     Coordination, CustomerTable, EndpointTable, EventClock, FleetMeans, InFlightBand, LatencyModel,
-    OutlierDetector, RecentObservations, RequestTable, RetryBudget, WarmSendRates,
+    OutlierDetectionState, RecentObservations, RequestTable, RetryBudget, WarmSendRates,
 };
 
 /// One gateway's decisions: takes events in and answers with actions. Each part owns the state of one
@@ -36,7 +36,7 @@
     /// Learned response times.
     pub(crate) latency: LatencyModel,
     /// Failures beyond single endpoints.
-    pub(crate) outliers: OutlierDetector,
+    pub(crate) outliers: OutlierDetectionState,
     /// What warming endpoints may be sent goes by.
     pub(crate) warm_send_rates: WarmSendRates,
     /// Tokens for further attempts.
--- a/crates/admission/src/state/endpoint/mod.rs
+++ b/crates/admission/src/state/endpoint/mod.rs
@@ -14,7 +14,7 @@
 pub(crate) use endpoint_table::EndpointTable;
 pub(crate) use latency_model::{LatencyFloors, LatencyGains, LatencyModel};
 pub(crate) use observed_health::{EjectionScope, ObservedHealth};
-pub(crate) use outlier_detector::OutlierDetector;
+pub(crate) use outlier_detector::OutlierDetectionState;
 pub(crate) use recent_observations::RecentObservations;
 pub(crate) use relative_response_time::RelativeResponseTime;
 pub(crate) use warm_up_tokens::{WarmSendRates, WarmUpBudget, WarmUpTokens};
--- a/crates/admission/src/state/endpoint/outlier_detector.rs
+++ b/crates/admission/src/state/endpoint/outlier_detector.rs
@@ -3,14 +3,14 @@
 
 /// What is known of failures beyond single endpoints.
 #[derive(Debug, Default)]
-pub(crate) struct OutlierDetector {
+pub(crate) struct OutlierDetectionState {
     /// Most endpoints look like outliers.
     correlated_failure: bool,
     /// Responses of endpoints a second that the fleet observes, as far as this gateway is notified.
     response_rate: DecayingRate,
 }
 
-impl OutlierDetector {
+impl OutlierDetectionState {
     /// Whether most endpoints look like outliers, so that the cause is not theirs.
     pub(crate) fn is_correlated_failure(&self) -> bool {
         self.correlated_failure
--- a/crates/admission/src/state/mod.rs
+++ b/crates/admission/src/state/mod.rs
@@ -7,7 +7,7 @@
 
 pub(crate) use endpoint::{
     EjectionScope, Endpoint, EndpointHealth, EndpointSmoothing, EndpointTable, InFlightAttempt,
-    LatencyFloors, LatencyGains, LatencyModel, ObservedHealth, OutlierDetector, RecentObservations,
+    LatencyFloors, LatencyGains, LatencyModel, ObservedHealth, OutlierDetectionState, RecentObservations,
     RelativeResponseTime, WarmSendRates, WarmUpBudget, WarmUpTokens,
 };
 pub(crate) use event_clock::EventClock;
