--- a/crates/admission/src/policy/response_time/kind_deviation.rs
+++ b/crates/admission/src/policy/response_time/kind_deviation.rs
@@ -28,7 +28,7 @@
     now_ms: f64,
 ) -> KindDeviation {
     let baseline = learned_baseline.max(MIN_KIND_BASELINE);
-    let observed = response_time.observed(now_ms, baseline);
+    let observed = response_time.observed_estimate(now_ms, baseline);
     KindDeviation { baseline, slowness: (observed / baseline / CLEARLY_SLOW).max(1.0) }
 }
 
--- a/crates/admission/src/state/endpoint/relative_response_time.rs
+++ b/crates/admission/src/state/endpoint/relative_response_time.rs
@@ -43,13 +43,13 @@
     }
 
     /// As the fleet observes it. Without observations it returns to `baseline`, what is usual of its kind.
-    pub(crate) fn observed(&self, now_ms: f64, baseline: f64) -> f64 {
+    pub(crate) fn observed_estimate(&self, now_ms: f64, baseline: f64) -> f64 {
         decay_towards(baseline, self.value, now_ms - self.observed_ms, self.half_life_ms)
     }
 
     /// Records what some gateway observed.
     pub(crate) fn record_observed(&mut self, now_ms: f64, sample: f64, baseline: f64, gain: f64) {
-        self.value = self.observed(now_ms, baseline);
+        self.value = self.observed_estimate(now_ms, baseline);
         smooth(&mut self.value, sample, gain);
         self.observed_ms = now_ms;
     }
