--- a/crates/admission/src/lifecycle/endpoint_choice.rs
+++ b/crates/admission/src/lifecycle/endpoint_choice.rs
@@ -71,7 +71,7 @@
             warm_fraction: self.warm_fraction(endpoint),
             was_attempted: active.was_sent_to(endpoint.id()),
             is_local: endpoint.zone() == self.settings.zone,
-            relative_response_time: endpoint.response_time.own(since_response_ms),
+            relative_response_time: endpoint.response_time.own_estimate(since_response_ms),
             warm_up,
         })?;
         let is_unfit = selection::is_unfit_in_broadcast_mode(&BroadcastFitnessInput {
--- a/crates/admission/src/state/endpoint/relative_response_time.rs
+++ b/crates/admission/src/state/endpoint/relative_response_time.rs
@@ -25,20 +25,20 @@
     }
 
     /// As own attempts show it, of which none got a response for `since_response_ms`. It returns to 1.
-    pub(crate) fn own(&self, since_response_ms: f64) -> f64 {
+    pub(crate) fn own_estimate(&self, since_response_ms: f64) -> f64 {
         decay_towards(1.0, self.value, since_response_ms, self.half_life_ms)
     }
 
     /// Records the response time of an own attempt.
     pub(crate) fn record_own(&mut self, since_response_ms: f64, sample: f64, gain: f64) {
-        self.value = self.own(since_response_ms);
+        self.value = self.own_estimate(since_response_ms);
         smooth(&mut self.value, sample, gain);
     }
 
     /// Records that an own attempt got no response within a time. The sample can only be too low, so that it
     /// never lowers the smoothed value.
     pub(crate) fn record_own_at_least(&mut self, since_response_ms: f64, sample: f64, gain: f64) {
-        let current = self.own(since_response_ms);
+        let current = self.own_estimate(since_response_ms);
         self.record_own(since_response_ms, sample.max(current), gain);
     }
 
