--- a/crates/admission/src/lifecycle/outlier_checks.rs
+++ b/crates/admission/src/lifecycle/outlier_checks.rs
@@ -33,7 +33,7 @@
             oldest_sent_ms,
             last_response_ms: endpoint.health.last_response_ms(),
             in_flight: endpoint.in_flight().len(),
-            relative_response_time: endpoint.response_time.last(),
+            relative_response_time: endpoint.response_time.last_recorded(),
             warm_fraction: self.warm_fraction(endpoint),
             usual_response_ms: outlier::usual_response_ms(
                 self.latency.mean_response_ms(),
--- a/crates/admission/src/state/endpoint/relative_response_time.rs
+++ b/crates/admission/src/state/endpoint/relative_response_time.rs
@@ -20,7 +20,7 @@
     }
 
     /// As last recorded.
-    pub(crate) fn last(&self) -> f64 {
+    pub(crate) fn last_recorded(&self) -> f64 {
         self.value
     }
 
