--- a/crates/admission/src/coordination/observations.rs
+++ b/crates/admission/src/coordination/observations.rs
@@ -17,7 +17,7 @@
         if end.outcome == Outcome::Ok {
             self.fleet_means.record_response(self.clock.now_ms(), QUOTA_RATE_SPAN_S);
             if let Some(endpoint) = self.endpoints.get_mut(end.endpoint) {
-                endpoint.observed.record_own_success(class, plan);
+                endpoint.observed_health.record_own_success(class, plan);
             }
         }
         let objective_fraction = end.took_ms / self.settings.class(class).latency_objective_ms;
@@ -56,7 +56,7 @@
     fn apply_rejection(&mut self, tag: u32, plan: PlanIndex) {
         let (now_ms, jitter) = (self.clock.now_ms(), self.observation_jitter(tag));
         if let Some(endpoint) = self.endpoints.get_by_tag_mut(tag) {
-            endpoint.observed.eject(EjectionScope::Plan(plan), now_ms, SCOPED_EJECTION, jitter);
+            endpoint.observed_health.eject(EjectionScope::Plan(plan), now_ms, SCOPED_EJECTION, jitter);
         }
     }
 
@@ -64,9 +64,9 @@
     fn apply_failure(&mut self, tag: u32, class: ClassIndex) {
         let (now_ms, jitter) = (self.clock.now_ms(), self.observation_jitter(tag));
         let Some(endpoint) = self.endpoints.get_by_tag_mut(tag) else { return };
-        let failed_fraction = endpoint.observed.record_failure(class, CLASS_FAILURE_GAIN);
+        let failed_fraction = endpoint.observed_health.record_failure(class, CLASS_FAILURE_GAIN);
         if fails_class(failed_fraction) {
-            endpoint.observed.eject(EjectionScope::Class(class), now_ms, SCOPED_EJECTION, jitter);
+            endpoint.observed_health.eject(EjectionScope::Class(class), now_ms, SCOPED_EJECTION, jitter);
         }
     }
 
@@ -74,7 +74,7 @@
     fn apply_response(&mut self, tag: u32, class: ClassIndex, response_time: ResponseTimeCode) {
         let now_ms = self.clock.now_ms();
         let Some(endpoint) = self.endpoints.get_by_tag_mut(tag) else { return };
-        endpoint.observed.record_response(class, now_ms, CLASS_FAILURE_GAIN);
+        endpoint.observed_health.record_response(class, now_ms, CLASS_FAILURE_GAIN);
         self.outliers.record_observed_response(now_ms, OBSERVATION_SPAN_S);
         let objective_fraction = response_time.objective_fraction();
         let relative = self.latency.relative_to_mean(objective_fraction);
--- a/crates/admission/src/lifecycle/band_control.rs
+++ b/crates/admission/src/lifecycle/band_control.rs
@@ -44,7 +44,7 @@
             is_gone: endpoint.is_gone(),
             consecutive_failures: endpoint.health.consecutive_failures(),
             is_ejected: endpoint.health.is_ejected(now_ms),
-            is_any_class_ejected: endpoint.observed.is_any_class_ejected(now_ms),
+            is_any_class_ejected: endpoint.observed_health.is_any_class_ejected(now_ms),
             stall_ratio: self.stall_ratio(endpoint),
         };
         match mode {
--- a/crates/admission/src/lifecycle/endpoint_choice.rs
+++ b/crates/admission/src/lifecycle/endpoint_choice.rs
@@ -94,9 +94,13 @@
         let warm_fraction = self.warm_fraction(endpoint);
         let fitness = selection::fitness_in_large_fleet(&LargeFleetFitnessInput {
             is_outlier: self.is_outlier(endpoint),
-            is_ejected_for_request: endpoint.observed.is_ejected_for(request.class, request.plan, now_ms),
+            is_ejected_for_request: endpoint.observed_health.is_ejected_for(
+                request.class,
+                request.plan,
+                now_ms,
+            ),
             is_unresponsive: self.is_unresponsive(endpoint),
-            missed_responses: endpoint.observed.missed_responses(),
+            missed_responses: endpoint.observed_health.missed_responses(),
             idempotency: self.settings.class(request.class).idempotency,
         });
         let cost = selection::cost_in_large_fleet(&LargeFleetCostInput {
--- a/crates/admission/src/lifecycle/outlier_checks.rs
+++ b/crates/admission/src/lifecycle/outlier_checks.rs
@@ -49,8 +49,8 @@
         match self.coordination.fleet_mode() {
             FleetMode::Broadcast => false,
             FleetMode::LargeFleet => outlier::is_unresponsive(&UnresponsiveInput {
-                missed_responses: endpoint.observed.missed_responses(),
-                since_response_ms: endpoint.observed.since_response_ms(now_ms),
+                missed_responses: endpoint.observed_health.missed_responses(),
+                since_response_ms: endpoint.observed_health.since_response_ms(now_ms),
                 observed_responses_per_second: self
                     .outliers
                     .observed_responses_per_second(now_ms, OBSERVATION_SPAN_S),
--- a/crates/admission/src/state/endpoint/endpoint_record.rs
+++ b/crates/admission/src/state/endpoint/endpoint_record.rs
@@ -37,7 +37,7 @@
     /// Health as own attempts show it.
     pub(crate) health: EndpointHealth,
     /// Health as the gateways of a large fleet observe it; unused in broadcast mode.
-    pub(crate) observed: ObservedHealth,
+    pub(crate) observed_health: ObservedHealth,
     /// Response time over what is usual.
     pub(crate) response_time: RelativeResponseTime,
 }
@@ -57,7 +57,7 @@
             smoothing,
             warm_up_tokens: WarmUpTokens::new(warm_up_tokens, now_ms),
             health: EndpointHealth::new(now_ms),
-            observed: ObservedHealth::new(now_ms),
+            observed_health: ObservedHealth::new(now_ms),
             response_time: RelativeResponseTime::new(now_ms, smoothing.response_time_half_life_ms),
         }
     }
