--- a/crates/admission/src/lifecycle/warm_up.rs
+++ b/crates/admission/src/lifecycle/warm_up.rs
@@ -81,5 +81,5 @@
 /// Warm-up tokens of an endpoint at `now_ms`.
 pub(crate) fn available_warm_up_tokens(endpoint: &Endpoint, budget: WarmUpBudget, now_ms: f64) -> f64 {
     let saved = &endpoint.warm_up_tokens;
-    slow_start::available_tokens(saved.saved(), saved.since_update_ms(now_ms), budget)
+    slow_start::available_tokens(saved.tokens_at_update(), saved.since_update_ms(now_ms), budget)
 }
--- a/crates/admission/src/state/endpoint/warm_up_tokens.rs
+++ b/crates/admission/src/state/endpoint/warm_up_tokens.rs
@@ -27,7 +27,7 @@
     }
 
     /// Tokens as of the last update.
-    pub(crate) fn saved(&self) -> f64 {
+    pub(crate) fn tokens_at_update(&self) -> f64 {
         self.tokens
     }
 
