--- a/crates/admission/src/lifecycle/attempts.rs
+++ b/crates/admission/src/lifecycle/attempts.rs
@@ -8,7 +8,7 @@
     usage_at_attempt_end, usage_at_attempt_start, AttemptEndInput, AttemptStartInput, ExcessCharge,
 };
 use crate::policy::retry::{
-    after_attempt, attempt_timeout_ms, earned_retry_tokens, may_have_run, AfterAttempt, EndedAttempt,
+    after_attempt, attempt_timeout_ms, earned_retry_tokens, may_have_run, AfterAttempt, AfterAttemptInput,
     MAX_RETRY_TOKENS,
 };
 use crate::policy::slow_start::TOKENS_PER_ATTEMPT;
@@ -82,7 +82,7 @@
         self.settle_attempt(end);
         self.record_attempt_end(end, class, plan);
         let Some(active) = self.requests.get(end.request) else { return };
-        let next = after_attempt(&EndedAttempt {
+        let next = after_attempt(&AfterAttemptInput {
             outcome: end.outcome,
             is_closed: end.closed || active.is_closed(),
             has_attempt_in_flight: active.has_pending(),
--- a/crates/admission/src/policy/retry/after_attempt.rs
+++ b/crates/admission/src/policy/retry/after_attempt.rs
@@ -3,7 +3,7 @@
 
 /// What decides about a request once an attempt has ended.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct EndedAttempt {
+pub(crate) struct AfterAttemptInput {
     /// How the attempt ended.
     pub outcome: Outcome,
     /// The request has its final response, or its client has disconnected.
@@ -26,7 +26,7 @@
 }
 
 /// What follows for a request from the end of one of its attempts.
-pub(crate) fn after_attempt(input: &EndedAttempt) -> AfterAttempt {
+pub(crate) fn after_attempt(input: &AfterAttemptInput) -> AfterAttempt {
     if input.outcome == Outcome::Ok || input.is_closed {
         AfterAttempt::Close
     } else if input.has_attempt_in_flight {
--- a/crates/admission/src/policy/retry/mod.rs
+++ b/crates/admission/src/policy/retry/mod.rs
@@ -8,7 +8,7 @@
 mod stalled_action;
 mod stalled_attempt;
 
-pub(crate) use after_attempt::{after_attempt, AfterAttempt, EndedAttempt};
+pub(crate) use after_attempt::{after_attempt, AfterAttempt, AfterAttemptInput};
 pub(crate) use attempt_timeout::{attempt_timeout_ms, ATTEMPT_TIMEOUT_OBJECTIVES};
 pub(crate) use possible_run::may_have_run;
 pub(crate) use retry_decision::{
--- a/crates/admission/src/tests/endpoint_rules/retry_rules.rs
+++ b/crates/admission/src/tests/endpoint_rules/retry_rules.rs
@@ -4,7 +4,7 @@
 use crate::id::{EndpointId, MachineKindIndex, ZoneIndex};
 use crate::policy::retry::{
     after_attempt, decide_retry, earned_retry_tokens, has_become_slow, is_stalled, may_have_run, retry_scope,
-    slow_after_ms, stalled_action, AfterAttempt, EndedAttempt, PendingAttemptInput, RetryDecision,
+    slow_after_ms, stalled_action, AfterAttempt, AfterAttemptInput, PendingAttemptInput, RetryDecision,
     RetryInput, RetryScope, RetryScopeInput, StalledAction, StalledActionInput,
 };
 use crate::settings::{DedupGroup, Idempotency};
@@ -160,15 +160,16 @@
 
 #[test]
 fn the_end_of_an_attempt_closes_retries_or_finishes_its_request() {
-    let failed = EndedAttempt { outcome: Outcome::Error, is_closed: false, has_attempt_in_flight: false };
+    let failed =
+        AfterAttemptInput { outcome: Outcome::Error, is_closed: false, has_attempt_in_flight: false };
     let rows = [
         (failed, AfterAttempt::Retry),
-        (EndedAttempt { outcome: Outcome::Ok, ..failed }, AfterAttempt::Close),
-        (EndedAttempt { is_closed: true, ..failed }, AfterAttempt::Close),
-        (EndedAttempt { has_attempt_in_flight: true, ..failed }, AfterAttempt::AwaitOther),
-        (EndedAttempt { outcome: Outcome::TooLate, ..failed }, AfterAttempt::Finish),
+        (AfterAttemptInput { outcome: Outcome::Ok, ..failed }, AfterAttempt::Close),
+        (AfterAttemptInput { is_closed: true, ..failed }, AfterAttempt::Close),
+        (AfterAttemptInput { has_attempt_in_flight: true, ..failed }, AfterAttempt::AwaitOther),
+        (AfterAttemptInput { outcome: Outcome::TooLate, ..failed }, AfterAttempt::Finish),
         (
-            EndedAttempt { outcome: Outcome::TooLate, has_attempt_in_flight: true, ..failed },
+            AfterAttemptInput { outcome: Outcome::TooLate, has_attempt_in_flight: true, ..failed },
             AfterAttempt::AwaitOther,
         ),
     ];
