--- a/crates/admission/src/lifecycle/endpoints.rs
+++ b/crates/admission/src/lifecycle/endpoints.rs
@@ -41,7 +41,7 @@
 /// Records what the end of an attempt shows of its endpoint's health.
 fn record_health(health: &mut EndpointHealth, evidence: HealthEvidence, now_ms: f64) {
     match evidence {
-        HealthEvidence::Served => {
+        HealthEvidence::GoodResponse => {
             health.record_response(now_ms);
             health.record_success(ERROR_GAIN);
         }
--- a/crates/admission/src/policy/outlier/health_evidence.rs
+++ b/crates/admission/src/policy/outlier/health_evidence.rs
@@ -5,7 +5,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum HealthEvidence {
     /// It gave a good response: its failures in a row are over.
-    Served,
+    GoodResponse,
     /// It responded with an error: it is alive, and fails.
     ErrorResponse,
     /// It rejected the attempt: it is alive.
@@ -19,7 +19,7 @@
 /// What the end of an own attempt shows of its endpoint.
 pub(crate) fn health_evidence(outcome: Outcome) -> HealthEvidence {
     match outcome {
-        Outcome::Ok => HealthEvidence::Served,
+        Outcome::Ok => HealthEvidence::GoodResponse,
         Outcome::Error => HealthEvidence::ErrorResponse,
         Outcome::Overloaded => HealthEvidence::Rejection,
         Outcome::ConnectFailed | Outcome::Reset => HealthEvidence::BrokenConnection,
--- a/crates/admission/src/tests/endpoint_rules/outlier_rules.rs
+++ b/crates/admission/src/tests/endpoint_rules/outlier_rules.rs
@@ -178,7 +178,7 @@
 #[test]
 fn only_responses_show_that_an_endpoint_is_alive_and_only_good_ones_end_its_failures() {
     let rows = [
-        (Outcome::Ok, HealthEvidence::Served),
+        (Outcome::Ok, HealthEvidence::GoodResponse),
         (Outcome::Error, HealthEvidence::ErrorResponse),
         (Outcome::Overloaded, HealthEvidence::Rejection),
         (Outcome::ConnectFailed, HealthEvidence::BrokenConnection),
