--- a/crates/admission/src/lifecycle/endpoints.rs
+++ b/crates/admission/src/lifecycle/endpoints.rs
@@ -50,7 +50,7 @@
             health.record_error(ERROR_GAIN);
         }
         HealthEvidence::Rejection => health.record_response(now_ms),
-        HealthEvidence::BrokenConnection => health.record_error(ERROR_GAIN),
+        HealthEvidence::ConnectionFailure => health.record_error(ERROR_GAIN),
         HealthEvidence::None => {}
     }
 }
--- a/crates/admission/src/policy/outlier/health_evidence.rs
+++ b/crates/admission/src/policy/outlier/health_evidence.rs
@@ -11,7 +11,7 @@
     /// It rejected the attempt: it is alive.
     Rejection,
     /// No connection, or a broken one: it fails.
-    BrokenConnection,
+    ConnectionFailure,
     /// Nothing.
     None,
 }
@@ -22,7 +22,7 @@
         Outcome::Ok => HealthEvidence::GoodResponse,
         Outcome::Error => HealthEvidence::ErrorResponse,
         Outcome::Overloaded => HealthEvidence::Rejection,
-        Outcome::ConnectFailed | Outcome::Reset => HealthEvidence::BrokenConnection,
+        Outcome::ConnectFailed | Outcome::Reset => HealthEvidence::ConnectionFailure,
         Outcome::TimedOut | Outcome::Cancelled | Outcome::TooLate => HealthEvidence::None,
     }
 }
