--- a/crates/admission/src/lifecycle/retries.rs
+++ b/crates/admission/src/lifecycle/retries.rs
@@ -108,7 +108,7 @@
         retry::is_stalled(&PendingAttemptInput {
             age_ms: now_ms - pending.sent_ms,
             slow_after_ms: self.slow_after_ms(pending.class),
-            is_class_ejected: endpoint.observed_health.is_ejected(class_scope, now_ms),
+            is_ejected_for_class: endpoint.observed_health.is_ejected(class_scope, now_ms),
             is_outlier: self.is_outlier(endpoint),
             is_unresponsive: self.is_unresponsive(endpoint),
         })
--- a/crates/admission/src/policy/retry/stalled_attempt.rs
+++ b/crates/admission/src/policy/retry/stalled_attempt.rs
@@ -20,7 +20,7 @@
     /// Time after which attempts of its class take long, in ms.
     pub slow_after_ms: f64,
     /// The endpoint is ejected for the class: other attempts took long there or failed.
-    pub is_class_ejected: bool,
+    pub is_ejected_for_class: bool,
     /// The endpoint is an outlier.
     pub is_outlier: bool,
     /// The fleet gets no responses from the endpoint.
@@ -43,7 +43,7 @@
 /// takes long where the endpoint is ejected for the class, and otherwise after `STALLED_FACTOR` times as
 /// long.
 pub(crate) fn is_stalled(input: &PendingAttemptInput) -> bool {
-    let factor = if input.is_class_ejected { 1.0 } else { STALLED_FACTOR };
+    let factor = if input.is_ejected_for_class { 1.0 } else { STALLED_FACTOR };
     let limit_ms = input.slow_after_ms * factor;
     input.is_outlier || input.is_unresponsive || input.age_ms > limit_ms
 }
--- a/crates/admission/src/tests/endpoint_rules/retry_rules.rs
+++ b/crates/admission/src/tests/endpoint_rules/retry_rules.rs
@@ -141,15 +141,15 @@
     let young = PendingAttemptInput {
         age_ms: 399.0,
         slow_after_ms: 250.0,
-        is_class_ejected: false,
+        is_ejected_for_class: false,
         is_outlier: false,
         is_unresponsive: false,
     };
     let rows = [
         (young, false),
         (PendingAttemptInput { age_ms: 401.0, ..young }, true),
-        (PendingAttemptInput { is_class_ejected: true, ..young }, true),
-        (PendingAttemptInput { is_class_ejected: true, age_ms: 250.0, ..young }, false),
+        (PendingAttemptInput { is_ejected_for_class: true, ..young }, true),
+        (PendingAttemptInput { is_ejected_for_class: true, age_ms: 250.0, ..young }, false),
         (PendingAttemptInput { is_outlier: true, ..young }, true),
         (PendingAttemptInput { is_unresponsive: true, ..young }, true),
     ];
