--- a/crates/admission/src/policy/selection/attempt_cost.rs
+++ b/crates/admission/src/policy/selection/attempt_cost.rs
@@ -1,45 +1,45 @@
-//! What an attempt at an endpoint is expected to cost. A cost has no unit: only ratios count.
+//! The expected cost of an attempt at an endpoint. A cost has no unit: only ratios of costs matter.
 use crate::policy::response_time::KindDeviation;
 use crate::policy::slow_start::{is_warming_up, TOKENS_PER_ATTEMPT, WARM_UP_BUDGET_FRACTION, WARM_UP_WEIGHT};
 
-/// Factor on the cost of an endpoint that the request was sent to before.
+/// Factor on the cost of an endpoint that an earlier attempt of the request was sent to.
 const ATTEMPTED_BEFORE_COST: f64 = 4.0;
 
-/// Factor on the cost of an endpoint of another zone, in broadcast mode.
+/// Factor on the cost of an endpoint in another zone, in broadcast mode.
 const REMOTE_ZONE_COST: f64 = 1.1;
 
-/// Factor on the cost of an unresponsive endpoint. Some gateway still sends to it now and then, which shows
-/// when it is healthy again.
+/// Factor on the cost of an unresponsive endpoint. Some gateway still sends to the endpoint now and then,
+/// which shows when it is healthy again.
 const UNRESPONSIVE_COST: f64 = 20.0;
 
-/// Warm-up tokens of an endpoint that is warming up.
+/// The warm-up tokens of an endpoint that is warming up.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct WarmUpAllowance {
-    /// Tokens at hand; an attempt takes one.
+    /// Tokens available now; an attempt takes one.
     pub available_tokens: f64,
-    /// Tokens that may be saved up.
+    /// Maximum number of tokens that are saved.
     pub max_tokens: f64,
 }
 
-/// What the cost of an attempt goes by in broadcast mode.
+/// What the cost of an attempt depends on in broadcast mode.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct BroadcastCostInput {
-    /// Own attempts in flight at the endpoint.
+    /// Number of this gateway's attempts in flight at the endpoint.
     pub in_flight: usize,
-    /// Fraction of its full capacity that it has at least.
+    /// Lower bound of the endpoint's capacity, as a fraction of its full capacity.
     pub warm_fraction: f64,
-    /// The request was sent to it before.
+    /// An earlier attempt of the request was sent to the endpoint.
     pub was_attempted: bool,
-    /// It is in the gateway's zone.
+    /// The endpoint is in the gateway's zone.
     pub is_local: bool,
-    /// Its response time over the mean, as own attempts show it.
+    /// The endpoint's response time as a multiple of the mean, learned from this gateway's attempts.
     pub relative_response_time: f64,
-    /// Its warm-up tokens; `None` where it is warm.
+    /// The endpoint's warm-up tokens; `None` if it is warm.
     pub warm_up: Option<WarmUpAllowance>,
 }
 
-/// Broadcast mode: the cost by own attempts in flight and learned response times; `None` where an endpoint
-/// that is warming up has no token left.
+/// Returns the cost of an attempt in broadcast mode, by this gateway's attempts in flight and the learned
+/// response times, or `None` if the endpoint is warming up and has no token left.
 pub(crate) fn cost_in_broadcast_mode(input: &BroadcastCostInput) -> Option<f64> {
     let mut cost = (input.in_flight as f64 + 1.0) / input.warm_fraction;
     cost *= if input.was_attempted { ATTEMPTED_BEFORE_COST } else { 1.0 };
@@ -49,34 +49,36 @@
         if warm_up.available_tokens < TOKENS_PER_ATTEMPT {
             return None;
         }
-        // The rarer the tokens, the lower the cost: a token that comes seldom is used while it is there.
+        // A smaller bucket lowers the cost, so that a token that is rarely available is used before it
+        // expires.
         cost *= (WARM_UP_BUDGET_FRACTION * warm_up.max_tokens).min(1.0);
     }
     Some(cost)
 }
 
-/// What the cost of an attempt goes by in a large fleet.
+/// What the cost of an attempt depends on in a large fleet.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct LargeFleetCostInput {
-    /// Own attempts in flight at the endpoint.
+    /// Number of this gateway's attempts in flight at the endpoint.
     pub in_flight: usize,
-    /// Mean of own attempts in flight at a warm endpoint.
+    /// Mean number of this gateway's attempts in flight at a warm endpoint.
     pub mean_warm_in_flight: f64,
-    /// Fraction of its full capacity that the endpoint has at least.
+    /// Lower bound of the endpoint's capacity, as a fraction of its full capacity.
     pub warm_fraction: f64,
-    /// The request was sent to it before.
+    /// An earlier attempt of the request was sent to the endpoint.
     pub was_attempted: bool,
-    /// Its response time beside that of its machine kind.
+    /// The endpoint's response time compared with that of its machine kind.
     pub kind: KindDeviation,
-    /// It counts as unresponsive for this request.
+    /// The endpoint counts as unresponsive for this request.
     pub is_unresponsive: bool,
 }
 
-/// Large fleets: the cost by own attempts in flight and by what the fleet observes.
+/// Returns the cost of an attempt in a large fleet, by this gateway's attempts in flight and the observations
+/// of all gateways.
 ///
-/// The load counts squared, so that a busy endpoint is drawn far more seldom. An endpoint that is warming up
-/// counts with at least the mean in flight: with few attempts or none it would otherwise draw most of the
-/// work.
+/// The load counts squared, so that a busy endpoint is drawn far less often. An endpoint that is warming up
+/// counts with at least the mean number of attempts in flight: it has few or none and would otherwise draw
+/// most of the work.
 pub(crate) fn cost_in_large_fleet(input: &LargeFleetCostInput) -> f64 {
     let is_warming_up = is_warming_up(input.warm_fraction);
     let least_in_flight = if is_warming_up { input.mean_warm_in_flight } else { 0.0 };
@@ -90,7 +92,7 @@
     cost
 }
 
-/// The mean of own attempts in flight over endpoints; 0 where there is no endpoint.
+/// Returns the mean number of attempts in flight per endpoint, or 0 if there is no endpoint.
 pub(crate) fn mean_in_flight(in_flight: impl Iterator<Item = usize>) -> f64 {
     let (mut attempts, mut endpoints) = (0, 0);
     for count in in_flight {
--- a/crates/admission/src/policy/selection/fitness.rs
+++ b/crates/admission/src/policy/selection/fitness.rs
@@ -1,56 +1,56 @@
 //! Whether an endpoint is fit for an attempt.
 use crate::settings::Idempotency;
 
-/// What decides whether an endpoint is fit in broadcast mode.
+/// What is known about an endpoint's health in broadcast mode.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct BroadcastFitnessInput {
-    /// It is an outlier.
+    /// The endpoint is an outlier.
     pub is_outlier: bool,
-    /// Its failures in a row.
+    /// Consecutive failures of the endpoint.
     pub consecutive_failures: u32,
-    /// Own attempts in flight there.
+    /// Number of this gateway's attempts in flight at the endpoint.
     pub in_flight: usize,
 }
 
-/// Broadcast mode: whether an endpoint is left out while enough others are healthy. After a failure one
-/// attempt at a time shows whether it is healthy again.
+/// Whether, in broadcast mode, an endpoint is left out while enough others are healthy. After a failure one
+/// attempt at a time is sent to the endpoint, to find out whether it is healthy again.
 pub(crate) fn is_unfit_in_broadcast_mode(input: &BroadcastFitnessInput) -> bool {
     let awaits_first_response = input.consecutive_failures > 0 && input.in_flight > 0;
     input.is_outlier || awaits_first_response
 }
 
-/// What decides whether an endpoint is fit for a request in a large fleet.
+/// What is known about an endpoint's health in a large fleet, and the idempotency of the request.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct LargeFleetFitnessInput {
-    /// It is an outlier to this gateway.
+    /// The endpoint is an outlier by this gateway's own attempts.
     pub is_outlier: bool,
-    /// It is ejected for the request's class or plan.
+    /// The endpoint is ejected for the request's class or plan.
     pub is_ejected_for_request: bool,
-    /// The fleet gets no responses from it.
+    /// The endpoint responds to no gateway any more.
     pub is_unresponsive: bool,
-    /// Attempts observed there since the last response that got none.
+    /// Observed attempts at the endpoint that failed or were slow since its last response.
     pub missed_responses: u32,
-    /// What the request's class allows once an attempt may have run.
+    /// What the request's class allows after an attempt that may have run.
     pub idempotency: Idempotency,
 }
 
-/// What speaks against sending a request to an endpoint.
+/// The reasons not to send a request to an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct EndpointFitness {
-    /// It is left out while enough others are healthy.
-    pub is_outlier: bool,
-    /// Others get no responses from it, so that it costs more.
+    /// The endpoint is left out while enough others are healthy.
+    pub is_unfit: bool,
+    /// Other attempts got no response from the endpoint, so that it costs more.
     pub is_unresponsive: bool,
 }
 
-/// Large fleets: whether an endpoint is fit for a request. Only idempotent requests may show whether an
-/// endpoint that did not respond to others is healthy again: any other whose response is lost can't be sent
-/// elsewhere.
+/// Returns whether, in a large fleet, an endpoint is fit for a request. Only idempotent requests are sent to
+/// an endpoint that has missed responses, to find out whether it is healthy again: any other request cannot
+/// be sent elsewhere if its response is lost.
 pub(crate) fn fitness_in_large_fleet(input: &LargeFleetFitnessInput) -> EndpointFitness {
     let is_idempotent = input.idempotency == Idempotency::Idempotent;
     let must_avoid = !is_idempotent && input.missed_responses > 0;
     EndpointFitness {
-        is_outlier: input.is_outlier || input.is_ejected_for_request || must_avoid,
+        is_unfit: input.is_outlier || input.is_ejected_for_request || must_avoid,
         is_unresponsive: input.is_unresponsive || must_avoid,
     }
 }
--- a/crates/admission/src/policy/selection/least_cost.rs
+++ b/crates/admission/src/policy/selection/least_cost.rs
@@ -4,16 +4,16 @@
 /// An endpoint that an attempt may be sent to.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct CostCandidate {
-    /// The endpoint.
+    /// The endpoint's id.
     pub endpoint: EndpointId,
-    /// Its cost.
+    /// Cost of an attempt at the endpoint.
     pub cost: f64,
-    /// It is left out while enough others are healthy.
+    /// The endpoint is left out while enough others are healthy.
     pub is_unfit: bool,
 }
 
-/// The endpoint of least cost, the first of several; `None` where none is fit. In a correlated failure the
-/// unfit count as well.
+/// Returns the endpoint with the lowest cost, the first of several with the same cost, or `None` if no
+/// endpoint is fit. In a correlated failure unfit endpoints are candidates too.
 pub(crate) fn least_cost(
     candidates: impl Iterator<Item = CostCandidate>,
     is_correlated_failure: bool,
--- a/crates/admission/src/policy/selection/local_zone.rs
+++ b/crates/admission/src/policy/selection/local_zone.rs
@@ -1,21 +1,21 @@
-//! Large fleets: which fraction of its attempts a gateway sends within its own zone.
+//! Large fleets: the fraction of its attempts that a gateway sends within its own zone.
 use crate::id::ZoneIndex;
 use std::collections::BTreeMap;
 
-/// Largest fraction of attempts that stays in the local zone. The rest shows the gateway how remote zones do.
-/// The fraction is high because a gateway sends to each of many remote endpoints too seldom to find a
-/// connection open.
+/// Largest fraction of attempts that stay in the local zone. The rest shows the gateway the state of remote
+/// zones. The fraction is high because there are many remote endpoints, and a gateway sends to each of them
+/// too rarely to find a connection still open.
 const MAX_LOCAL_FRACTION: f64 = 0.9;
 
-/// Smallest fraction of attempts that stays in the local zone while it has candidates.
+/// Smallest fraction of attempts that stay in the local zone while it has candidates.
 const MIN_LOCAL_FRACTION: f64 = 0.05;
 
-/// Least mean capacity of a zone that divides.
+/// Lower limit of a zone's mean capacity as a divisor, as a fraction of a warm endpoint's capacity.
 const MIN_MEAN_CAPACITY: f64 = 1e-9;
 
-/// Fraction of the attempts that stay in the local zone, by the capacity of its candidates against that of
-/// the mean zone: a local candidate gets no more than a remote one of the same capacity. Each capacity comes
-/// with the zone of its candidate, as a fraction of a warm endpoint's.
+/// Returns the fraction of attempts that stay in the local zone, by the capacity of its candidates compared
+/// with that of an average zone: a local candidate gets no more than a remote one of the same capacity.
+/// `capacities` has the zone and the capacity of each candidate, as a fraction of a warm endpoint's capacity.
 pub(crate) fn local_fraction(
     capacities: impl Iterator<Item = (ZoneIndex, f64)>,
     local_zone: ZoneIndex,
--- a/crates/admission/src/policy/selection/mod.rs
+++ b/crates/admission/src/policy/selection/mod.rs
@@ -1,7 +1,8 @@
 //! Endpoint selection: which endpoint an attempt is sent to.
 //!
-//! In broadcast mode a gateway takes the endpoint of least cost. In a large fleet it draws by weight, because
-//! gateways that each have little in flight and learn the same would otherwise all choose one endpoint.
+//! In broadcast mode a gateway chooses the endpoint with the lowest cost. In a large fleet it draws an
+//! endpoint at random by weight: many gateways that each have few attempts in flight and learn the same would
+//! otherwise all choose the same endpoint.
 mod attempt_cost;
 pub(crate) mod fitness;
 mod least_cost;
--- a/crates/admission/src/policy/selection/weighted_draw.rs
+++ b/crates/admission/src/policy/selection/weighted_draw.rs
@@ -1,4 +1,4 @@
-//! Large fleets: a random endpoint, the likelier the lower its cost.
+//! Large fleets: a random choice of endpoint, in which a lower cost is more likely to be drawn.
 use crate::id::{EndpointId, ZoneIndex};
 use crate::mechanism::weighted_choice::{inverse_cost_weights, weighted_choice};
 use crate::policy::outlier::is_correlated_failure;
@@ -9,65 +9,65 @@
 /// An endpoint that an attempt may be sent to.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct DrawCandidate {
-    /// The endpoint.
+    /// The endpoint's id.
     pub endpoint: EndpointId,
-    /// Its zone.
+    /// The endpoint's zone.
     pub zone: ZoneIndex,
-    /// Fraction of its full capacity that it has at least.
+    /// Lower bound of the endpoint's capacity, as a fraction of its full capacity.
     pub warm_fraction: f64,
-    /// Its cost.
+    /// Cost of an attempt at the endpoint.
     pub cost: f64,
-    /// Whether it is fit for the request.
+    /// Whether the endpoint is fit for the request.
     pub fitness: EndpointFitness,
 }
 
 impl DrawCandidate {
-    /// Work that it may be sent, as a fraction of a warm endpoint's: none where it is not fit.
+    /// Returns the work that the endpoint may be sent, as a fraction of a warm endpoint's; 0 if it is not
+    /// fit.
     fn capacity(&self) -> f64 {
-        if self.fitness.is_outlier || self.fitness.is_unresponsive {
+        if self.fitness.is_unfit || self.fitness.is_unresponsive {
             0.0
         } else {
             send_fraction_in_large_fleet(self.warm_fraction)
         }
     }
 
-    /// Whether it does not have its full capacity yet.
+    /// Returns whether the endpoint does not have its full capacity yet.
     fn is_warming_up(&self) -> bool {
         is_warming_up(self.warm_fraction)
     }
 }
 
-/// What a draw goes by, the candidates aside.
+/// What a draw depends on besides the candidates.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct DrawContext {
     /// A random number from 0 to 1.
     pub draw: f64,
-    /// The zone of the gateway.
+    /// The gateway's zone.
     pub local_zone: ZoneIndex,
-    /// Whether this attempt may go to an endpoint that is warming up.
+    /// Whether the attempt may be sent to an endpoint that is warming up.
     pub warm_up: WarmUpAdmission,
     /// Most endpoints of the list look like outliers.
     pub is_correlated_failure: bool,
 }
 
-/// The endpoint that the draw falls on; `None` where there is none to send to.
+/// Returns the endpoint that is drawn, or `None` if no candidate is left.
 pub(crate) fn weighted_draw(mut candidates: Vec<DrawCandidate>, context: &DrawContext) -> Option<EndpointId> {
     let capacities = candidates.iter().map(|candidate| (candidate.zone, candidate.capacity()));
     let local_fraction = local_fraction(capacities, context.local_zone);
     apply_warm_up_admission(&mut candidates, context.warm_up);
-    // Upkeep judges all endpoints of the list, but only now and then; these are the candidates of this
-    // request.
-    let healthy = candidates.iter().filter(|candidate| !candidate.fitness.is_outlier).count();
+    // `context.is_correlated_failure` covers all endpoints of the list, but upkeep updates it only now and
+    // then; this check covers the candidates of this request.
+    let healthy = candidates.iter().filter(|candidate| !candidate.fitness.is_unfit).count();
     if !context.is_correlated_failure && !is_correlated_failure(healthy, candidates.len()) {
-        candidates.retain(|candidate| !candidate.fitness.is_outlier);
+        candidates.retain(|candidate| !candidate.fitness.is_unfit);
     }
     let is_local = |candidate: &DrawCandidate| candidate.zone == context.local_zone;
     let weights = inverse_cost_weights(&candidates, |candidate| candidate.cost, is_local, local_fraction);
     weighted_choice(context.draw, &weights).map(|index| candidates[index].endpoint)
 }
 
-/// Leaves out the candidates that are warming up, or raises their weight where the attempt is admitted to
-/// them.
+/// Removes the candidates that are warming up, or raises their weight if the attempt is admitted to them.
 fn apply_warm_up_admission(candidates: &mut Vec<DrawCandidate>, admission: WarmUpAdmission) {
     match admission {
         WarmUpAdmission::WarmOnly => candidates.retain(|candidate| !candidate.is_warming_up()),
--- a/crates/admission/src/policy/slow_start/mod.rs
+++ b/crates/admission/src/policy/slow_start/mod.rs
@@ -1,4 +1,4 @@
-//! Slow start: how much an endpoint whose process has started recently may be sent.
+//! Slow start: how much work is sent to an endpoint whose process has started recently.
 mod warm_fraction;
 mod warm_up_admission;
 mod warm_up_budget;
--- a/crates/admission/src/policy/slow_start/warm_fraction.rs
+++ b/crates/admission/src/policy/slow_start/warm_fraction.rs
@@ -1,32 +1,34 @@
-//! How much of its full capacity an endpoint has by its age, and how much of that the fleet uses.
+//! How much of its full capacity an endpoint has at its age, and how much of that is used.
 
-/// Fraction of a warming endpoint's capacity that is used in broadcast mode. The margin is there because
-/// requests differ in size and endpoints of a kind in speed.
+/// Fraction of a warming endpoint's capacity that is used in broadcast mode. The rest is a margin, because
+/// requests differ in size and endpoints of a machine kind differ in speed.
 pub(crate) const WARM_UP_BUDGET_FRACTION: f64 = 0.6;
 
 /// Fraction of a warming endpoint's capacity that counts in a large fleet, where endpoints are drawn by
 /// weight.
 pub(crate) const WARM_UP_WEIGHT: f64 = 0.5;
 
-/// Fraction of its full capacity that an endpoint has at least: it rises evenly from `initial_fraction`, when
-/// its process starts, to 1 after `warm_up_ms`. No age means that the process started long ago.
+/// Returns a lower bound of an endpoint's capacity, as a fraction of its full capacity. The fraction rises
+/// linearly from `initial_fraction`, when its process starts, to 1 after `warm_up_ms`. `age_ms` is `None` if
+/// the process started long ago.
 pub(crate) fn warm_fraction(age_ms: Option<f64>, warm_up_ms: f64, initial_fraction: f64) -> f64 {
     let Some(age_ms) = age_ms.filter(|_| warm_up_ms > 0.0) else { return 1.0 };
     let progress = (age_ms / warm_up_ms).clamp(0.0, 1.0);
     initial_fraction + (1.0 - initial_fraction) * progress
 }
 
-/// Whether an endpoint does not have its full capacity yet.
+/// Returns whether an endpoint does not have its full capacity yet.
 pub(crate) fn is_warming_up(warm_fraction: f64) -> bool {
     warm_fraction < 1.0
 }
 
-/// Whether an endpoint's process is old enough for its response times to be typical.
+/// Returns whether an endpoint's process is old enough for its response times to be typical.
 pub(crate) fn has_warmed_up(age_ms: Option<f64>, warm_up_ms: f64) -> bool {
     age_ms.is_none_or(|age_ms| age_ms >= warm_up_ms)
 }
 
-/// Work that the fleet may send an endpoint in broadcast mode, as a fraction of a warm endpoint's.
+/// Returns the work that all gateways together may send an endpoint in broadcast mode, as a fraction of a
+/// warm endpoint's.
 pub(crate) fn send_fraction_in_broadcast_mode(warm_fraction: f64) -> f64 {
     if is_warming_up(warm_fraction) {
         WARM_UP_BUDGET_FRACTION * warm_fraction
@@ -35,7 +37,8 @@
     }
 }
 
-/// Work that a large fleet may send an endpoint, as a fraction of a warm endpoint's.
+/// Returns the work that all gateways of a large fleet together may send an endpoint, as a fraction of a warm
+/// endpoint's.
 pub(crate) fn send_fraction_in_large_fleet(warm_fraction: f64) -> f64 {
     if is_warming_up(warm_fraction) {
         WARM_UP_WEIGHT * warm_fraction
--- a/crates/admission/src/policy/slow_start/warm_up_admission.rs
+++ b/crates/admission/src/policy/slow_start/warm_up_admission.rs
@@ -1,13 +1,14 @@
-//! Large fleets: which requests may go to an endpoint that is warming up.
+//! Large fleets: which attempts may be sent to an endpoint that is warming up.
 use crate::id::RequestId;
 use crate::mechanism::splitmix64::{fraction, mix};
 use crate::policy::slow_start::warm_fraction::is_warming_up;
 
-/// Requests admitted to warming endpoints, as a multiple of these endpoints' fraction of the send capacity.
-/// The fraction of endpoints that are warm is added to it, since warm endpoints then take most of the work.
+/// Fraction of attempts that are admitted to warming endpoints, as a multiple of these endpoints' fraction of
+/// the send capacity. The fraction of endpoints that are warm is added to it, since warm endpoints then take
+/// most of the work.
 const WARM_UP_ADMISSION_FACTOR: f64 = 1.2;
 
-/// Work that the ready endpoints may be sent, in multiples of a warm endpoint's.
+/// The work that the ready endpoints may be sent, in multiples of a warm endpoint's work.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct SendCapacity {
     total: f64,
@@ -28,30 +29,31 @@
         }
     }
 
-    /// Fraction of the endpoints that are warm.
+    /// Returns the fraction of the endpoints that are warm.
     fn warm_endpoint_fraction(&self) -> f64 {
         f64::from(self.warm_endpoints) / f64::from(self.endpoints.max(1))
     }
 }
 
-/// Whether a request may go to an endpoint that is warming up.
+/// Whether an attempt may be sent to an endpoint that is warming up.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum WarmUpAdmission {
-    /// It may, and these endpoints then weigh this many times as much: few requests are admitted, and these
-    /// have to use the capacity of all.
+    /// The attempt may be sent to any endpoint, and warming endpoints weigh more: few attempts are admitted,
+    /// and these have to use the whole capacity of the warming endpoints.
     Admitted {
         /// Factor on the weight of a warming endpoint; at least 1.
         weight_factor: f64,
     },
-    /// It goes to a warm endpoint.
+    /// The attempt is sent to a warm endpoint.
     WarmOnly,
 }
 
-/// Whether an attempt may go to an endpoint that is warming up, by a draw from 0 to 1.
+/// Decides whether an attempt may be sent to an endpoint that is warming up. `draw` is a random number from 0
+/// to 1.
 ///
-/// The admitted fraction of requests is little more than these endpoints' fraction of the capacity, however
-/// busy or faulty the warm ones are: work that these cannot take would overload an endpoint that has just
-/// started.
+/// The admitted fraction of attempts is little more than the warming endpoints' fraction of the capacity,
+/// even if the warm endpoints are busy or faulty: the work that those cannot take would overload an endpoint
+/// that has just started.
 pub(crate) fn warm_up_admission(capacity: &SendCapacity, draw: f64) -> WarmUpAdmission {
     let factor = WARM_UP_ADMISSION_FACTOR + capacity.warm_endpoint_fraction();
     if draw * capacity.total < factor * capacity.warming_up {
@@ -61,8 +63,8 @@
     }
 }
 
-/// The draw for an attempt, from 0 to 1. It is a hash, so that a request that waits for an endpoint does not
-/// get another draw with each poll.
+/// Returns the number from 0 to 1 that decides on the admission of an attempt. It is a hash, so that a
+/// request that waits for an endpoint gets the same number each time its attempt is tried again.
 pub(crate) fn warm_up_draw(request: RequestId, incarnation: u32, attempt: usize) -> f64 {
     fraction(mix(mix(request.0 ^ u64::from(incarnation)).wrapping_add(attempt as u64)))
 }
--- a/crates/admission/src/policy/slow_start/warm_up_budget.rs
+++ b/crates/admission/src/policy/slow_start/warm_up_budget.rs
@@ -1,44 +1,46 @@
-//! Broadcast mode: the rate at which one gateway may send to an endpoint that is warming up.
+//! Broadcast mode: the rate at which one gateway may send attempts to an endpoint that is warming up.
 use crate::policy::slow_start::warm_fraction::WARM_UP_BUDGET_FRACTION;
 use crate::state::WarmUpBudget;
 
-/// Fraction of the rate at which a warm endpoint of the same kind is sent attempts that counts as its
+/// Fraction of the send rate of a warm endpoint of the same kind that counts as a warming endpoint's full
 /// capacity.
-const WARM_PEER_FRACTION: f64 = 0.7;
+const WARM_ENDPOINT_FRACTION: f64 = 0.7;
 
-/// Tokens that may be saved up, as a fraction of those of one overload window. At one half, no window sees
-/// more than its own tokens and these.
+/// Maximum of saved tokens, as a fraction of the tokens of one overload window. At one half, no overload
+/// window sees more than its own tokens and these.
 const SAVED_WINDOW_FRACTION: f64 = 0.5;
 
 /// Span over which the rate of attempts sent to an endpoint is smoothed, in seconds.
 pub(crate) const SEND_RATE_SPAN_S: f64 = 3.0;
 
-/// What the budget of an endpoint that is warming up goes by.
+/// What the budget of an endpoint that is warming up depends on.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct WarmUpBudgetInput {
-    /// Fraction of its full capacity that the endpoint has at least.
+    /// Lower bound of the endpoint's capacity, as a fraction of its full capacity.
     pub warm_fraction: f64,
-    /// Own attempts a second at a warm endpoint of its kind; 0 where none is known.
+    /// Rate of this gateway's attempts at a warm endpoint of the same machine kind, per second; 0 if none is
+    /// known.
     pub warm_send_rate: f64,
     /// Mean response time over the classes, in ms.
     pub mean_response_ms: f64,
-    /// Age of own attempts in flight at an endpoint that is not among the slowest, in ms.
+    /// Typical age of this gateway's attempts in flight at an endpoint, in ms.
     pub typical_age_ms: f64,
-    /// Gateways of the fleet.
+    /// Number of gateways in the fleet.
     pub gateways: usize,
-    /// Multiple of its present capacity above which a warming endpoint fails, from the settings.
+    /// Multiple of its present capacity from which a warming endpoint is overloaded, from the settings.
     pub overload_multiple: f64,
-    /// Time for which it must be sent more than that to fail, from the settings, in ms.
+    /// Time for which an overload must last for the endpoint to fail, from the settings, in ms.
     pub overload_window_ms: f64,
 }
 
-/// The budget of this gateway for an endpoint that is warming up.
+/// Returns this gateway's budget for an endpoint that is warming up.
 ///
-/// It is the larger of two rates: an even fraction of what all gateways may send, and what this gateway sends
-/// a warm endpoint of the kind. Even the sum of both would stay within a warm endpoint's capacity, because
-/// responses take longer the more it is sent. Attempts in flight show longer responses before these arrive.
+/// The budget is the larger of two rates: an even fraction of what all gateways may send, and what this
+/// gateway sends a warm endpoint of the same kind. Even the sum of both would stay within a warm endpoint's
+/// capacity, because response times grow with the load. Attempts in flight show longer response times before
+/// the responses arrive.
 pub(crate) fn warm_up_budget(input: &WarmUpBudgetInput) -> WarmUpBudget {
-    let warm_rate = WARM_PEER_FRACTION * input.warm_send_rate;
+    let warm_rate = WARM_ENDPOINT_FRACTION * input.warm_send_rate;
     let response_ms = input.mean_response_ms.max(input.typical_age_ms);
     let even_rate = 1000.0 / response_ms / input.gateways as f64;
     let window_s = SAVED_WINDOW_FRACTION * input.overload_window_ms / 1000.0;
@@ -50,11 +52,11 @@
 /// Warm-up tokens that an attempt takes.
 pub(crate) const TOKENS_PER_ATTEMPT: f64 = 1.0;
 
-/// Warm-up tokens of an endpoint, `since_update_ms` after it had `saved_tokens`.
+/// Returns an endpoint's warm-up tokens, `since_update_ms` after it had `saved_tokens`.
 ///
-/// Where less than one token may be saved up, a full token is there only for a while, at a time of this
-/// gateway's own, and then expires. Without that every gateway of the fleet would have one ready when a burst
-/// comes, and together they would overload the endpoint.
+/// If the budget lets less than one token be saved, a full token is available only for a limited time, which
+/// differs between gateways, and then expires. Otherwise every gateway of the fleet would have a token ready
+/// when a burst of requests arrives, and together they would overload the endpoint.
 pub(crate) fn available_tokens(saved_tokens: f64, since_update_ms: f64, budget: WarmUpBudget) -> f64 {
     let tokens = saved_tokens + budget.tokens_per_second * since_update_ms / 1000.0;
     if budget.max_tokens >= TOKENS_PER_ATTEMPT {
--- a/crates/admission/src/tests/endpoint_rules/selection_rules.rs
+++ b/crates/admission/src/tests/endpoint_rules/selection_rules.rs
@@ -1,4 +1,4 @@
-//! Endpoint selection: costs, conditions, the choice in broadcast mode, and the draw in a large fleet.
+//! Endpoint selection: costs, fitness, the choice in broadcast mode, and the draw in a large fleet.
 use super::is_close;
 use crate::id::{EndpointId, ZoneIndex};
 use crate::policy::response_time::KindDeviation;
@@ -13,7 +13,7 @@
 use crate::settings::{DedupGroup, Idempotency};
 
 #[test]
-fn in_broadcast_mode_load_and_response_time_make_the_cost() {
+fn broadcast_cost_grows_with_load_and_response_time() {
     let plain = BroadcastCostInput {
         in_flight: 1,
         warm_fraction: 1.0,
@@ -28,12 +28,12 @@
         ..plain
     };
     let rows = [
-        ("two attempts with the new one", plain, Some(2.0)),
+        ("two attempts including the new one", plain, Some(2.0)),
         ("attempted before", BroadcastCostInput { was_attempted: true, ..plain }, Some(8.0)),
         ("remote zone", BroadcastCostInput { is_local: false, ..plain }, Some(2.2)),
         ("slow", BroadcastCostInput { relative_response_time: 3.0, ..plain }, Some(6.0)),
-        ("warming up, tokens in plenty", warming(1.0, 5.0), Some(4.0)),
-        ("warming up, tokens are rare", warming(1.0, 0.5), Some(4.0 * 0.3)),
+        ("warming up, many tokens", warming(1.0, 5.0), Some(4.0)),
+        ("warming up, few tokens", warming(1.0, 0.5), Some(4.0 * 0.3)),
         ("warming up, no token", warming(0.99, 5.0), None),
     ];
     for (name, input, expected) in rows {
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn in_a_large_fleet_load_counts_twice_and_observations_weigh() {
+fn large_fleet_cost_grows_with_the_squared_load() {
     let usual = KindDeviation { baseline: 1.0, slowness: 1.0 };
     let plain = LargeFleetCostInput {
         in_flight: 1,
@@ -56,11 +56,11 @@
     };
     let slow = KindDeviation { baseline: 0.5, slowness: 3.0 };
     let rows = [
-        ("two attempts with the new one", plain, 4.0),
+        ("two attempts including the new one", plain, 4.0),
         ("attempted before", LargeFleetCostInput { was_attempted: true, ..plain }, 16.0),
         ("slow for its kind", LargeFleetCostInput { kind: slow, ..plain }, 4.0 * 0.5 * 9.0),
         ("unresponsive", LargeFleetCostInput { is_unresponsive: true, ..plain }, 80.0),
-        // Counts with the mean of three in flight, at half capacity and half weight.
+        // Counts with the mean of three attempts in flight, at half capacity and half weight.
         ("warming up", LargeFleetCostInput { warm_fraction: 0.5, ..plain }, 16.0 / 0.5 / 0.5),
         ("warming up, busy", LargeFleetCostInput { warm_fraction: 0.5, in_flight: 7, ..plain }, 256.0),
     ];
@@ -73,18 +73,18 @@
 }
 
 #[test]
-fn after_a_failure_one_attempt_at_a_time_is_sent() {
-    let well = BroadcastFitnessInput { is_outlier: false, consecutive_failures: 0, in_flight: 2 };
-    assert!(!is_unfit_in_broadcast_mode(&well));
-    assert!(is_unfit_in_broadcast_mode(&BroadcastFitnessInput { is_outlier: true, ..well }));
-    let failed = BroadcastFitnessInput { consecutive_failures: 1, ..well };
+fn endpoint_gets_one_attempt_at_a_time_after_a_failure() {
+    let healthy = BroadcastFitnessInput { is_outlier: false, consecutive_failures: 0, in_flight: 2 };
+    assert!(!is_unfit_in_broadcast_mode(&healthy));
+    assert!(is_unfit_in_broadcast_mode(&BroadcastFitnessInput { is_outlier: true, ..healthy }));
+    let failed = BroadcastFitnessInput { consecutive_failures: 1, ..healthy };
     assert!(is_unfit_in_broadcast_mode(&failed));
     assert!(!is_unfit_in_broadcast_mode(&BroadcastFitnessInput { in_flight: 0, ..failed }));
 }
 
 #[test]
-fn only_idempotent_requests_go_to_an_endpoint_that_left_others_without_a_response() {
-    let well = LargeFleetFitnessInput {
+fn only_idempotent_requests_fit_an_endpoint_with_missed_responses() {
+    let healthy = LargeFleetFitnessInput {
         is_outlier: false,
         is_ejected_for_request: false,
         is_unresponsive: false,
@@ -92,37 +92,37 @@
         idempotency: Idempotency::NonIdempotent,
     };
     let keyed = Idempotency::IdempotencyKey { group: DedupGroup::All, window_ms: 1000.0 };
-    let missed = LargeFleetFitnessInput { missed_responses: 1, ..well };
-    // The input, and whether the endpoint is an outlier and unresponsive for the request.
+    let missed = LargeFleetFitnessInput { missed_responses: 1, ..healthy };
+    // The input, and whether the endpoint is unfit and unresponsive for the request.
     let rows = [
-        (well, (false, false)),
-        (LargeFleetFitnessInput { is_outlier: true, ..well }, (true, false)),
-        (LargeFleetFitnessInput { is_ejected_for_request: true, ..well }, (true, false)),
-        (LargeFleetFitnessInput { is_unresponsive: true, ..well }, (false, true)),
+        (healthy, (false, false)),
+        (LargeFleetFitnessInput { is_outlier: true, ..healthy }, (true, false)),
+        (LargeFleetFitnessInput { is_ejected_for_request: true, ..healthy }, (true, false)),
+        (LargeFleetFitnessInput { is_unresponsive: true, ..healthy }, (false, true)),
         (missed, (true, true)),
         (LargeFleetFitnessInput { idempotency: keyed, ..missed }, (true, true)),
         (LargeFleetFitnessInput { idempotency: Idempotency::Idempotent, ..missed }, (false, false)),
     ];
-    for (input, (is_outlier, is_unresponsive)) in rows {
-        let expected = EndpointFitness { is_outlier, is_unresponsive };
+    for (input, (is_unfit, is_unresponsive)) in rows {
+        let expected = EndpointFitness { is_unfit, is_unresponsive };
         assert_eq!(fitness_in_large_fleet(&input), expected, "{input:?}");
     }
 }
 
 #[test]
-fn in_broadcast_mode_the_cheapest_fit_endpoint_is_chosen() {
+fn least_cost_chooses_the_cheapest_fit_endpoint() {
     let candidate = |id, cost, is_unfit| CostCandidate { endpoint: EndpointId(id), cost, is_unfit };
     let list = [candidate(1, 1.0, true), candidate(2, 2.0, false), candidate(3, 2.0, false)];
-    assert_eq!(least_cost(list.into_iter(), false), Some(EndpointId(2)), "the first of equals");
+    assert_eq!(least_cost(list.into_iter(), false), Some(EndpointId(2)), "the first of equal cost");
     assert_eq!(least_cost(list.into_iter(), true), Some(EndpointId(1)), "correlated failure");
     assert_eq!(least_cost(list[..1].iter().copied(), false), None, "none is fit");
 }
 
 #[test]
-fn attempts_stay_in_the_local_zone_as_far_as_its_capacity_goes() {
+fn local_fraction_follows_the_local_capacity() {
     let (local, remote) = (ZoneIndex(0), ZoneIndex(1));
     let rows = [
-        ("even zones", vec![(local, 2.0), (remote, 1.0), (remote, 1.0)], 0.9),
+        ("mean capacity", vec![(local, 2.0), (remote, 1.0), (remote, 1.0)], 0.9),
         ("a third of the mean", vec![(local, 1.0), (remote, 5.0)], 0.3),
         ("more than the mean", vec![(local, 5.0), (remote, 1.0)], 0.9),
         ("no capacity", vec![(local, 0.0), (remote, 1.0)], 0.05),
@@ -141,11 +141,11 @@
         zone: ZoneIndex(0),
         warm_fraction: 1.0,
         cost: 1.0,
-        fitness: EndpointFitness { is_outlier: false, is_unresponsive: false },
+        fitness: EndpointFitness { is_unfit: false, is_unresponsive: false },
     }
 }
 
-/// A draw that none of the conditions changes.
+/// A draw that admits no warming endpoint, without a correlated failure.
 const CONTEXT: DrawContext = DrawContext {
     draw: 0.0,
     local_zone: ZoneIndex(0),
@@ -153,7 +153,7 @@
     is_correlated_failure: false,
 };
 
-/// The endpoint that a draw falls on.
+/// Returns the endpoint that is drawn.
 fn drawn(candidates: &[DrawCandidate], draw: f64, context: DrawContext) -> Option<u64> {
     weighted_draw(candidates.to_vec(), &DrawContext { draw, ..context }).map(|endpoint| endpoint.0)
 }
@@ -170,30 +170,30 @@
 }
 
 #[test]
-fn a_warming_endpoint_is_drawn_only_where_the_attempt_is_admitted() {
+fn warming_endpoint_is_drawn_only_if_the_attempt_is_admitted() {
     let list = [DrawCandidate { warm_fraction: 0.5, cost: 4.0, ..candidate(1) }, candidate(2)];
     assert_eq!(drawn(&list, 0.0, CONTEXT), Some(2));
     let warm_up = WarmUpAdmission::Admitted { weight_factor: 4.0 };
     let admitted = DrawContext { warm_up, ..CONTEXT };
-    assert_eq!(drawn(&list, 0.49, admitted), Some(1), "its weight is that of the warm one");
+    assert_eq!(drawn(&list, 0.49, admitted), Some(1), "its weight equals that of the warm endpoint");
     assert_eq!(drawn(&list, 0.51, admitted), Some(2));
 }
 
 #[test]
-fn outliers_are_left_out_while_a_quarter_is_healthy() {
-    let outlier = EndpointFitness { is_outlier: true, is_unresponsive: false };
-    let unhealthy = |id| DrawCandidate { fitness: outlier, ..candidate(id) };
+fn unfit_endpoints_are_left_out_while_a_quarter_is_healthy() {
+    let unfit = EndpointFitness { is_unfit: true, is_unresponsive: false };
+    let unhealthy = |id| DrawCandidate { fitness: unfit, ..candidate(id) };
     let one_of_four = [unhealthy(1), unhealthy(2), unhealthy(3), candidate(4)];
     assert_eq!(drawn(&one_of_four, 0.0, CONTEXT), Some(4));
     let one_of_five = [unhealthy(1), unhealthy(2), unhealthy(3), unhealthy(5), candidate(4)];
-    assert_eq!(drawn(&one_of_five, 0.0, CONTEXT), Some(1), "the cause is not theirs");
+    assert_eq!(drawn(&one_of_five, 0.0, CONTEXT), Some(1), "a correlated failure among the candidates");
     let correlated = DrawContext { is_correlated_failure: true, ..CONTEXT };
     assert_eq!(drawn(&one_of_four, 0.0, correlated), Some(1));
 }
 
 #[test]
-fn endpoints_with_a_fault_give_their_zone_no_capacity() {
-    let unresponsive = EndpointFitness { is_outlier: false, is_unresponsive: true };
+fn unresponsive_endpoints_add_no_local_capacity() {
+    let unresponsive = EndpointFitness { is_unfit: false, is_unresponsive: true };
     let local = DrawCandidate { fitness: unresponsive, ..candidate(1) };
     let list = [local, DrawCandidate { zone: ZoneIndex(1), ..candidate(2) }];
     assert_eq!(drawn(&list, 0.04, CONTEXT), Some(1), "a twentieth stays in the zone");
