--- a/crates/admission/src/policy/observation/attempt_observation.rs
+++ b/crates/admission/src/policy/observation/attempt_observation.rs
@@ -1,16 +1,17 @@
-//! What the end of an own attempt shows the fleet of its endpoint, and how many observations are sent on.
+//! What the end of an attempt tells the other gateways about its endpoint, and how many observations are sent
+//! on.
 use crate::event::Outcome;
 use crate::id::{ClassIndex, PlanIndex};
 use crate::messages::observation_code::{ObservationKind, ResponseTimeCode};
 
-/// Observations in a message, at most, and retained for the next ones.
+/// Maximum number of observations in a message, and of those that are retained for the next messages.
 pub(crate) const MAX_OBSERVATIONS: usize = 3;
 
 /// Span over which the rate of observed responses is smoothed, in seconds.
 pub(crate) const OBSERVATION_SPAN_S: f64 = 3.0;
 
-/// What the end of an attempt shows of its endpoint; `None` where it shows nothing. `objective_fraction` is
-/// the time it took as a fraction of the latency objective.
+/// Returns what the end of one of this gateway's attempts shows about its endpoint, or `None` if it shows
+/// nothing. `objective_fraction` is the time that the attempt took, as a fraction of the latency objective.
 pub(crate) fn observation_of_attempt(
     outcome: Outcome,
     class: ClassIndex,
@@ -24,7 +25,7 @@
         }
         Outcome::Overloaded => Some(ObservationKind::Rejected { plan }),
         // A time-out is a failure and not a slow response: it shows a fault of this endpoint, not how slow
-        // the fleet is.
+        // the endpoints are on the whole.
         Outcome::Error | Outcome::Reset | Outcome::ConnectFailed | Outcome::TimedOut => {
             Some(ObservationKind::Failed { class })
         }
--- a/crates/admission/src/policy/outlier/attempt_failure.rs
+++ b/crates/admission/src/policy/outlier/attempt_failure.rs
@@ -1,87 +1,92 @@
-//! Whether the end of an attempt is a failure of its endpoint.
+//! Whether an endpoint is ejected after an attempt has ended.
 use crate::event::Outcome;
 use crate::policy::outlier::ejection::EJECTION;
 use crate::policy::outlier::stall::usual_response_ms;
 
-/// Weight of each error and each broken connection in an endpoint's error fraction.
+/// Weight of a new attempt in an endpoint's smoothed error fraction.
 pub(crate) const ERROR_GAIN: f64 = 0.1;
 
-/// Error fraction above which an error is a failure of the endpoint.
-const MAX_ERROR_FRACTION: f64 = 0.3;
+/// Error fraction above which an error response ejects the endpoint.
+const ERROR_EJECTION_THRESHOLD: f64 = 0.3;
 
-/// Error fraction above which a broken connection is a failure of the endpoint. It is higher because an
-/// endpoint may respond over its other connections.
-const MAX_BROKEN_FRACTION: f64 = 0.5;
+/// Error fraction above which a connection failure ejects the endpoint. It is higher than the threshold for
+/// error responses because the endpoint may still respond over its other connections.
+const CONNECTION_FAILURE_EJECTION_THRESHOLD: f64 = 0.5;
 
-/// Response times after which an abandoned attempt is a failure of the endpoint.
-const FAILED_RESPONSE_TIMES: f64 = 3.0;
+/// Multiple of the usual response time above which an attempt without a response ejects the endpoint.
+const EJECTION_RESPONSE_TIMES: f64 = 3.0;
 
-/// How long an overloaded endpoint is paused in broadcast mode, as a fraction of the first ejection.
+/// Length of the pause of an overloaded endpoint in broadcast mode, as a fraction of the first ejection.
 const OVERLOAD_PAUSE_FRACTION: f64 = 0.25;
 
-/// What the verdict on an endpoint goes by once an attempt has ended and is recorded in its health.
+/// What an attempt that has ended shows about its endpoint; the endpoint's health already includes the
+/// attempt.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct EjectionInput {
     /// How the attempt ended.
     pub outcome: Outcome,
     /// Time that the attempt took, in ms.
     pub took_ms: f64,
-    /// Fraction of own attempts at the endpoint that ended in errors or broken connections, smoothed.
+    /// Smoothed fraction of this gateway's attempts at the endpoint that ended in errors or connection
+    /// failures.
     pub error_fraction: f64,
-    /// Failures in a row, each of which led to an ejection.
+    /// Consecutive failures of the endpoint that each led to an ejection.
     pub consecutive_failures: u32,
-    /// Time since the endpoint responded to an own attempt, in ms.
+    /// Time since the endpoint last responded to an attempt of this gateway, in ms.
     pub since_response_ms: f64,
-    /// Mean response time of the class, in ms.
+    /// Mean response time of the request's class, in ms.
     pub class_response_ms: f64,
-    /// Typical age of own attempts in flight, in ms.
+    /// Typical age of attempts in flight at an endpoint, in ms.
     pub typical_age_ms: f64,
 }
 
-/// What follows for an endpoint from the end of an attempt.
+/// Whether an endpoint is ejected after an attempt has ended.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum EjectionDecision {
-    /// Nothing.
+    /// The endpoint stays as it is.
     Unchanged,
-    /// It gets no attempts for a time, before jitter. That counts as no failure.
+    /// The endpoint gets no attempts for a time. A pause does not count as a failure.
     Pause {
-        /// The time, in ms.
+        /// Length of the pause before jitter, in ms.
         duration_ms: f64,
     },
-    /// It failed, and is ejected by the back-off.
+    /// The endpoint failed and is ejected, for longer with each consecutive failure.
     Eject,
 }
 
-/// Broadcast mode: what follows for the endpoint. A long time without a response is the endpoint's own fault
-/// only where attempts elsewhere are not as old.
+/// Decides, in broadcast mode, whether the endpoint of an attempt is ejected. A long time without a response
+/// is the endpoint's own fault only if attempts at other endpoints are not as old.
 pub(crate) fn decide_ejection_in_broadcast_mode(input: &EjectionInput) -> EjectionDecision {
     match input.outcome {
         Outcome::Overloaded => {
             EjectionDecision::Pause { duration_ms: OVERLOAD_PAUSE_FRACTION * EJECTION.base_ms }
         }
         Outcome::TimedOut => eject_if(input.got_no_response() && input.took_long()),
-        _ => verdict_in_any_mode(input),
+        _ => decide_ejection_in_any_mode(input),
     }
 }
 
-/// Large fleets: what follows for the endpoint. Each gateway sends it little, so that a time-out without any
-/// response since is enough.
+/// Decides, in a large fleet, whether the endpoint of an attempt is ejected. Each gateway sends an endpoint
+/// few attempts, so a time-out is enough if the endpoint has not responded since the attempt was sent.
 pub(crate) fn decide_ejection_in_large_fleet(input: &EjectionInput) -> EjectionDecision {
     match input.outcome {
         Outcome::TimedOut => eject_if(input.got_no_response()),
-        _ => verdict_in_any_mode(input),
+        _ => decide_ejection_in_any_mode(input),
     }
 }
 
-/// What follows for the endpoint where both modes decide alike.
-fn verdict_in_any_mode(input: &EjectionInput) -> EjectionDecision {
+/// Decides about the outcomes that both modes treat alike.
+fn decide_ejection_in_any_mode(input: &EjectionInput) -> EjectionDecision {
     match input.outcome {
         Outcome::Error => {
-            eject_if(input.error_fraction > MAX_ERROR_FRACTION || input.consecutive_failures > 0)
+            eject_if(input.error_fraction > ERROR_EJECTION_THRESHOLD || input.consecutive_failures > 0)
         }
         Outcome::ConnectFailed | Outcome::Reset => {
             let silent_ms = input.class_response_ms.max(input.took_ms);
-            eject_if(input.error_fraction > MAX_BROKEN_FRACTION || input.since_response_ms > silent_ms)
+            eject_if(
+                input.error_fraction > CONNECTION_FAILURE_EJECTION_THRESHOLD
+                    || input.since_response_ms > silent_ms,
+            )
         }
         Outcome::Cancelled => eject_if(input.got_no_response() && input.took_long()),
         Outcome::Ok | Outcome::Overloaded | Outcome::TooLate | Outcome::TimedOut => {
@@ -90,7 +95,7 @@
     }
 }
 
-/// An ejection where the endpoint failed.
+/// Returns `Eject` if the endpoint has failed.
 fn eject_if(has_failed: bool) -> EjectionDecision {
     if has_failed {
         EjectionDecision::Eject
@@ -100,14 +105,14 @@
 }
 
 impl EjectionInput {
-    /// Whether the endpoint responded to no own attempt for as long as this one took.
+    /// Returns whether the endpoint has responded to none of this gateway's attempts since this one was sent.
     fn got_no_response(&self) -> bool {
         self.since_response_ms > self.took_ms
     }
 
-    /// Whether the attempt took far longer than is usual just now.
+    /// Returns whether the attempt took much longer than the response time that is usual at present.
     fn took_long(&self) -> bool {
         let usual_ms = usual_response_ms(self.class_response_ms, self.typical_age_ms);
-        self.took_ms > FAILED_RESPONSE_TIMES * usual_ms
+        self.took_ms > EJECTION_RESPONSE_TIMES * usual_ms
     }
 }
--- a/crates/admission/src/policy/outlier/correlated_failure.rs
+++ b/crates/admission/src/policy/outlier/correlated_failure.rs
@@ -1,10 +1,10 @@
-//! Whether a failure has a common cause outside the endpoints.
+//! Whether failures have a common cause outside the endpoints.
 
 /// Fraction of the endpoints that must be healthy for an outlier to be at fault itself.
 const MIN_HEALTHY_FRACTION: f64 = 0.25;
 
-/// Whether so few endpoints are healthy that the cause is not theirs. None is left out then: ejecting most of
-/// a fleet would overload the rest.
+/// Returns whether so few endpoints are healthy that the cause must lie outside them. No endpoint is then
+/// left out as an outlier, because leaving most of them out would overload the rest.
 pub(crate) fn is_correlated_failure(healthy: usize, endpoints: usize) -> bool {
     (healthy as f64) < MIN_HEALTHY_FRACTION * endpoints as f64
 }
--- a/crates/admission/src/policy/outlier/ejection.rs
+++ b/crates/admission/src/policy/outlier/ejection.rs
@@ -1,36 +1,37 @@
 //! Which endpoints are outliers, and how long an ejection lasts.
 use crate::mechanism::backoff::{jitter_factor, BackoffLimits};
 
-/// How long an endpoint is ejected after failures, in ms.
+/// Length of an ejection after failures.
 pub(crate) const EJECTION: BackoffLimits = BackoffLimits { base_ms: 400.0, max_ms: 6400.0 };
 
-/// How long an endpoint is ejected for one class or plan, in ms.
+/// Length of an ejection for one class or plan.
 pub(crate) const SCOPED_EJECTION: BackoffLimits = BackoffLimits { base_ms: 1000.0, max_ms: 6400.0 };
 
-/// Width of the range of random factors on the length of an ejection, around 1. Without it all
-/// gateways would return to an endpoint at once.
+/// Width of the range, around 1, of the random factor on the length of an ejection. Without jitter all
+/// gateways would return to an endpoint at the same time.
 const EJECTION_JITTER: f64 = 0.5;
 
 /// Stall ratio above which an endpoint is an outlier.
 const OUTLIER_STALL_RATIO: f64 = 1.0;
 
-/// What shows that an endpoint is faulty.
+/// What is known about an endpoint that may be an outlier.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct OutlierInput {
-    /// The list no longer has it, though it has attempts in flight.
+    /// The endpoint is no longer listed, but has attempts in flight.
     pub is_gone: bool,
-    /// It is ejected after failures.
+    /// The endpoint is ejected after failures or paused after an overload.
     pub is_ejected: bool,
-    /// Time without a response, in multiples of a stall.
+    /// Time without a response, as a multiple of the time that counts as a stall.
     pub stall_ratio: f64,
 }
 
-/// Whether an endpoint is an outlier, whatever the cause: a stopped process, a hung machine, a broken link.
+/// Returns whether an endpoint is an outlier, whatever the cause: a stopped process, a hung machine or a
+/// broken link.
 pub(crate) fn is_outlier(symptoms: &OutlierInput) -> bool {
     symptoms.is_gone || symptoms.is_ejected || symptoms.stall_ratio > OUTLIER_STALL_RATIO
 }
 
-/// Factor on the length of an ejection, by a draw from 0 to 1.
+/// Returns the random factor on the length of an ejection. `draw` is a random number from 0 to 1.
 pub(crate) fn ejection_jitter(draw: f64) -> f64 {
     jitter_factor(EJECTION_JITTER, draw)
 }
--- a/crates/admission/src/policy/outlier/health_evidence.rs
+++ b/crates/admission/src/policy/outlier/health_evidence.rs
@@ -1,22 +1,22 @@
-//! What the end of an attempt shows of its endpoint's health.
+//! What the end of an attempt shows about its endpoint's health.
 use crate::event::Outcome;
 
-/// What the end of an own attempt shows of its endpoint.
+/// What the end of one of this gateway's attempts shows about its endpoint's health.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum HealthEvidence {
-    /// It gave a good response: its failures in a row are over.
+    /// The endpoint gave a good response, which ends a series of consecutive failures.
     GoodResponse,
-    /// It responded with an error: it is alive, and fails.
+    /// The endpoint responded with an error: it is alive, but it fails requests.
     ErrorResponse,
-    /// It rejected the attempt: it is alive.
+    /// The endpoint rejected the attempt: it is alive.
     Rejection,
-    /// No connection, or a broken one: it fails.
+    /// No connection could be established, or the connection broke.
     ConnectionFailure,
-    /// Nothing.
+    /// The end of the attempt shows nothing about the endpoint.
     None,
 }
 
-/// What the end of an own attempt shows of its endpoint.
+/// Returns what the end of one of this gateway's attempts shows about its endpoint's health.
 pub(crate) fn health_evidence(outcome: Outcome) -> HealthEvidence {
     match outcome {
         Outcome::Ok => HealthEvidence::GoodResponse,
--- a/crates/admission/src/policy/outlier/unresponsive.rs
+++ b/crates/admission/src/policy/outlier/unresponsive.rs
@@ -1,31 +1,31 @@
-//! Large fleets: from which endpoints no gateway gets responses. A gateway there sends to an endpoint too
-//! seldom to judge it alone.
+//! Large fleets: which endpoints respond to no gateway any more. A gateway in a large fleet sends too few
+//! attempts to an endpoint to tell by itself.
 
-/// Attempts known to have got no response since the last response; fewer may be chance.
+/// Attempts without a response that must have been observed since the last response; fewer may be chance.
 const MIN_MISSED_RESPONSES: u32 = 2;
 
-/// Responses of a usual endpoint that would have been observed in the time without one.
-const UNRESPONSIVE_OBSERVATIONS: f64 = 2.5;
+/// Number of responses that an average endpoint would have given in the time without a response.
+const EXPECTED_RESPONSES: f64 = 2.5;
 
-/// Longest time without an observed response that is needed, in ms.
+/// Upper limit of the time without an observed response that makes an endpoint unresponsive, in ms.
 const MAX_UNRESPONSIVE_MS: f64 = 2000.0;
 
-/// What is observed of an endpoint, by this gateway and by those it receives messages from.
+/// What this gateway and those that it receives messages from have observed of an endpoint.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct UnresponsiveInput {
-    /// Attempts that got no response since the last response.
+    /// Attempts that failed or were slow since the endpoint's last response.
     pub missed_responses: u32,
-    /// Time since the last response, in ms.
+    /// Time since the endpoint's last response, in ms.
     pub since_response_ms: f64,
-    /// Responses of all endpoints that are observed, a second.
+    /// Rate of observed responses of all endpoints, per second.
     pub observed_responses_per_second: f64,
-    /// Endpoints of the list.
+    /// Number of endpoints in the list.
     pub endpoints: usize,
 }
 
-/// Whether the fleet, as far as is known here, gets no responses from an endpoint any more.
+/// Returns whether an endpoint responds to no gateway any more, as far as this gateway knows.
 pub(crate) fn is_unresponsive(input: &UnresponsiveInput) -> bool {
     let per_endpoint = input.observed_responses_per_second / input.endpoints.max(1) as f64;
-    let limit_ms = (1000.0 * UNRESPONSIVE_OBSERVATIONS / per_endpoint).min(MAX_UNRESPONSIVE_MS);
+    let limit_ms = (1000.0 * EXPECTED_RESPONSES / per_endpoint).min(MAX_UNRESPONSIVE_MS);
     input.missed_responses >= MIN_MISSED_RESPONSES && input.since_response_ms > limit_ms
 }
--- a/crates/admission/src/policy/response_time/mod.rs
+++ b/crates/admission/src/policy/response_time/mod.rs
@@ -1,4 +1,4 @@
-//! Response times: what is learned of them, and which endpoints are slow for their machine kind.
+//! Response times: what is learned about them, and which endpoints are slow for their machine kind.
 mod kind_deviation;
 mod response_samples;
 
--- a/crates/admission/src/policy/response_time/response_samples.rs
+++ b/crates/admission/src/policy/response_time/response_samples.rs
@@ -1,69 +1,69 @@
-//! What is learned of response times from the end of an own attempt.
+//! What the end of one of this gateway's attempts shows about response times.
 use crate::event::Outcome;
 use crate::state::{LatencyFloors, LatencyGains};
 
-/// Half-life with which a relative response time returns to what is usual, in ms, so that slow endpoints get
-/// attempts again.
+/// Half-life with which an endpoint's relative response time returns to the usual value without new samples,
+/// in ms. It returns so that slow endpoints get attempts again.
 pub(crate) const RESPONSE_TIME_HALF_LIFE_MS: f64 = 4000.0;
 
-/// Weight of an own attempt in its endpoint's relative response time.
+/// Weight of one of this gateway's attempts in its endpoint's smoothed relative response time.
 pub(crate) const OWN_RESPONSE_TIME_GAIN: f64 = 0.1;
 
-/// Weight of an observed response in its endpoint's relative response time.
+/// Weight of an observed response in its endpoint's smoothed relative response time.
 pub(crate) const OBSERVED_RESPONSE_TIME_GAIN: f64 = 0.12;
 
 /// Response time that is assumed at the start, as a fraction of the latency objective.
 pub(crate) const INITIAL_OBJECTIVE_FRACTION: f64 = 0.15;
 
-/// Weights of new samples in the learned response times of the fleet.
+/// Weights of a new sample in the smoothed response times of all endpoints.
 pub(crate) const LATENCY_GAINS: LatencyGains =
     LatencyGains { class_mean: 0.03, own_fraction: 0.05, observed_fraction: 0.02, kind_baseline: 0.02 };
 
-/// Least learned response times that divide: a fleet that answers at once must not make small differences
-/// look large.
+/// Lower limits of smoothed response times that are used as divisors. Without them small differences would
+/// look large if the endpoints respond almost at once.
 pub(crate) const LATENCY_FLOORS: LatencyFloors = LatencyFloors { objective_fraction: 0.01, response_ms: 1.0 };
 
-/// Largest sample of a class's response time in a large fleet, in mean response times, so that a few very
+/// Largest sample of a class's response time in a large fleet, as a multiple of the mean, so that a few very
 /// slow endpoints do not make all look slow.
 const MAX_RESPONSE_SAMPLE: f64 = 2.5;
 
-/// How an own attempt ended, and what its response time is compared with.
+/// How one of this gateway's attempts ended, and what its response time is compared with.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct OwnAttemptInput {
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: Outcome,
-    /// Time that it took, in ms.
+    /// Time that the attempt took, in ms.
     pub took_ms: f64,
-    /// Mean response time of its class, in ms, above 0.
+    /// Mean response time of the request's class, in ms; above 0.
     pub class_response_ms: f64,
-    /// Latency objective of its class, in ms.
+    /// Latency objective of the request's class, in ms.
     pub latency_objective_ms: f64,
-    /// Its endpoint has warmed up: responses of others say nothing of the class.
+    /// The endpoint has warmed up. Response times of endpoints that have not are no samples for the class.
     pub has_warmed_up: bool,
 }
 
 /// A sample of a response time.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum ResponseTimeSample {
-    /// The response came after this time.
+    /// The response arrived after this time.
     Measured(f64),
-    /// No response came within this time.
+    /// No response arrived within this time.
     AtLeast(f64),
 }
 
-/// What an own attempt shows of response times. Where it shows nothing of one, there is no sample.
+/// The samples of response times that an attempt gives; `None` if it shows nothing about the value.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub(crate) struct OwnAttemptSamples {
-    /// Of the endpoint's response time, relative to the mean of the class.
+    /// Sample of the endpoint's response time as a multiple of the class's mean.
     pub relative: Option<ResponseTimeSample>,
-    /// Of the class's mean response time, in ms.
+    /// Sample of the class's mean response time, in ms.
     pub class_response_ms: Option<f64>,
-    /// Of the mean response time as a fraction of the latency objective.
+    /// Sample of the mean response time as a fraction of the latency objective.
     pub objective_fraction: Option<ResponseTimeSample>,
 }
 
-/// Broadcast mode: all that is learned of response times. An overloaded endpoint counts as one that takes as
-/// long as the latency objective.
+/// Returns the samples that an attempt gives in broadcast mode. A response of an overloaded endpoint counts
+/// as one that took as long as the latency objective.
 pub(crate) fn samples_in_broadcast_mode(input: &OwnAttemptInput) -> OwnAttemptSamples {
     let relative = input.took_ms / input.class_response_ms;
     let objective_fraction = input.took_ms / input.latency_objective_ms;
@@ -90,8 +90,8 @@
     }
 }
 
-/// Large fleets: the sample of a class's mean response time, in ms. The rest is learned from what the fleet
-/// observes.
+/// Returns the sample of a class's mean response time that an attempt gives in a large fleet, in ms, or
+/// `None` if it gives none. The other response times are learned from the observations of all gateways.
 pub(crate) fn class_sample_in_large_fleet(input: &OwnAttemptInput) -> Option<f64> {
     let max_ms = MAX_RESPONSE_SAMPLE * input.class_response_ms;
     let is_typical = input.outcome == Outcome::Ok && input.has_warmed_up;
--- a/crates/admission/src/policy/retry/after_attempt.rs
+++ b/crates/admission/src/policy/retry/after_attempt.rs
@@ -1,31 +1,31 @@
-//! What follows for a request from the end of one of its attempts.
+//! What a request does after one of its attempts has ended.
 use crate::event::Outcome;
 
-/// What decides about a request once an attempt has ended.
+/// A request, one of whose attempts has ended.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct AfterAttemptInput {
     /// How the attempt ended.
     pub outcome: Outcome,
     /// The request has its final response, or its client has disconnected.
     pub is_closed: bool,
-    /// Another attempt is in flight.
+    /// Another attempt of the request is in flight.
     pub has_attempt_in_flight: bool,
 }
 
-/// What follows for the request.
+/// What a request does after one of its attempts has ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum AfterAttempt {
-    /// It is closed.
+    /// The request is closed.
     Close,
-    /// It waits for its other attempt.
+    /// The request waits for its other attempt.
     AwaitOther,
-    /// It gets a retry, where one is allowed, or else its final response.
+    /// The request is retried if a retry is allowed, and otherwise gets its final response.
     Retry,
-    /// It gets its final response.
+    /// The request gets its final response.
     Finish,
 }
 
-/// What follows for a request from the end of one of its attempts.
+/// Decides what a request does after one of its attempts has ended.
 pub(crate) fn after_attempt(input: &AfterAttemptInput) -> AfterAttempt {
     if input.outcome == Outcome::Ok || input.is_closed {
         AfterAttempt::Close
--- a/crates/admission/src/policy/retry/mod.rs
+++ b/crates/admission/src/policy/retry/mod.rs
@@ -1,5 +1,5 @@
-//! Retries: whether and where a request gets another attempt, what that costs, and when an attempt is
-//! stalled.
+//! Retries: whether a request gets another attempt, at which endpoints, what the attempt costs, and when an
+//! attempt is stalled.
 mod after_attempt;
 mod attempt_timeout;
 mod possible_run;
--- a/crates/admission/src/policy/retry/possible_run.rs
+++ b/crates/admission/src/policy/retry/possible_run.rs
@@ -1,8 +1,9 @@
-//! Whether an attempt may have run at its endpoint.
+//! Whether an endpoint may have executed an attempt.
 use crate::event::Outcome;
 
-/// Whether an endpoint may have done the work of an attempt that ended so, or may still do it. Guards
-/// requests that must not run twice: a lost connection or a time-out says nothing of what the endpoint did.
+/// Returns whether the endpoint may have executed an attempt that ended with `outcome`, or may still execute
+/// it. This protects requests that must not run twice: a lost connection or a time-out does not tell what the
+/// endpoint did.
 pub(crate) fn may_have_run(outcome: Outcome) -> bool {
     match outcome {
         Outcome::Overloaded | Outcome::ConnectFailed | Outcome::TooLate => false,
--- a/crates/admission/src/policy/retry/retry_scope.rs
+++ b/crates/admission/src/policy/retry/retry_scope.rs
@@ -1,24 +1,25 @@
-//! Where a request may have another attempt, by the idempotency of its class.
+//! At which endpoints a request may have another attempt, by the idempotency of its class.
 use crate::settings::{DedupGroup, Idempotency};
 use crate::state::{Attempt, Endpoint};
 
-/// Fraction of an idempotency key's window that is used. The window counts where the endpoints are, so that
-/// the network takes some of it.
+/// Fraction of the time for which endpoints remember an idempotency key that is used for retries. The
+/// endpoints measure this time, and network delays take some of it.
 const KEY_WINDOW_FRACTION: f64 = 0.9;
 
-/// Rounds of events that may pass before an attempt reaches the network and before its time is noticed.
+/// Rounds of events that are subtracted from that time, because they may pass before an attempt reaches the
+/// network and before the gateway notices how much time has passed.
 const KEY_WINDOW_ROUNDS: f64 = 2.0;
 
-/// What decides where a request may have another attempt.
+/// The earlier attempts of a request, and the settings that restrict where it may be retried.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct RetryScopeInput {
-    /// Time since the oldest attempt that may have run was sent, in ms; `None` where none may have run.
+    /// Time since the oldest attempt that may have run was sent, in ms; `None` if no attempt may have run.
     pub since_first_possible_run_ms: Option<f64>,
-    /// An attempt is in flight.
+    /// An attempt of the request is in flight.
     pub has_attempt_in_flight: bool,
     /// Two attempts of a request may be in flight at once, from the settings.
     pub hedging_allowed: bool,
-    /// What the class allows once an attempt may have run.
+    /// What the request's class allows after an attempt that may have run.
     pub idempotency: Idempotency,
     /// Shortest time between two rounds of events, from the settings, in ms.
     pub tick_ms: f64,
@@ -27,15 +28,17 @@
 /// The endpoints at which a request may have another attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum RetryScope {
-    /// All.
+    /// All endpoints.
     AnyEndpoint,
-    /// Those that deduplicate together with the endpoints of all earlier attempts that may have run.
+    /// Endpoints that share their memory of idempotency keys with the endpoints of all earlier attempts that
+    /// may have run.
     DedupGroup(DedupGroup),
-    /// None.
+    /// No endpoint.
     NoEndpoint,
 }
 
-/// Where a request may have another attempt. A request that never ran may go anywhere.
+/// Returns the endpoints at which a request may have another attempt. A request none of whose attempts may
+/// have run may be sent to any endpoint.
 pub(crate) fn retry_scope(input: &RetryScopeInput) -> RetryScope {
     let Some(since_first_ms) = input.since_first_possible_run_ms else { return RetryScope::AnyEndpoint };
     if !input.hedging_allowed && input.has_attempt_in_flight {
@@ -56,8 +59,8 @@
 }
 
 impl RetryScope {
-    /// Whether an endpoint is among these. `attempts_that_may_have_run` are the request's attempts that may
-    /// have run.
+    /// Returns whether an endpoint is in the scope. `attempts_that_may_have_run` are the request's earlier
+    /// attempts that may have run.
     pub(crate) fn includes<'a>(
         self,
         endpoint: &Endpoint,
--- a/crates/admission/src/policy/retry/stalled_action.rs
+++ b/crates/admission/src/policy/retry/stalled_action.rs
@@ -1,43 +1,43 @@
 //! What is done about a stalled attempt.
 //!
-//! It guards against hung machines and lost zones: their attempts fail only by the time-out, which is often
-//! too late for a retry. A stall is noticed earlier, whatever its cause.
+//! This protects against hung machines and failed zones. Without it, attempts there fail only by their
+//! time-out, which is often too late for a retry. A stall is noticed earlier, whatever its cause.
 use crate::policy::retry::retry_decision::{has_attempt_left, RETRY_COST_AFTER_POSSIBLE_RUN};
 use crate::settings::Idempotency;
 
-/// What decides about a request with a stalled attempt.
+/// A request with a stalled attempt, and what the settings and the retry budget allow.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct StalledActionInput {
     /// The request has its final response, or its client has disconnected.
     pub is_closed: bool,
-    /// Attempts that it has had.
+    /// Number of attempts of the request that were sent.
     pub attempts: usize,
-    /// Attempts that it may have at most, from the settings.
+    /// Maximum number of attempts of a request, from the settings.
     pub max_attempts: u32,
-    /// Its attempts in flight.
+    /// Number of the request's attempts in flight.
     pub in_flight: usize,
-    /// What its class allows once an attempt may have run.
+    /// What the request's class allows after an attempt that may have run.
     pub idempotency: Idempotency,
     /// Two attempts of a request may be in flight at once, from the settings.
     pub hedging_allowed: bool,
     /// Attempts may be cancelled, from the settings.
     pub cancel_allowed: bool,
-    /// Retry tokens at hand.
+    /// Retry tokens that the gateway has.
     pub retry_tokens: f64,
 }
 
 /// What is done about a stalled attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum StalledAction {
-    /// A hedged request is sent beside it, where a retry is allowed.
+    /// A hedged attempt is sent in addition to the stalled one, if a retry is allowed.
     Hedge,
-    /// It is cancelled, so that its end brings a retry.
+    /// The attempt is cancelled, so that its end leads to a retry.
     Cancel,
-    /// Nothing.
+    /// The attempt is left as it is.
     Leave,
 }
 
-/// What is done about a stalled attempt. It is cancelled only where a retry can follow.
+/// Decides what is done about a stalled attempt. The attempt is cancelled only if the request can be retried.
 pub(crate) fn stalled_action(input: &StalledActionInput) -> StalledAction {
     let has_attempt_left = has_attempt_left(input.is_closed, input.attempts, input.max_attempts);
     let is_hedged = input.in_flight > 1;
--- a/crates/admission/src/policy/retry/stalled_attempt.rs
+++ b/crates/admission/src/policy/retry/stalled_attempt.rs
@@ -1,47 +1,47 @@
-//! Large fleets: which attempts take long, and which are stalled. A gateway there sends an endpoint too
-//! little to see a stall of the endpoint, and goes by the age of single attempts.
+//! Large fleets: which attempts in flight are slow, and which are stalled. A gateway in a large fleet sends
+//! too few attempts to an endpoint to see that the endpoint stalls, so it goes by the age of each attempt.
 use crate::policy::upkeep::UPKEEP_MS;
 
-/// Mean response times after which an attempt takes long.
-const LONG_RESPONSE_TIMES: f64 = 2.5;
+/// Age from which an attempt is slow, in mean response times.
+const SLOW_RESPONSE_TIMES: f64 = 2.5;
 
-/// Least time after which an attempt takes long, in latency objectives.
-const LONG_OBJECTIVE_FRACTION: f64 = 0.25;
+/// Lower limit of the age from which an attempt is slow, in latency objectives.
+const SLOW_OBJECTIVE_FRACTION: f64 = 0.25;
 
-/// An attempt is stalled after this multiple of the time after which it takes long, where nothing else speaks
-/// against its endpoint.
+/// Multiple of the age from which an attempt is slow after which it is stalled, if its endpoint shows no
+/// fault.
 const STALLED_FACTOR: f64 = 1.6;
 
-/// What is known of an attempt in flight and of its endpoint.
+/// An attempt in flight, and what is known about its endpoint.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct PendingAttemptInput {
-    /// Time since it was sent, in ms.
+    /// Time since the attempt was sent, in ms.
     pub age_ms: f64,
-    /// Time after which attempts of its class take long, in ms.
+    /// Age from which attempts of the request's class are slow, in ms.
     pub slow_after_ms: f64,
-    /// The endpoint is ejected for the class: other attempts took long there or failed.
+    /// The endpoint is ejected for the request's class, because other attempts were slow or failed there.
     pub is_ejected_for_class: bool,
     /// The endpoint is an outlier.
     pub is_outlier: bool,
-    /// The fleet gets no responses from the endpoint.
+    /// The endpoint responds to no gateway any more.
     pub is_unresponsive: bool,
 }
 
-/// The time after which an attempt takes long, by the mean response time and the latency objective of its
-/// class.
+/// Returns the age from which an attempt is slow, in ms, by the mean response time and the latency objective
+/// of its class.
 pub(crate) fn slow_after_ms(class_response_ms: f64, latency_objective_ms: f64) -> f64 {
-    let by_mean_ms = class_response_ms * LONG_RESPONSE_TIMES;
-    by_mean_ms.max(LONG_OBJECTIVE_FRACTION * latency_objective_ms)
+    let by_mean_ms = class_response_ms * SLOW_RESPONSE_TIMES;
+    by_mean_ms.max(SLOW_OBJECTIVE_FRACTION * latency_objective_ms)
 }
 
-/// Whether an attempt has begun to take long since the last round of upkeep.
+/// Returns whether an attempt has become slow since the last round of upkeep.
 pub(crate) fn has_become_slow(age_ms: f64, slow_after_ms: f64) -> bool {
     age_ms > slow_after_ms && age_ms < slow_after_ms + UPKEEP_MS
 }
 
-/// Whether an attempt is stalled: whatever its age where its endpoint is an outlier or unresponsive, once it
-/// takes long where the endpoint is ejected for the class, and otherwise after `STALLED_FACTOR` times as
-/// long.
+/// Returns whether an attempt is stalled: at any age if its endpoint is an outlier or unresponsive, from the
+/// age at which it is slow if the endpoint is ejected for the class, and otherwise from `STALLED_FACTOR`
+/// times that age.
 pub(crate) fn is_stalled(input: &PendingAttemptInput) -> bool {
     let factor = if input.is_ejected_for_class { 1.0 } else { STALLED_FACTOR };
     let limit_ms = input.slow_after_ms * factor;
