--- a/crates/admission/src/state/endpoint/endpoint_record.rs
+++ b/crates/admission/src/state/endpoint/endpoint_record.rs
@@ -1,49 +1,49 @@
-//! One endpoint of the list, and what is known of it.
+//! An endpoint of the list, and what is known about it.
 use crate::event::{EndpointEntry, EndpointState};
 use crate::id::{EndpointId, MachineKindIndex, ZoneIndex};
 use crate::mechanism::decaying_rate::DecayingRate;
 use crate::state::{AttemptRef, EndpointHealth, ObservedHealth, RelativeResponseTime, WarmUpTokens};
 
-/// One of this gateway's own attempts at an endpoint that has not ended.
+/// One of this gateway's attempts in flight at an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct InFlightAttempt {
-    /// When it was sent, in ms.
+    /// When the attempt was sent, in ms.
     pub(crate) sent_ms: f64,
-    /// Its name.
+    /// Identifies the attempt.
     pub(crate) reference: AttemptRef,
 }
 
-/// How an endpoint's figures are smoothed.
+/// The times over which an endpoint's response time and send rate are smoothed.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct EndpointSmoothing {
-    /// Half-life with which a relative response time returns to what is usual, in ms.
+    /// Half-life with which the relative response time returns to the usual value without new samples, in ms.
     pub(crate) response_time_half_life_ms: f64,
     /// Span over which the rate of attempts sent is smoothed, in seconds.
     pub(crate) send_rate_span_s: f64,
 }
 
-/// One endpoint of the list, and what is known of it.
+/// An endpoint of the list, and what is known about it.
 #[derive(Debug)]
 pub(crate) struct Endpoint {
-    /// As the list has it.
+    /// The endpoint's entry in the list.
     entry: EndpointEntry,
-    /// This gateway's own attempts that have not ended.
+    /// This gateway's attempts in flight at the endpoint.
     in_flight: Vec<InFlightAttempt>,
-    /// Own attempts sent a second.
+    /// Rate of attempts that this gateway sends to the endpoint, per second.
     send_rate: DecayingRate,
     smoothing: EndpointSmoothing,
-    /// Tokens for own attempts while it is warming up.
+    /// Tokens for this gateway's attempts while the endpoint is warming up.
     pub(crate) warm_up_tokens: WarmUpTokens,
-    /// Health as own attempts show it.
+    /// The endpoint's health, as this gateway's own attempts show it.
     pub(crate) health: EndpointHealth,
-    /// Health as the gateways of a large fleet observe it; unused in broadcast mode.
+    /// The endpoint's health, as the gateways of a large fleet observe it; unused in broadcast mode.
     pub(crate) observed_health: ObservedHealth,
-    /// Response time over what is usual.
+    /// The endpoint's response time as a multiple of the mean.
     pub(crate) response_time: RelativeResponseTime,
 }
 
 impl Endpoint {
-    /// An endpoint newly listed, with `warm_up_tokens` to start with.
+    /// Creates the record of a newly listed endpoint, which starts with `warm_up_tokens`.
     pub(crate) fn new(
         entry: EndpointEntry,
         now_ms: f64,
@@ -62,8 +62,8 @@
         }
     }
 
-    /// Applies a new entry of the list. A process that has restarted gets a new record; only the attempts in
-    /// flight, which were sent to the process before it, stay.
+    /// Applies a new entry of the list. If the endpoint's process has restarted, the record is replaced by a
+    /// new one, and only the attempts in flight, which were sent to the earlier process, are kept.
     pub(crate) fn update(&mut self, entry: EndpointEntry, now_ms: f64, warm_up_tokens: f64) {
         let has_restarted = entry.started_at_ms != self.entry.started_at_ms && entry.started_at_ms.is_some();
         if has_restarted {
@@ -74,48 +74,48 @@
         self.entry = EndpointEntry { started_at_ms: self.entry.started_at_ms, ..entry };
     }
 
-    /// Marks it as no longer listed.
+    /// Marks the endpoint as no longer listed.
     pub(crate) fn mark_gone(&mut self) {
         self.entry.state = EndpointState::Gone;
     }
 
-    /// Its id.
+    /// Returns the endpoint's id.
     pub(crate) fn id(&self) -> EndpointId {
         self.entry.id
     }
 
-    /// Its zone, as an index.
+    /// Returns the endpoint's zone.
     pub(crate) fn zone(&self) -> ZoneIndex {
         self.entry.zone
     }
 
-    /// Its machine kind, as an index.
+    /// Returns the endpoint's machine kind.
     pub(crate) fn kind(&self) -> MachineKindIndex {
         self.entry.kind
     }
 
-    /// Its cell.
+    /// Returns the endpoint's cell.
     pub(crate) fn cell(&self) -> u64 {
         self.entry.cell
     }
 
-    /// Whether the list permits new attempts at it.
+    /// Returns whether the list permits new attempts at the endpoint.
     pub(crate) fn is_ready(&self) -> bool {
         self.entry.state == EndpointState::Ready
     }
 
-    /// Whether it is no longer listed.
+    /// Returns whether the endpoint is no longer listed.
     pub(crate) fn is_gone(&self) -> bool {
         self.entry.state == EndpointState::Gone
     }
 
-    /// Time since its process started, in ms; `None` where that was long ago.
+    /// Returns the time since the endpoint's process started, in ms, or `None` if it started long ago.
     pub(crate) fn age_ms(&self, now_ms: f64) -> Option<f64> {
         self.entry.started_at_ms.map(|started_ms| now_ms - started_ms)
     }
 }
 
-/// This gateway's own attempts.
+/// This gateway's attempts at the endpoint.
 impl Endpoint {
     /// Records that an attempt was sent.
     pub(crate) fn record_sent(&mut self, attempt: InFlightAttempt) {
@@ -123,28 +123,28 @@
         self.in_flight.push(attempt);
     }
 
-    /// Removes an ended attempt from those in flight.
+    /// Removes an attempt that has ended from those in flight.
     pub(crate) fn remove_in_flight(&mut self, ended: AttemptRef) {
         self.in_flight.retain(|attempt| attempt.reference != ended);
     }
 
-    /// Own attempts that have not ended.
+    /// Returns this gateway's attempts in flight at the endpoint.
     pub(crate) fn in_flight(&self) -> &[InFlightAttempt] {
         &self.in_flight
     }
 
-    /// When the oldest own attempt in flight was sent, in ms; `None` where there is none.
+    /// Returns when the oldest attempt in flight was sent, in ms, or `None` if none is in flight.
     pub(crate) fn oldest_sent_ms(&self) -> Option<f64> {
         self.in_flight.iter().map(|a| a.sent_ms).reduce(f64::min)
     }
 
-    /// Mean age of own attempts in flight, in ms; `None` where there are none.
+    /// Returns the mean age of the attempts in flight, in ms, or `None` if none is in flight.
     pub(crate) fn mean_in_flight_age_ms(&self, now_ms: f64) -> Option<f64> {
         let count = Some(self.in_flight.len()).filter(|n| *n > 0)?;
         Some(self.in_flight.iter().map(|a| now_ms - a.sent_ms).sum::<f64>() / count as f64)
     }
 
-    /// Own attempts sent a second.
+    /// Returns the rate of attempts that this gateway sends to the endpoint, per second.
     pub(crate) fn send_rate(&self, now_ms: f64) -> f64 {
         self.send_rate.now(now_ms, self.smoothing.send_rate_span_s)
     }
--- a/crates/admission/src/state/endpoint/endpoint_table.rs
+++ b/crates/admission/src/state/endpoint/endpoint_table.rs
@@ -5,25 +5,25 @@
 use crate::state::{Endpoint, EndpointSmoothing};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The endpoints of the list, and those no longer listed that still have own attempts in flight.
+/// The endpoints of the list, and those no longer listed at which this gateway still has attempts in flight.
 #[derive(Debug, Default)]
 pub(crate) struct EndpointTable {
     by_id: BTreeMap<EndpointId, Endpoint>,
-    /// The ids of the endpoints by the tag that names them in messages.
+    /// The id of each endpoint, by the tag that stands for it in messages.
     id_by_tag: BTreeMap<u32, EndpointId>,
-    /// The list is too old to send by.
+    /// The list is too old to be used.
     list_expired: bool,
     smoothing: EndpointSmoothing,
 }
 
 impl EndpointTable {
-    /// A table without endpoints.
+    /// Creates a table without endpoints.
     pub(crate) fn new(smoothing: EndpointSmoothing) -> Self {
         EndpointTable { smoothing, ..EndpointTable::default() }
     }
 
     /// Applies an update of the list. An endpoint starts to warm up with a random fraction of a token.
-    /// Without that all gateways would send it their first attempt at the same time.
+    /// Otherwise all gateways would send it their first attempt at the same time.
     pub(crate) fn apply_list(
         &mut self,
         kind: ListKind,
@@ -51,12 +51,12 @@
         self.id_by_tag = self.by_id.keys().map(|id| (short_tag(id.0), *id)).collect();
     }
 
-    /// Marks the list as too old to send by, until the next update of it. Its endpoints stay.
+    /// Marks the list as too old to be used, until its next update. The endpoints are kept.
     pub(crate) fn expire_list(&mut self) {
         self.list_expired = true;
     }
 
-    /// Marks the endpoints that a complete list does not name as no longer listed.
+    /// Marks the endpoints that are not in a complete list as no longer listed.
     fn mark_unlisted_gone(&mut self, entries: &[EndpointEntry]) {
         let listed: BTreeSet<EndpointId> = entries.iter().map(|entry| entry.id).collect();
         for (id, endpoint) in &mut self.by_id {
@@ -66,47 +66,48 @@
         }
     }
 
-    /// Whether the list is too old to send by.
+    /// Returns whether the list is too old to be used.
     fn is_list_expired(&self) -> bool {
         self.list_expired
     }
 
-    /// How many endpoints there are.
+    /// Returns the number of endpoints.
     pub(crate) fn len(&self) -> usize {
         self.by_id.len()
     }
 
-    /// All endpoints, in the order of their ids.
+    /// Returns all endpoints, in the order of their ids.
     pub(crate) fn iter(&self) -> impl Iterator<Item = &Endpoint> {
         self.by_id.values()
     }
 
-    /// The ready endpoints while the list has not expired.
+    /// Returns the endpoints that new attempts may be sent to: those that are ready, or none if the list has
+    /// expired.
     pub(crate) fn sendable(&self) -> impl Iterator<Item = &Endpoint> {
         self.ready().filter(|_| !self.is_list_expired())
     }
 
-    /// The endpoints at which the list permits new attempts.
+    /// Returns the endpoints at which the list permits new attempts.
     pub(crate) fn ready(&self) -> impl Iterator<Item = &Endpoint> {
         self.iter().filter(|endpoint| endpoint.is_ready())
     }
 
-    /// An endpoint by its id.
+    /// Returns the endpoint with the given id.
     pub(crate) fn get(&self, id: EndpointId) -> Option<&Endpoint> {
         self.by_id.get(&id)
     }
 
-    /// An endpoint by its id.
+    /// Returns the endpoint with the given id, for modification.
     pub(crate) fn get_mut(&mut self, id: EndpointId) -> Option<&mut Endpoint> {
         self.by_id.get_mut(&id)
     }
 
-    /// An endpoint by the tag that names it in messages.
+    /// Returns the endpoint with the given tag, for modification.
     pub(crate) fn get_by_tag_mut(&mut self, tag: u32) -> Option<&mut Endpoint> {
         self.by_id.get_mut(self.id_by_tag.get(&tag)?)
     }
 
-    /// Removes an endpoint that is no longer listed once it has no own attempt in flight.
+    /// Removes an endpoint if it is no longer listed and has no attempt of this gateway in flight.
     pub(crate) fn remove_if_finished(&mut self, id: EndpointId) {
         if self.get(id).is_some_and(|endpoint| endpoint.is_gone() && endpoint.in_flight().is_empty()) {
             self.by_id.remove(&id);
--- a/crates/admission/src/state/endpoint/latency_model.rs
+++ b/crates/admission/src/state/endpoint/latency_model.rs
@@ -1,50 +1,50 @@
-//! Learned response times.
+//! Learned response times of all endpoints together.
 use crate::id::{ClassIndex, MachineKindIndex};
 use crate::mechanism::common_value::{CommonValue, VoteLimits};
 use crate::mechanism::smoothing::smooth;
 use std::collections::BTreeMap;
 
-/// Weights of a new sample in the learned response times.
+/// Weights of a new sample in the smoothed response times.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct LatencyGains {
-    /// In the mean response time of its class.
+    /// Weight in the mean response time of the sample's class.
     pub(crate) class_mean: f64,
-    /// In the objective fraction, where the sample is an own attempt.
+    /// Weight in the objective fraction, if the sample comes from an attempt of this gateway.
     pub(crate) own_fraction: f64,
-    /// In the objective fraction, where some gateway observed it.
+    /// Weight in the objective fraction, if the sample was observed by any gateway of the fleet.
     pub(crate) observed_fraction: f64,
-    /// In the usual relative response time of a machine kind.
+    /// Weight in the usual relative response time of a machine kind.
     pub(crate) kind_baseline: f64,
 }
 
-/// Least learned response times that divide.
+/// Lower limits of smoothed response times that are used as divisors.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct LatencyFloors {
-    /// The smoothed response time as a fraction of the latency objective.
+    /// Lower limit of the smoothed response time as a fraction of the latency objective.
     pub(crate) objective_fraction: f64,
-    /// The smoothed response time of a class, in ms.
+    /// Lower limit of the smoothed response time of a class, in ms.
     pub(crate) response_ms: f64,
 }
 
-/// Learned response times of the fleet's endpoints.
+/// Learned response times of all endpoints together, by class and by machine kind.
 #[derive(Debug, Default)]
 pub(crate) struct LatencyModel {
     gains: LatencyGains,
     floors: LatencyFloors,
-    /// Smoothed response time as a fraction of the latency objective.
+    /// Smoothed response time of all classes, as a fraction of the latency objective.
     objective_fraction: f64,
     /// Smoothed response time of each class, in ms.
     mean_by_class_ms: Vec<f64>,
-    /// The commonest time budget of each class: the time that clients wait.
+    /// The most common time budget of each class, that is, how long its clients wait.
     time_budgets: Vec<CommonValue>,
-    /// Age of own attempts in flight at an endpoint that is not among the slowest, in ms.
+    /// Typical age of attempts in flight at an endpoint, in ms.
     typical_age_ms: f64,
     /// Usual relative response time of each machine kind.
     baseline_by_kind: BTreeMap<MachineKindIndex, f64>,
 }
 
 impl LatencyModel {
-    /// A model that assumes each class to respond within `objective_fraction` of its latency objective.
+    /// Creates a model in which each class responds within `objective_fraction` of its latency objective.
     pub(crate) fn new(
         objectives_ms: impl Iterator<Item = f64>,
         objective_fraction: f64,
@@ -63,43 +63,45 @@
         }
     }
 
-    /// Smoothed response time of all classes as a fraction of their latency objectives.
+    /// Returns the smoothed response time of all classes, as a fraction of their latency objectives.
     pub(crate) fn objective_fraction(&self) -> f64 {
         self.objective_fraction
     }
 
-    /// A response time over the smoothed one, both as fractions of the latency objective.
+    /// Returns a response time as a multiple of the smoothed one, both as fractions of the latency objective.
     pub(crate) fn relative_to_mean(&self, objective_fraction: f64) -> f64 {
         objective_fraction / self.objective_fraction.max(self.floors.objective_fraction)
     }
 
-    /// Records the response time of an own attempt, as a fraction of its latency objective.
+    /// Records the response time of one of this gateway's attempts, as a fraction of its latency objective.
     pub(crate) fn record_own_fraction(&mut self, sample: f64) {
         smooth(&mut self.objective_fraction, sample, self.gains.own_fraction);
     }
 
-    /// Records a response time that can only be too low, as a fraction of its latency objective. One below
-    /// the smoothed one leaves it as it is.
+    /// Records a lower bound of a response time, as a fraction of its latency objective. A bound below the
+    /// smoothed response time does not change it.
     pub(crate) fn record_own_fraction_at_least(&mut self, sample: f64) {
         self.record_own_fraction(sample.max(self.objective_fraction));
     }
 
-    /// Records a response time that some gateway observed, as a fraction of its latency objective.
+    /// Records a response time that any gateway of the fleet observed, as a fraction of its latency
+    /// objective.
     pub(crate) fn record_observed_fraction(&mut self, sample: f64) {
         smooth(&mut self.objective_fraction, sample, self.gains.observed_fraction);
     }
 
-    /// Smoothed response time of a class, in ms.
+    /// Returns the smoothed response time of a class, in ms.
     pub(crate) fn response_ms(&self, class: ClassIndex) -> f64 {
         self.mean_by_class_ms[class.0]
     }
 
-    /// Smoothed response time of a class, in ms, as a divisor: its floor at least.
+    /// Returns the smoothed response time of a class, in ms, or its lower limit if that is larger. It is used
+    /// as a divisor.
     pub(crate) fn floored_response_ms(&self, class: ClassIndex) -> f64 {
         self.response_ms(class).max(self.floors.response_ms)
     }
 
-    /// Mean of the classes' response times, in ms.
+    /// Returns the mean of the classes' smoothed response times, in ms.
     pub(crate) fn mean_response_ms(&self) -> f64 {
         self.mean_by_class_ms.iter().sum::<f64>() / self.mean_by_class_ms.len() as f64
     }
@@ -109,8 +111,8 @@
         smooth(&mut self.mean_by_class_ms[class.0], sample_ms, self.gains.class_mean);
     }
 
-    /// Records the time that a client of a class allows. Returns the votes for the most common such time, or
-    /// `None` where the time is the most common one itself.
+    /// Records the time budget of a request. Returns the votes for the most common time budget of its class,
+    /// or `None` if the request's time budget equals the most common one.
     pub(crate) fn record_time_budget(
         &mut self,
         class: ClassIndex,
@@ -122,17 +124,18 @@
         (!is_common).then_some(common.votes())
     }
 
-    /// Age of own attempts in flight at an endpoint that is not among the slowest, in ms.
+    /// Returns the typical age of attempts in flight at an endpoint, in ms. In broadcast mode it is a
+    /// percentile over the endpoints, in a large fleet an estimate from the means over the gateways.
     pub(crate) fn typical_age_ms(&self) -> f64 {
         self.typical_age_ms
     }
 
-    /// Sets the typical age of attempts in flight.
+    /// Sets the typical age of attempts in flight, in ms.
     pub(crate) fn set_typical_age_ms(&mut self, age_ms: f64) {
         self.typical_age_ms = age_ms;
     }
 
-    /// Usual relative response time of a machine kind; 1 while nothing is known.
+    /// Returns the usual relative response time of a machine kind, or 1 while nothing is known.
     pub(crate) fn kind_baseline(&self, kind: MachineKindIndex) -> f64 {
         self.baseline_by_kind.get(&kind).copied().unwrap_or(1.0)
     }
--- a/crates/admission/src/state/endpoint/mod.rs
+++ b/crates/admission/src/state/endpoint/mod.rs
@@ -1,4 +1,4 @@
-//! Endpoints: what the list says of them, their health, their response times and their warm-up.
+//! Endpoints: their list entries, health, response times and warm-up tokens.
 mod endpoint_health;
 mod endpoint_record;
 mod endpoint_table;
--- a/crates/admission/src/state/endpoint/observed_health.rs
+++ b/crates/admission/src/state/endpoint/observed_health.rs
@@ -1,4 +1,4 @@
-//! An endpoint's health as the gateways of a large fleet observe it.
+//! An endpoint's health, as the gateways of a large fleet observe it.
 use crate::id::{ClassIndex, PlanIndex};
 use crate::mechanism::backoff::{Backoff, BackoffLimits};
 use crate::mechanism::smoothing::smooth;
@@ -7,27 +7,27 @@
 /// The requests that an ejection applies to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum EjectionScope {
-    /// Requests of one class, an index into the settings.
+    /// Requests of one class.
     Class(ClassIndex),
-    /// Requests of one plan, an index into the settings.
+    /// Requests of one plan.
     Plan(PlanIndex),
 }
 
-/// An endpoint's health as the gateways of a large fleet observe it.
+/// An endpoint's health, as the gateways of a large fleet observe it.
 #[derive(Debug)]
 pub(crate) struct ObservedHealth {
-    /// When some gateway last observed a response, in ms.
+    /// When any gateway last observed a response, in ms.
     last_response_ms: f64,
-    /// Attempts observed since the last response that failed or took long.
+    /// Attempts observed since the last response that failed or were slow.
     missed_responses: u32,
-    /// Fraction of the requests of each class that failed, smoothed.
+    /// Smoothed fraction of the requests of each class that failed.
     class_failure_fraction: BTreeMap<ClassIndex, f64>,
-    /// For how long the endpoint is ejected for requests of one class or plan.
+    /// Back-offs during which the endpoint is ejected for requests of one class or plan.
     scoped_ejections: BTreeMap<EjectionScope, Backoff>,
 }
 
 impl ObservedHealth {
-    /// A healthy endpoint, taken to have responded at `now_ms`.
+    /// Creates the health of a new endpoint, which counts as having responded at `now_ms`.
     pub(crate) fn new(now_ms: f64) -> Self {
         ObservedHealth {
             last_response_ms: now_ms,
@@ -37,15 +37,16 @@
         }
     }
 
-    /// Records a response to a request of a class; it has the weight `gain` in the failed fraction.
+    /// Records a response to a request of a class, with the weight `gain` in the class's fraction of failed
+    /// requests.
     pub(crate) fn record_response(&mut self, class: ClassIndex, now_ms: f64, gain: f64) {
         self.last_response_ms = now_ms;
         self.missed_responses = 0;
         smooth(self.class_failure_fraction.entry(class).or_insert(0.0), 0.0, gain);
     }
 
-    /// Records that a request of a class failed or got no response, and gives the failed fraction of the
-    /// class.
+    /// Records that a request of a class failed or got no response, and returns the class's smoothed fraction
+    /// of failed requests.
     pub(crate) fn record_failure(&mut self, class: ClassIndex, gain: f64) -> f64 {
         self.missed_responses += 1;
         let fraction = self.class_failure_fraction.entry(class).or_insert(0.0);
@@ -53,42 +54,42 @@
         *fraction
     }
 
-    /// Attempts observed since the last response that failed or took long.
+    /// Returns the number of attempts observed since the last response that failed or were slow.
     pub(crate) fn missed_responses(&self) -> u32 {
         self.missed_responses
     }
 
-    /// Time since a response was last observed, in ms.
+    /// Returns the time since a response was last observed, in ms.
     pub(crate) fn since_response_ms(&self, now_ms: f64) -> f64 {
         now_ms - self.last_response_ms
     }
 
-    /// Ejects the endpoint for requests of a class or plan, the longer the more failures came before.
+    /// Ejects the endpoint for requests of a class or plan, for longer with each consecutive failure.
     pub(crate) fn eject(&mut self, scope: EjectionScope, now_ms: f64, limits: BackoffLimits, jitter: f64) {
         self.scoped_ejections.entry(scope).or_default().record_failure(now_ms, limits, jitter);
     }
 
-    /// Whether the endpoint is ejected for requests of a class or plan.
+    /// Returns whether the endpoint is ejected for requests of a class or plan.
     pub(crate) fn is_ejected(&self, scope: EjectionScope, now_ms: f64) -> bool {
         self.scoped_ejections.get(&scope).is_some_and(|ejection| ejection.is_active(now_ms))
     }
 
-    /// Whether the endpoint is ejected for a request of this class and plan.
+    /// Returns whether the endpoint is ejected for a request of this class and plan.
     pub(crate) fn is_ejected_for(&self, class: ClassIndex, plan: PlanIndex, now_ms: f64) -> bool {
         self.is_ejected(EjectionScope::Class(class), now_ms)
             || self.is_ejected(EjectionScope::Plan(plan), now_ms)
     }
 
-    /// Whether the endpoint is ejected for requests of any class.
+    /// Returns whether the endpoint is ejected for requests of at least one class.
     pub(crate) fn is_any_class_ejected(&self, now_ms: f64) -> bool {
         self.scoped_ejections
             .iter()
             .any(|(scope, ejection)| matches!(scope, EjectionScope::Class(_)) && ejection.is_active(now_ms))
     }
 
-    /// Records a good response to an own attempt: it ends an ejection for the class at once. For the plan it
-    /// only shortens the next ejection, because an endpoint that rejects a plan above a rate still accepts
-    /// some of it.
+    /// Records a good response to an attempt of this gateway, which ends an ejection for the class at once.
+    /// For the plan it only shortens the next ejection, because an endpoint that rejects a plan's requests
+    /// above some rate still accepts those below it.
     pub(crate) fn record_own_success(&mut self, class: ClassIndex, plan: PlanIndex) {
         self.scoped_ejections.remove(&EjectionScope::Class(class));
         if let Some(ejection) = self.scoped_ejections.get_mut(&EjectionScope::Plan(plan)) {
--- a/crates/admission/src/state/endpoint/outlier_detection_state.rs
+++ b/crates/admission/src/state/endpoint/outlier_detection_state.rs
@@ -1,17 +1,17 @@
-//! What is known of failures beyond single endpoints.
+//! The state of outlier detection that concerns all endpoints together.
 use crate::mechanism::decaying_rate::DecayingRate;
 
-/// What is known of failures beyond single endpoints.
+/// The state of outlier detection that concerns all endpoints together.
 #[derive(Debug, Default)]
 pub(crate) struct OutlierDetectionState {
     /// Most endpoints look like outliers.
     correlated_failure: bool,
-    /// Responses of endpoints a second that the fleet observes, as far as this gateway is notified.
+    /// Rate of responses that this gateway and those it receives messages from observe, per second.
     response_rate: DecayingRate,
 }
 
 impl OutlierDetectionState {
-    /// Whether most endpoints look like outliers, so that the cause is not theirs.
+    /// Returns whether most endpoints look like outliers, so that the cause must lie outside them.
     pub(crate) fn is_correlated_failure(&self) -> bool {
         self.correlated_failure
     }
@@ -21,12 +21,12 @@
         self.correlated_failure = correlated;
     }
 
-    /// Counts a response that some gateway observed; the rate is smoothed over `span_s` seconds.
+    /// Counts a response that any gateway observed. The rate is smoothed over `span_s` seconds.
     pub(crate) fn record_observed_response(&mut self, now_ms: f64, span_s: f64) {
         self.response_rate.add(1.0, now_ms, span_s);
     }
 
-    /// Responses a second that the fleet observes.
+    /// Returns the rate of observed responses, per second.
     pub(crate) fn observed_responses_per_second(&self, now_ms: f64, span_s: f64) -> f64 {
         self.response_rate.now(now_ms, span_s)
     }
--- a/crates/admission/src/state/endpoint/recent_observations.rs
+++ b/crates/admission/src/state/endpoint/recent_observations.rs
@@ -1,15 +1,15 @@
-//! Own observations of endpoints, to be sent with the next messages.
+//! This gateway's latest observations of endpoints, which its next messages carry.
 use crate::messages::observation_code::Observation;
 use std::collections::VecDeque;
 
-/// The latest own observations, oldest first.
+/// This gateway's latest observations of endpoints, oldest first.
 #[derive(Debug, Default)]
 pub(crate) struct RecentObservations {
     latest: VecDeque<Observation>,
 }
 
 impl RecentObservations {
-    /// Adds an observation, unless it is the same as the last, and drops the oldest beyond the limit.
+    /// Adds an observation unless it equals the last one, and drops the oldest ones above `limit`.
     pub(crate) fn push(&mut self, observation: Observation, limit: usize) {
         if self.latest.back() != Some(&observation) {
             self.latest.push_back(observation);
@@ -19,7 +19,7 @@
         }
     }
 
-    /// The observations, oldest first.
+    /// Returns the observations, oldest first.
     pub(crate) fn to_vec(&self) -> Vec<Observation> {
         self.latest.iter().copied().collect()
     }
