--- a/crates/admission/src/tests/endpoint_rules/mod.rs
+++ b/crates/admission/src/tests/endpoint_rules/mod.rs
@@ -1,4 +1,4 @@
-//! Rules on endpoints: selection, ejection, slow start, and retries.
+//! Tests of the rules on endpoints: selection, ejection, slow start, retries, and customer usage.
 mod customer_usage_rules;
 mod outlier_rules;
 mod response_time_rules;
--- a/crates/admission/src/tests/endpoint_rules/outlier_rules.rs
+++ b/crates/admission/src/tests/endpoint_rules/outlier_rules.rs
@@ -1,4 +1,4 @@
-//! Outlier detection: stalls, unresponsive endpoints, and what the end of an attempt means for its endpoint.
+//! Outlier detection: stalls, unresponsive endpoints, and which attempts eject their endpoint.
 use super::is_close;
 use crate::event::Outcome;
 use crate::id::ClassIndex;
@@ -11,7 +11,7 @@
 use crate::state::{EndpointHealth, ObservedHealth};
 
 #[test]
-fn an_endpoint_is_an_outlier_by_any_symptom() {
+fn any_symptom_makes_an_endpoint_an_outlier() {
     let healthy = OutlierInput { is_gone: false, is_ejected: false, stall_ratio: 1.0 };
     assert!(!is_outlier(&healthy));
     assert!(is_outlier(&OutlierInput { is_gone: true, ..healthy }));
@@ -20,8 +20,9 @@
 }
 
 #[test]
-fn silence_is_measured_in_stalls() {
-    // Five attempts in flight, the oldest sent 500 ms ago, 100 ms are usual: a stall is 250 ms.
+fn stall_ratio_is_in_multiples_of_a_stall() {
+    // Five attempts in flight, the oldest sent 500 ms ago; the usual response time is 100 ms, so a stall is
+    // 250 ms.
     let busy = StallInput {
         now_ms: 1000.0,
         oldest_sent_ms: 500.0,
@@ -46,10 +47,10 @@
 }
 
 #[test]
-fn the_usual_response_time_follows_old_attempts_in_flight() {
+fn usual_response_time_rises_with_old_attempts_in_flight() {
     assert!(is_close(usual_response_ms(100.0, 50.0), 100.0));
     assert!(is_close(usual_response_ms(100.0, 200.0), 300.0));
-    // Of five endpoints the third youngest is typical; an idle one counts as half of 100 ms.
+    // Of five ages the third lowest is typical; an endpoint without attempts counts with half of 100 ms.
     let ages = [Some(900.0), Some(10.0), None, Some(70.0), Some(800.0)];
     assert!(is_close(typical_age_ms(ages.into_iter(), 100.0), 70.0));
     assert!(is_close(typical_age_ms([None].into_iter(), 100.0), 50.0));
@@ -57,8 +58,8 @@
 }
 
 #[test]
-fn an_endpoint_is_unresponsive_after_two_missed_responses_and_enough_time() {
-    // 20 responses a second of 10 endpoints: 2.5 responses of one take 1250 ms.
+fn endpoint_is_unresponsive_after_missed_responses_and_time() {
+    // 20 responses per second from 10 endpoints: 2.5 responses from one endpoint take 1250 ms.
     let silent = UnresponsiveInput {
         missed_responses: 2,
         since_response_ms: 1251.0,
@@ -71,7 +72,7 @@
         ("too early", UnresponsiveInput { since_response_ms: 1249.0, ..silent }, false),
         ("few observations", UnresponsiveInput { observed_responses_per_second: 2.0, ..silent }, false),
         (
-            "few observations, 2 s",
+            "no observations, 2 s",
             UnresponsiveInput {
                 observed_responses_per_second: 0.0,
                 since_response_ms: 2001.0,
@@ -94,12 +95,12 @@
 }
 
 #[test]
-fn a_class_is_ejected_above_half_failed_and_for_a_time_within_a_quarter_of_its_length() {
+fn class_is_ejected_above_half_failed_with_jitter_of_a_quarter() {
     assert!(!fails_class(0.5) && fails_class(0.51));
     assert!(is_close(ejection_jitter(0.0), 0.75) && is_close(ejection_jitter(1.0), 1.25));
 }
 
-/// An attempt that ended after 400 ms at an endpoint that responded 10 ms ago; 100 ms are usual.
+/// An attempt that ended after 400 ms at an endpoint that responded 10 ms ago; the class's mean is 100 ms.
 fn ended(outcome: Outcome) -> EjectionInput {
     EjectionInput {
         outcome,
@@ -113,7 +114,7 @@
 }
 
 #[test]
-fn the_end_of_an_attempt_ejects_its_endpoint_alike_in_both_modes() {
+fn both_modes_eject_alike_for_most_outcomes() {
     use EjectionDecision::{Eject, Unchanged};
     let failing = |outcome, error_fraction| EjectionInput { error_fraction, ..ended(outcome) };
     let silent = |outcome, since_response_ms| EjectionInput { since_response_ms, ..ended(outcome) };
@@ -140,7 +141,7 @@
 }
 
 #[test]
-fn overload_and_time_outs_are_judged_by_the_mode() {
+fn ejection_after_overload_or_timeout_depends_on_the_mode() {
     let overloaded = ended(Outcome::Overloaded);
     assert_eq!(
         decide_ejection_in_broadcast_mode(&overloaded),
@@ -150,7 +151,7 @@
     let silent = EjectionInput { since_response_ms: 401.0, ..ended(Outcome::TimedOut) };
     assert_eq!(decide_ejection_in_broadcast_mode(&silent), EjectionDecision::Eject);
     assert_eq!(decide_ejection_in_large_fleet(&silent), EjectionDecision::Eject);
-    // Attempts at all endpoints are old: 300 ms are usual, and 400 ms not long.
+    // Attempts at all endpoints are old: the usual response time is 300 ms, so 400 ms are not long.
     let all_slow = EjectionInput { typical_age_ms: 200.0, ..silent };
     assert_eq!(decide_ejection_in_broadcast_mode(&all_slow), EjectionDecision::Unchanged);
     assert_eq!(decide_ejection_in_large_fleet(&all_slow), EjectionDecision::Eject);
@@ -160,23 +161,23 @@
 }
 
 #[test]
-fn the_fourth_error_in_a_row_ejects_an_endpoint_and_the_second_failure_a_class() {
+fn fourth_error_ejects_an_endpoint_and_second_failure_a_class() {
     let mut health = EndpointHealth::new(0.0);
-    let verdicts = [0.0; 4].map(|now_ms| {
+    let decisions = [0.0; 4].map(|now_ms| {
         health.record_response(now_ms);
         health.record_error(ERROR_GAIN);
         let error_fraction = health.error_fraction();
         decide_ejection_in_broadcast_mode(&EjectionInput { error_fraction, ..ended(Outcome::Error) })
     });
     let unchanged = EjectionDecision::Unchanged;
-    assert_eq!(verdicts, [unchanged, unchanged, unchanged, EjectionDecision::Eject]);
+    assert_eq!(decisions, [unchanged, unchanged, unchanged, EjectionDecision::Eject]);
     let mut observed = ObservedHealth::new(0.0);
     let mut fails = || fails_class(observed.record_failure(ClassIndex(0), CLASS_FAILURE_GAIN));
     assert_eq!([fails(), fails()], [false, true]);
 }
 
 #[test]
-fn only_responses_show_that_an_endpoint_is_alive_and_only_good_ones_end_its_failures() {
+fn each_outcome_gives_its_health_evidence() {
     let rows = [
         (Outcome::Ok, HealthEvidence::GoodResponse),
         (Outcome::Error, HealthEvidence::ErrorResponse),
--- a/crates/admission/src/tests/endpoint_rules/response_time_rules.rs
+++ b/crates/admission/src/tests/endpoint_rules/response_time_rules.rs
@@ -1,5 +1,5 @@
-//! Response times: what an attempt's end teaches, which endpoints are slow, and what the fleet is notified
-//! of.
+//! Response times: what the end of an attempt shows, which endpoints are slow, and which observations other
+//! gateways get.
 use super::is_close;
 use crate::event::Outcome;
 use crate::id::{ClassIndex, PlanIndex};
@@ -11,7 +11,7 @@
 };
 use crate::state::RelativeResponseTime;
 
-/// An attempt of 300 ms at a warm endpoint; 100 ms are usual, and the objective is 200 ms.
+/// An attempt that took 300 ms at a warm endpoint; the class's mean is 100 ms and its objective 200 ms.
 fn ended(outcome: Outcome) -> OwnAttemptInput {
     OwnAttemptInput {
         outcome,
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn in_broadcast_mode_all_is_learned_from_own_attempts() {
+fn broadcast_mode_learns_response_times_from_own_attempts() {
     use ResponseTimeSample::{AtLeast, Measured};
     let nothing = OwnAttemptSamples::default();
     let responded = OwnAttemptSamples {
@@ -53,8 +53,8 @@
 }
 
 #[test]
-fn in_a_large_fleet_the_mean_of_a_class_is_learned_from_responses_of_warm_endpoints() {
-    assert_eq!(class_sample_in_large_fleet(&ended(Outcome::Ok)), Some(250.0), "2.5 means at most");
+fn large_fleet_learns_class_mean_from_warm_endpoints() {
+    assert_eq!(class_sample_in_large_fleet(&ended(Outcome::Ok)), Some(250.0), "at most 2.5 times the mean");
     let quick = OwnAttemptInput { took_ms: 80.0, ..ended(Outcome::Ok) };
     assert_eq!(class_sample_in_large_fleet(&quick), Some(80.0));
     let warming = OwnAttemptInput { has_warmed_up: false, ..quick };
@@ -63,8 +63,8 @@
 }
 
 #[test]
-fn an_endpoint_is_slow_against_its_machine_kind() {
-    // A gain of 1 takes the sample as it is.
+fn slowness_is_relative_to_the_machine_kind() {
+    // With a gain of 1 the sample replaces the smoothed value.
     let mut response_time = RelativeResponseTime::new(0.0, 4000.0);
     response_time.record_observed(0.0, 3.2, 1.0, 1.0);
     for (learned, baseline, slowness) in [(1.0, 1.0, 2.0), (0.5, 0.5, 4.0), (4.0, 4.0, 1.0), (0.0, 0.1, 20.0)]
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn the_fleet_is_notified_of_responses_rejections_and_failures() {
+fn responses_rejections_and_failures_are_observed() {
     let (class, plan) = (ClassIndex(1), PlanIndex(2));
     let response_time = ResponseTimeCode::from_objective_fraction(0.5);
     let failed = Some(ObservationKind::Failed { class });
--- a/crates/admission/src/tests/endpoint_rules/retry_rules.rs
+++ b/crates/admission/src/tests/endpoint_rules/retry_rules.rs
@@ -1,4 +1,4 @@
-//! Retries: where another attempt may go, whether there is one, and what is done about a stalled attempt.
+//! Retries: where a request may be retried, whether it is, and what is done about a stalled attempt.
 use super::is_close;
 use crate::event::{EndpointEntry, EndpointState, Outcome};
 use crate::id::{EndpointId, MachineKindIndex, ZoneIndex};
@@ -11,7 +11,7 @@
 use crate::state::{Attempt, Endpoint, EndpointSmoothing};
 
 #[test]
-fn idempotency_says_where_another_attempt_may_go() {
+fn idempotency_decides_the_retry_scope() {
     let idempotent = RetryScopeInput {
         since_first_possible_run_ms: Some(100.0),
         has_attempt_in_flight: false,
@@ -21,7 +21,7 @@
     };
     let non_idempotent = RetryScopeInput { idempotency: Idempotency::NonIdempotent, ..idempotent };
     let group = DedupGroup::Zone;
-    // 0.9 of 1000 ms, less two rounds of 5 ms: 890 ms of the window are used.
+    // 0.9 of 1000 ms minus two rounds of 5 ms: keys are used for 890 ms.
     let keyed = |since_first_ms| RetryScopeInput {
         since_first_possible_run_ms: Some(since_first_ms),
         idempotency: Idempotency::IdempotencyKey { group, window_ms: 1000.0 },
@@ -30,7 +30,7 @@
     let hedged = RetryScopeInput { has_attempt_in_flight: true, ..idempotent };
     let rows = [
         ("idempotent", idempotent, RetryScope::AnyEndpoint),
-        ("second in flight, no hedging", hedged, RetryScope::NoEndpoint),
+        ("another in flight, no hedging", hedged, RetryScope::NoEndpoint),
         ("hedged", RetryScopeInput { hedging_allowed: true, ..hedged }, RetryScope::AnyEndpoint),
         ("not idempotent", non_idempotent, RetryScope::NoEndpoint),
         (
@@ -46,7 +46,7 @@
     }
 }
 
-/// An endpoint of a zone and a cell.
+/// An endpoint in a zone and a cell.
 fn endpoint(zone: usize, cell: u64) -> Endpoint {
     let entry = EndpointEntry {
         id: EndpointId(1),
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_deduplication_group_must_hold_all_earlier_attempts() {
+fn dedup_group_must_contain_all_earlier_attempts() {
     let earlier = [Attempt::new(&endpoint(0, 5), 0.0), Attempt::new(&endpoint(0, 6), 0.0)];
     let rows = [
         (RetryScope::AnyEndpoint, endpoint(1, 7), true),
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn a_retry_needs_an_attempt_left_time_and_tokens() {
+fn retry_needs_remaining_attempts_time_and_tokens() {
     let failed = RetryInput {
         is_closed: false,
         attempts: 1,
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn a_stalled_attempt_is_hedged_or_else_cancelled() {
+fn stalled_attempt_is_hedged_or_cancelled() {
     let hedging = StalledActionInput {
         is_closed: false,
         attempts: 1,
@@ -136,7 +136,7 @@
     assert!(is_close(slow_after_ms(100.0, 800.0), 250.0), "2.5 mean response times");
     assert!(is_close(slow_after_ms(10.0, 800.0), 200.0), "a quarter of the objective");
     for (age_ms, expected) in [(250.0, false), (251.0, true), (269.0, true), (270.0, false)] {
-        assert_eq!(has_become_slow(age_ms, 250.0), expected, "{age_ms} ms; upkeep is every 20 ms");
+        assert_eq!(has_become_slow(age_ms, 250.0), expected, "{age_ms} ms; a round of upkeep every 20 ms");
     }
     let young = PendingAttemptInput {
         age_ms: 399.0,
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn the_end_of_an_attempt_closes_retries_or_finishes_its_request() {
+fn attempt_end_closes_retries_or_finishes_the_request() {
     let failed =
         AfterAttemptInput { outcome: Outcome::Error, is_closed: false, has_attempt_in_flight: false };
     let rows = [
@@ -178,9 +178,9 @@
     }
 }
 
-/// A request that must not run twice may be retried only where its attempt certainly did not run.
+// Guards requests that must not run twice: they may be retried only if the attempt certainly did not run.
 #[test]
-fn only_rejections_and_attempts_never_written_certainly_did_not_run() {
+fn rejected_and_unsent_attempts_did_not_run() {
     use Outcome::{Cancelled, ConnectFailed, Error, Ok, Overloaded, Reset, TimedOut, TooLate};
     for outcome in [Overloaded, ConnectFailed, TooLate] {
         assert!(!may_have_run(outcome), "{outcome:?}");
--- a/crates/admission/src/tests/endpoint_rules/slow_start_rules.rs
+++ b/crates/admission/src/tests/endpoint_rules/slow_start_rules.rs
@@ -1,4 +1,4 @@
-//! Slow start: the capacity of warming endpoints, their budgets, and the admission to them.
+//! Slow start: the capacity of warming endpoints, their budgets, and which attempts they are admitted.
 use super::is_close;
 use crate::id::RequestId;
 use crate::policy::slow_start::{
@@ -9,8 +9,8 @@
 use crate::state::WarmUpBudget;
 
 #[test]
-fn capacity_rises_evenly_from_the_initial_fraction_to_1() {
-    // Age of the process, time to warm up, initial fraction, and the fraction expected.
+fn warm_fraction_rises_linearly_to_1() {
+    // Age of the process, warm-up time, initial fraction, and the expected fraction.
     let rows = [
         (None, 10_000.0, 0.2, 1.0),
         (Some(0.0), 10_000.0, 0.2, 0.2),
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn an_endpoint_has_warmed_up_from_the_time_of_the_settings_on() {
+fn endpoint_has_warmed_up_after_the_warm_up_time() {
     for (age_ms, expected) in [(None, true), (Some(999.0), false), (Some(1000.0), true)] {
         assert_eq!(has_warmed_up(age_ms, 1000.0), expected, "{age_ms:?}");
     }
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn the_budget_is_the_larger_of_the_even_quota_and_the_rate_of_a_warm_endpoint() {
+fn warm_up_budget_is_the_larger_of_two_rates() {
     let quiet = WarmUpBudgetInput {
         warm_fraction: 0.5,
         warm_send_rate: 0.0,
@@ -51,21 +51,24 @@
         overload_multiple: 2.0,
         overload_window_ms: 1000.0,
     };
-    // 10 responses a second over 4 gateways, 0.6 of twice that, at half capacity.
+    // 10 responses per second over 4 gateways; 0.6 of twice that, at half capacity.
     let rows = [
-        ("even quota", quiet, 1.5),
-        ("warm endpoints get more", WarmUpBudgetInput { warm_send_rate: 10.0, ..quiet }, 0.6 * 7.0),
+        ("even fraction", quiet, 1.5),
+        ("warm endpoints are sent more", WarmUpBudgetInput { warm_send_rate: 10.0, ..quiet }, 0.6 * 7.0),
         ("attempts in flight are old", WarmUpBudgetInput { typical_age_ms: 200.0, ..quiet }, 0.75),
     ];
     for (name, input, expected) in rows {
         let budget = warm_up_budget(&input);
         assert!(is_close(budget.tokens_per_second, expected), "{name}: {budget:?}");
-        assert!(is_close(budget.max_tokens, expected * 0.5), "{name}: half a window is saved: {budget:?}");
+        assert!(
+            is_close(budget.max_tokens, expected * 0.5),
+            "{name}: tokens of half a window are saved: {budget:?}"
+        );
     }
 }
 
 #[test]
-fn requests_are_admitted_to_warming_endpoints_by_their_fraction_of_the_capacity() {
+fn warm_up_admission_follows_the_capacity_fraction() {
     let mut capacity = SendCapacity::default();
     (0..3).for_each(|_| capacity.add(1.0, 1.0));
     capacity.add(0.25, 0.5);
@@ -76,7 +79,7 @@
 }
 
 #[test]
-fn a_request_draws_once_for_each_attempt() {
+fn warm_up_draw_is_fixed_for_each_attempt() {
     let draw = |request, incarnation, attempt| warm_up_draw(RequestId(request), incarnation, attempt);
     assert_eq!(draw(7, 1, 0), draw(7, 1, 0));
     for other in [draw(8, 1, 0), draw(7, 2, 0), draw(7, 1, 1)] {
@@ -86,9 +89,10 @@
 }
 
 #[test]
-fn saved_tokens_are_bounded_and_a_full_token_expires_where_less_than_one_may_be_saved() {
+fn saved_warm_up_tokens_are_bounded() {
     let budget = |tokens_per_second, max_tokens| WarmUpBudget { tokens_per_second, max_tokens };
-    // Tokens saved, time since in ms, budget, and the tokens expected.
+    // Saved tokens, time since their update in ms, budget, and the expected tokens. The last three budgets
+    // let less than one token be saved: there a full token expires.
     let rows = [
         (0.5, 1000.0, budget(2.0, 3.0), 2.5),
         (2.5, 1000.0, budget(2.0, 3.0), 3.0),
