--- a/crates/admission/src/policy/retry/retry_scope.rs
+++ b/crates/admission/src/policy/retry/retry_scope.rs
@@ -2,12 +2,12 @@
 use crate::settings::{DedupGroup, Idempotency};
 use crate::state::{Attempt, Endpoint};
 
-/// Fraction of the time for which endpoints remember an idempotency key that is used for retries. The
-/// endpoints measure this time, and network delays take some of it.
+/// Part of an idempotency key's window within which retries are sent, as a fraction of the window. The
+/// endpoints measure the window, and network delays take some of it.
 const KEY_WINDOW_FRACTION: f64 = 0.9;
 
-/// Rounds of events that are subtracted from that time, because they may pass before an attempt reaches the
-/// network and before the gateway notices how much time has passed.
+/// Rounds of events that are subtracted from that part of the window, because they may pass before an attempt
+/// reaches the network and before the gateway notices how much time has passed.
 const KEY_WINDOW_ROUNDS: f64 = 2.0;
 
 /// The earlier attempts of a request, and the settings that restrict where it may be retried.
