--- a/crates/admission/src/gateway.rs
+++ b/crates/admission/src/gateway.rs
@@ -6,7 +6,7 @@
 use crate::settings::Settings;
 use crate::state::{
     Coordination, CustomerTable, EndpointTable, EventClock, FleetMeans, InFlightBand, LatencyModel,
-    OutlierDetector, RecentObservations, RequestTable, RetryBudget, WarmSendRates,
+    OutlierDetectionState, RecentObservations, RequestTable, RetryBudget, WarmSendRates,
 };
 
 /// The decision logic of one gateway: it handles events and answers them with actions. Each field owns the
@@ -36,7 +36,7 @@
     /// The response times learned so far.
     pub(crate) latency: LatencyModel,
     /// What is known of failures that concern more than a single endpoint.
-    pub(crate) outliers: OutlierDetector,
+    pub(crate) outliers: OutlierDetectionState,
     /// The rates at which warm endpoints are sent attempts. The budgets of endpoints that are warming up
     /// depend on them.
     pub(crate) warm_send_rates: WarmSendRates,
--- a/crates/admission/src/lifecycle/band_control.rs
+++ b/crates/admission/src/lifecycle/band_control.rs
@@ -45,14 +45,14 @@
             is_gone: endpoint.is_gone(),
             consecutive_failures: endpoint.health.consecutive_failures(),
             is_ejected: endpoint.health.is_ejected(now_ms),
-            is_any_class_ejected: endpoint.observed.is_any_class_ejected(now_ms),
+            is_any_class_ejected: endpoint.observed_health.is_any_class_ejected(now_ms),
             stall_ratio: self.stall_ratio(endpoint),
         };
         match mode {
             FleetMode::Broadcast => is_counted_in_broadcast_mode(&symptoms),
             FleetMode::LargeFleet => {
                 let is_unresponsive = self.is_unresponsive(endpoint);
-                let slowness = self.kind_deviation(endpoint).excess;
+                let slowness = self.kind_deviation(endpoint).slowness;
                 is_counted_in_large_fleet(&symptoms, is_unresponsive, slowness)
             }
         }
--- a/crates/admission/src/lifecycle/endpoints.rs
+++ b/crates/admission/src/lifecycle/endpoints.rs
@@ -3,7 +3,7 @@
 use crate::gateway::Gateway;
 use crate::id::{ClassIndex, PlanIndex};
 use crate::policy::outlier::{
-    ejection_jitter, health_evidence, HealthEvidence, HealthVerdict, EJECTION, ERROR_GAIN,
+    ejection_jitter, health_evidence, EjectionDecision, HealthEvidence, EJECTION, ERROR_GAIN,
 };
 use crate::state::{AttemptId, EndpointHealth, FleetMode};
 
@@ -27,11 +27,11 @@
         let verdict = self.health_verdict(endpoint, end, class);
         if let Some(endpoint) = self.endpoints.get_mut(end.endpoint) {
             match verdict {
-                HealthVerdict::Unchanged => {}
-                HealthVerdict::Pause { duration_ms } => {
+                EjectionDecision::Unchanged => {}
+                EjectionDecision::Pause { duration_ms } => {
                     endpoint.health.pause_until(now_ms + duration_ms * jitter);
                 }
-                HealthVerdict::Eject => endpoint.health.eject(now_ms, EJECTION, jitter),
+                EjectionDecision::Eject => endpoint.health.eject(now_ms, EJECTION, jitter),
             }
         }
         self.endpoints.remove_if_finished(end.endpoint);
@@ -41,7 +41,7 @@
 /// Records what the end of an attempt shows of the health of its endpoint.
 fn record_health(health: &mut EndpointHealth, evidence: HealthEvidence, now_ms: f64) {
     match evidence {
-        HealthEvidence::Served => {
+        HealthEvidence::GoodResponse => {
             health.record_response(now_ms);
             health.record_success(ERROR_GAIN);
         }
@@ -50,7 +50,7 @@
             health.record_error(ERROR_GAIN);
         }
         HealthEvidence::Rejection => health.record_response(now_ms),
-        HealthEvidence::BrokenConnection => health.record_error(ERROR_GAIN),
+        HealthEvidence::ConnectionFailure => health.record_error(ERROR_GAIN),
         HealthEvidence::None => {}
     }
 }
--- a/crates/admission/src/lifecycle/outlier_checks.rs
+++ b/crates/admission/src/lifecycle/outlier_checks.rs
@@ -4,7 +4,7 @@
 use crate::id::ClassIndex;
 use crate::policy::observation::OBSERVATION_SPAN_S;
 use crate::policy::outlier;
-use crate::policy::outlier::{AttemptFailureInput, HealthVerdict, StallInput, Symptoms, UnresponsiveInput};
+use crate::policy::outlier::{EjectionDecision, EjectionInput, OutlierInput, StallInput, UnresponsiveInput};
 use crate::state::{Endpoint, FleetMode};
 
 impl Gateway {
@@ -18,7 +18,7 @@
     /// Returns whether this gateway's own attempts show a fault of an endpoint, or the endpoint is no longer
     /// listed.
     pub(crate) fn is_outlier(&self, endpoint: &Endpoint) -> bool {
-        outlier::is_outlier(&Symptoms {
+        outlier::is_outlier(&OutlierInput {
             is_gone: endpoint.is_gone(),
             is_ejected: endpoint.health.is_ejected(self.clock.now_ms()),
             stall_ratio: self.stall_ratio(endpoint),
@@ -34,9 +34,9 @@
             oldest_sent_ms,
             last_response_ms: endpoint.health.last_response_ms(),
             in_flight: endpoint.in_flight().len(),
-            relative_response_time: endpoint.response_time.last(),
+            relative_response_time: endpoint.response_time.last_recorded(),
             warm_fraction: self.warm_fraction(endpoint),
-            reference_ms: outlier::reference_ms(
+            usual_response_ms: outlier::usual_response_ms(
                 self.latency.mean_response_ms(),
                 self.latency.typical_age_ms(),
             ),
@@ -50,8 +50,8 @@
         match self.coordination.fleet_mode() {
             FleetMode::Broadcast => false,
             FleetMode::LargeFleet => outlier::is_unresponsive(&UnresponsiveInput {
-                missed_responses: endpoint.observed.missed_responses(),
-                since_response_ms: endpoint.observed.since_response_ms(now_ms),
+                missed_responses: endpoint.observed_health.missed_responses(),
+                since_response_ms: endpoint.observed_health.since_response_ms(now_ms),
                 observed_responses_per_second: self
                     .outliers
                     .observed_responses_per_second(now_ms, OBSERVATION_SPAN_S),
@@ -67,19 +67,19 @@
         endpoint: &Endpoint,
         end: &AttemptEnd,
         class: ClassIndex,
-    ) -> HealthVerdict {
-        let input = AttemptFailureInput {
+    ) -> EjectionDecision {
+        let input = EjectionInput {
             outcome: end.outcome,
             took_ms: end.took_ms,
             error_fraction: endpoint.health.error_fraction(),
             consecutive_failures: endpoint.health.consecutive_failures(),
             since_response_ms: endpoint.health.since_response_ms(self.clock.now_ms()),
-            class_response_ms: self.latency.expected_ms(class),
+            class_response_ms: self.latency.floored_response_ms(class),
             typical_age_ms: self.latency.typical_age_ms(),
         };
         match self.coordination.fleet_mode() {
-            FleetMode::Broadcast => outlier::verdict_in_broadcast_mode(&input),
-            FleetMode::LargeFleet => outlier::verdict_in_large_fleet(&input),
+            FleetMode::Broadcast => outlier::decide_ejection_in_broadcast_mode(&input),
+            FleetMode::LargeFleet => outlier::decide_ejection_in_large_fleet(&input),
         }
     }
 
--- a/crates/admission/src/policy/outlier/mod.rs
+++ b/crates/admission/src/policy/outlier/mod.rs
@@ -8,11 +8,12 @@
 mod unresponsive;
 
 pub(crate) use attempt_failure::{
-    verdict_in_broadcast_mode, verdict_in_large_fleet, AttemptFailureInput, HealthVerdict, ERROR_GAIN,
+    decide_ejection_in_broadcast_mode, decide_ejection_in_large_fleet, EjectionDecision, EjectionInput,
+    ERROR_GAIN,
 };
 pub(crate) use class_failure::{fails_class, CLASS_FAILURE_GAIN};
 pub(crate) use correlated_failure::is_correlated_failure;
-pub(crate) use ejection::{ejection_jitter, is_outlier, Symptoms, EJECTION, SCOPED_EJECTION};
+pub(crate) use ejection::{ejection_jitter, is_outlier, OutlierInput, EJECTION, SCOPED_EJECTION};
 pub(crate) use health_evidence::{health_evidence, HealthEvidence};
-pub(crate) use stall::{reference_ms, stall_ratio, typical_age_ms, StallInput};
+pub(crate) use stall::{stall_ratio, typical_age_ms, usual_response_ms, StallInput};
 pub(crate) use unresponsive::{is_unresponsive, UnresponsiveInput};
--- a/crates/admission/src/policy/retry/mod.rs
+++ b/crates/admission/src/policy/retry/mod.rs
@@ -1,5 +1,5 @@
-//! Retries: whether and where a request gets another attempt, what that costs, and when an attempt is
-//! stalled.
+//! Retries: whether a request gets another attempt, at which endpoints, what the attempt costs, and when an
+//! attempt is stalled.
 mod after_attempt;
 mod attempt_timeout;
 mod possible_run;
@@ -8,7 +8,7 @@
 mod stalled_action;
 mod stalled_attempt;
 
-pub(crate) use after_attempt::{after_attempt, AfterAttempt, EndedAttempt};
+pub(crate) use after_attempt::{after_attempt, AfterAttempt, AfterAttemptInput};
 pub(crate) use attempt_timeout::{attempt_timeout_ms, ATTEMPT_TIMEOUT_OBJECTIVES};
 pub(crate) use possible_run::may_have_run;
 pub(crate) use retry_decision::{
@@ -16,4 +16,4 @@
 };
 pub(crate) use retry_scope::{retry_scope, RetryScope, RetryScopeInput};
 pub(crate) use stalled_action::{stalled_action, StalledAction, StalledActionInput};
-pub(crate) use stalled_attempt::{has_turned_long, is_stalled, long_response_ms, PendingAttemptInput};
+pub(crate) use stalled_attempt::{has_become_slow, is_stalled, slow_after_ms, PendingAttemptInput};
--- a/crates/admission/src/tests/endpoint_rules/outlier_rules.rs
+++ b/crates/admission/src/tests/endpoint_rules/outlier_rules.rs
@@ -1,27 +1,28 @@
-//! Outlier detection: stalls, unresponsive endpoints, and what the end of an attempt means for its endpoint.
+//! Outlier detection: stalls, unresponsive endpoints, and which attempts eject their endpoint.
 use super::is_close;
 use crate::event::Outcome;
 use crate::id::ClassIndex;
 use crate::policy::outlier::{
-    ejection_jitter, fails_class, health_evidence, is_correlated_failure, is_outlier, is_unresponsive,
-    reference_ms, stall_ratio, typical_age_ms, verdict_in_broadcast_mode, verdict_in_large_fleet,
-    AttemptFailureInput, HealthEvidence, HealthVerdict, StallInput, Symptoms, UnresponsiveInput,
-    CLASS_FAILURE_GAIN, ERROR_GAIN,
+    decide_ejection_in_broadcast_mode, decide_ejection_in_large_fleet, ejection_jitter, fails_class,
+    health_evidence, is_correlated_failure, is_outlier, is_unresponsive, stall_ratio, typical_age_ms,
+    usual_response_ms, EjectionDecision, EjectionInput, HealthEvidence, OutlierInput, StallInput,
+    UnresponsiveInput, CLASS_FAILURE_GAIN, ERROR_GAIN,
 };
 use crate::state::{EndpointHealth, ObservedHealth};
 
 #[test]
-fn an_endpoint_is_an_outlier_by_any_symptom() {
-    let healthy = Symptoms { is_gone: false, is_ejected: false, stall_ratio: 1.0 };
+fn any_symptom_makes_an_endpoint_an_outlier() {
+    let healthy = OutlierInput { is_gone: false, is_ejected: false, stall_ratio: 1.0 };
     assert!(!is_outlier(&healthy));
-    assert!(is_outlier(&Symptoms { is_gone: true, ..healthy }));
-    assert!(is_outlier(&Symptoms { is_ejected: true, ..healthy }));
-    assert!(is_outlier(&Symptoms { stall_ratio: 1.01, ..healthy }));
+    assert!(is_outlier(&OutlierInput { is_gone: true, ..healthy }));
+    assert!(is_outlier(&OutlierInput { is_ejected: true, ..healthy }));
+    assert!(is_outlier(&OutlierInput { stall_ratio: 1.01, ..healthy }));
 }
 
 #[test]
-fn silence_is_measured_in_stalls() {
-    // Five attempts in flight, the oldest sent 500 ms ago, 100 ms are usual: a stall is 250 ms.
+fn stall_ratio_is_in_multiples_of_a_stall() {
+    // Five attempts in flight, the oldest sent 500 ms ago; the usual response time is 100 ms, so a stall is
+    // 250 ms.
     let busy = StallInput {
         now_ms: 1000.0,
         oldest_sent_ms: 500.0,
@@ -29,7 +30,7 @@
         in_flight: 5,
         relative_response_time: 1.0,
         warm_fraction: 1.0,
-        reference_ms: 100.0,
+        usual_response_ms: 100.0,
     };
     let rows = [
         ("several attempts", busy, 2.0),
@@ -46,10 +47,10 @@
 }
 
 #[test]
-fn the_usual_response_time_follows_old_attempts_in_flight() {
-    assert!(is_close(reference_ms(100.0, 50.0), 100.0));
-    assert!(is_close(reference_ms(100.0, 200.0), 300.0));
-    // Of five endpoints the third youngest is typical; an idle one counts as half of 100 ms.
+fn usual_response_time_rises_with_old_attempts_in_flight() {
+    assert!(is_close(usual_response_ms(100.0, 50.0), 100.0));
+    assert!(is_close(usual_response_ms(100.0, 200.0), 300.0));
+    // Of five ages the third lowest is typical; an endpoint without attempts counts with half of 100 ms.
     let ages = [Some(900.0), Some(10.0), None, Some(70.0), Some(800.0)];
     assert!(is_close(typical_age_ms(ages.into_iter(), 100.0), 70.0));
     assert!(is_close(typical_age_ms([None].into_iter(), 100.0), 50.0));
@@ -57,8 +58,8 @@
 }
 
 #[test]
-fn an_endpoint_is_unresponsive_after_two_missed_responses_and_enough_time() {
-    // 20 responses a second of 10 endpoints: 2.5 responses of one take 1250 ms.
+fn endpoint_is_unresponsive_after_missed_responses_and_time() {
+    // 20 responses per second from 10 endpoints: 2.5 responses from one endpoint take 1250 ms.
     let silent = UnresponsiveInput {
         missed_responses: 2,
         since_response_ms: 1251.0,
@@ -71,7 +72,7 @@
         ("too early", UnresponsiveInput { since_response_ms: 1249.0, ..silent }, false),
         ("few observations", UnresponsiveInput { observed_responses_per_second: 2.0, ..silent }, false),
         (
-            "few observations, 2 s",
+            "no observations, 2 s",
             UnresponsiveInput {
                 observed_responses_per_second: 0.0,
                 since_response_ms: 2001.0,
@@ -94,14 +95,14 @@
 }
 
 #[test]
-fn a_class_is_ejected_above_half_failed_and_for_a_time_within_a_quarter_of_its_length() {
+fn class_is_ejected_above_half_failed_with_jitter_of_a_quarter() {
     assert!(!fails_class(0.5) && fails_class(0.51));
     assert!(is_close(ejection_jitter(0.0), 0.75) && is_close(ejection_jitter(1.0), 1.25));
 }
 
-/// An attempt that ended after 400 ms at an endpoint that responded 10 ms ago; 100 ms are usual.
-fn ended(outcome: Outcome) -> AttemptFailureInput {
-    AttemptFailureInput {
+/// An attempt that ended after 400 ms at an endpoint that responded 10 ms ago; the class's mean is 100 ms.
+fn ended(outcome: Outcome) -> EjectionInput {
+    EjectionInput {
         outcome,
         took_ms: 400.0,
         error_fraction: 0.0,
@@ -113,73 +114,76 @@
 }
 
 #[test]
-fn the_end_of_an_attempt_ejects_its_endpoint_alike_in_both_modes() {
-    use HealthVerdict::{Eject, Unchanged};
-    let failing = |outcome, error_fraction| AttemptFailureInput { error_fraction, ..ended(outcome) };
-    let silent = |outcome, since_response_ms| AttemptFailureInput { since_response_ms, ..ended(outcome) };
+fn both_modes_eject_alike_for_most_outcomes() {
+    use EjectionDecision::{Eject, Unchanged};
+    let failing = |outcome, error_fraction| EjectionInput { error_fraction, ..ended(outcome) };
+    let silent = |outcome, since_response_ms| EjectionInput { since_response_ms, ..ended(outcome) };
     let rows = [
         (silent(Outcome::Ok, 9000.0), Unchanged),
         (silent(Outcome::TooLate, 9000.0), Unchanged),
         (failing(Outcome::Error, 0.3), Unchanged),
         (failing(Outcome::Error, 0.31), Eject),
-        (AttemptFailureInput { consecutive_failures: 1, ..ended(Outcome::Error) }, Eject),
+        (EjectionInput { consecutive_failures: 1, ..ended(Outcome::Error) }, Eject),
         (failing(Outcome::Reset, 0.5), Unchanged),
         (failing(Outcome::Reset, 0.51), Eject),
         (silent(Outcome::ConnectFailed, 400.0), Unchanged),
         (silent(Outcome::ConnectFailed, 401.0), Eject),
-        (AttemptFailureInput { took_ms: 1.0, ..silent(Outcome::ConnectFailed, 99.0) }, Unchanged),
+        (EjectionInput { took_ms: 1.0, ..silent(Outcome::ConnectFailed, 99.0) }, Unchanged),
         (silent(Outcome::Cancelled, 400.0), Unchanged),
         (silent(Outcome::Cancelled, 401.0), Eject),
-        (AttemptFailureInput { took_ms: 300.0, ..silent(Outcome::Cancelled, 401.0) }, Unchanged),
-        (AttemptFailureInput { took_ms: 301.0, ..silent(Outcome::Cancelled, 401.0) }, Eject),
+        (EjectionInput { took_ms: 300.0, ..silent(Outcome::Cancelled, 401.0) }, Unchanged),
+        (EjectionInput { took_ms: 301.0, ..silent(Outcome::Cancelled, 401.0) }, Eject),
     ];
     for (input, expected) in rows {
-        assert_eq!(verdict_in_broadcast_mode(&input), expected, "broadcast mode: {input:?}");
-        assert_eq!(verdict_in_large_fleet(&input), expected, "large fleet: {input:?}");
+        assert_eq!(decide_ejection_in_broadcast_mode(&input), expected, "broadcast mode: {input:?}");
+        assert_eq!(decide_ejection_in_large_fleet(&input), expected, "large fleet: {input:?}");
     }
 }
 
 #[test]
-fn overload_and_time_outs_are_judged_by_the_mode() {
+fn ejection_after_overload_or_timeout_depends_on_the_mode() {
     let overloaded = ended(Outcome::Overloaded);
-    assert_eq!(verdict_in_broadcast_mode(&overloaded), HealthVerdict::Pause { duration_ms: 100.0 });
-    assert_eq!(verdict_in_large_fleet(&overloaded), HealthVerdict::Unchanged);
-    let silent = AttemptFailureInput { since_response_ms: 401.0, ..ended(Outcome::TimedOut) };
-    assert_eq!(verdict_in_broadcast_mode(&silent), HealthVerdict::Eject);
-    assert_eq!(verdict_in_large_fleet(&silent), HealthVerdict::Eject);
-    // Attempts at all endpoints are old: 300 ms are usual, and 400 ms not long.
-    let all_slow = AttemptFailureInput { typical_age_ms: 200.0, ..silent };
-    assert_eq!(verdict_in_broadcast_mode(&all_slow), HealthVerdict::Unchanged);
-    assert_eq!(verdict_in_large_fleet(&all_slow), HealthVerdict::Eject);
+    assert_eq!(
+        decide_ejection_in_broadcast_mode(&overloaded),
+        EjectionDecision::Pause { duration_ms: 100.0 }
+    );
+    assert_eq!(decide_ejection_in_large_fleet(&overloaded), EjectionDecision::Unchanged);
+    let silent = EjectionInput { since_response_ms: 401.0, ..ended(Outcome::TimedOut) };
+    assert_eq!(decide_ejection_in_broadcast_mode(&silent), EjectionDecision::Eject);
+    assert_eq!(decide_ejection_in_large_fleet(&silent), EjectionDecision::Eject);
+    // Attempts at all endpoints are old: the usual response time is 300 ms, so 400 ms are not long.
+    let all_slow = EjectionInput { typical_age_ms: 200.0, ..silent };
+    assert_eq!(decide_ejection_in_broadcast_mode(&all_slow), EjectionDecision::Unchanged);
+    assert_eq!(decide_ejection_in_large_fleet(&all_slow), EjectionDecision::Eject);
     let responding = ended(Outcome::TimedOut);
-    assert_eq!(verdict_in_broadcast_mode(&responding), HealthVerdict::Unchanged);
-    assert_eq!(verdict_in_large_fleet(&responding), HealthVerdict::Unchanged);
+    assert_eq!(decide_ejection_in_broadcast_mode(&responding), EjectionDecision::Unchanged);
+    assert_eq!(decide_ejection_in_large_fleet(&responding), EjectionDecision::Unchanged);
 }
 
 #[test]
-fn the_fourth_error_in_a_row_ejects_an_endpoint_and_the_second_failure_a_class() {
+fn fourth_error_ejects_an_endpoint_and_second_failure_a_class() {
     let mut health = EndpointHealth::new(0.0);
-    let verdicts = [0.0; 4].map(|now_ms| {
+    let decisions = [0.0; 4].map(|now_ms| {
         health.record_response(now_ms);
         health.record_error(ERROR_GAIN);
         let error_fraction = health.error_fraction();
-        verdict_in_broadcast_mode(&AttemptFailureInput { error_fraction, ..ended(Outcome::Error) })
+        decide_ejection_in_broadcast_mode(&EjectionInput { error_fraction, ..ended(Outcome::Error) })
     });
-    let unchanged = HealthVerdict::Unchanged;
-    assert_eq!(verdicts, [unchanged, unchanged, unchanged, HealthVerdict::Eject]);
+    let unchanged = EjectionDecision::Unchanged;
+    assert_eq!(decisions, [unchanged, unchanged, unchanged, EjectionDecision::Eject]);
     let mut observed = ObservedHealth::new(0.0);
     let mut fails = || fails_class(observed.record_failure(ClassIndex(0), CLASS_FAILURE_GAIN));
     assert_eq!([fails(), fails()], [false, true]);
 }
 
 #[test]
-fn only_responses_show_that_an_endpoint_is_alive_and_only_good_ones_end_its_failures() {
+fn each_outcome_gives_its_health_evidence() {
     let rows = [
-        (Outcome::Ok, HealthEvidence::Served),
+        (Outcome::Ok, HealthEvidence::GoodResponse),
         (Outcome::Error, HealthEvidence::ErrorResponse),
         (Outcome::Overloaded, HealthEvidence::Rejection),
-        (Outcome::ConnectFailed, HealthEvidence::BrokenConnection),
-        (Outcome::Reset, HealthEvidence::BrokenConnection),
+        (Outcome::ConnectFailed, HealthEvidence::ConnectionFailure),
+        (Outcome::Reset, HealthEvidence::ConnectionFailure),
         (Outcome::TimedOut, HealthEvidence::None),
         (Outcome::Cancelled, HealthEvidence::None),
         (Outcome::TooLate, HealthEvidence::None),
