--- a/crates/admission/src/lifecycle/queue_dispatch.rs
+++ b/crates/admission/src/lifecycle/queue_dispatch.rs
@@ -109,7 +109,7 @@
         SlotUse {
             in_flight: customer.in_flight(),
             peer_in_flight: peers.in_flight,
-            reporting_peers: peers.busy,
+            reporting_peers: peers.reporting_peers,
             gateways: customer.gateways().len() as u32,
             place: customer.gateways().place(active.tag, self.settings.this_gateway),
         }
--- a/crates/admission/src/state/quota/customer_reports.rs
+++ b/crates/admission/src/state/quota/customer_reports.rs
@@ -53,7 +53,7 @@
     /// Attempts in flight, by their last reports.
     pub(crate) in_flight: u32,
     /// How many peers these reports are of.
-    pub(crate) busy: u32,
+    pub(crate) reporting_peers: u32,
 }
 
 impl CustomerReports {
@@ -72,7 +72,7 @@
         let live = self.peers.values().filter(|p| now_ms - p.received_ms < timeout_ms);
         live.fold(PeerActivity::default(), |sum, p| PeerActivity {
             in_flight: sum.in_flight + p.in_flight,
-            busy: sum.busy + 1,
+            reporting_peers: sum.reporting_peers + 1,
         })
     }
 
