--- a/crates/admission/src/messages/counts_message.rs
+++ b/crates/admission/src/messages/counts_message.rs
@@ -150,7 +150,7 @@
 
     /// The fraction of the burst.
     pub(crate) fn fraction(self) -> f64 {
-        self.0.figure()
+        self.0.value()
     }
 }
 
--- a/crates/admission/src/messages/fixed_point.rs
+++ b/crates/admission/src/messages/fixed_point.rs
@@ -46,7 +46,7 @@
     }
 
     /// The figure.
-    pub(crate) fn figure(self) -> f64 {
+    pub(crate) fn value(self) -> f64 {
         f64::from(self.0) / f64::from(STEPS)
     }
 
--- a/crates/admission/src/messages/gossip_message.rs
+++ b/crates/admission/src/messages/gossip_message.rs
@@ -50,17 +50,17 @@
 
     /// Mean attempts in flight of a gateway.
     pub(crate) fn stock(&self) -> f64 {
-        self.stock.figure()
+        self.stock.value()
     }
 
     /// Mean watermark.
     pub(crate) fn watermark(&self) -> f64 {
-        self.watermark.figure()
+        self.watermark.value()
     }
 
     /// Mean good responses of a gateway per second.
     pub(crate) fn responses_per_second(&self) -> f64 {
-        self.rate.figure()
+        self.rate.value()
     }
 
     /// Adds the means' digits to a message.
--- a/crates/admission/src/messages/quota_message.rs
+++ b/crates/admission/src/messages/quota_message.rs
@@ -133,7 +133,7 @@
 
     /// The fraction, 0 to 1.
     pub(crate) fn fraction(self) -> f64 {
-        self.0.figure()
+        self.0.value()
     }
 
     /// Units of all requests, where the requests of the fraction have `units`.
--- a/crates/admission/src/state/fleet/broadcast_peer.rs
+++ b/crates/admission/src/state/fleet/broadcast_peer.rs
@@ -71,7 +71,7 @@
         self.incarnation = Some(message.incarnation);
         self.sequence = message.sequence;
         self.stock = message.stock;
-        self.watermark = message.watermark.figure();
+        self.watermark = message.watermark.value();
         self.received_ms = now_ms;
         true
     }
--- a/crates/admission/src/tests/quota_rules/message_bounds.rs
+++ b/crates/admission/src/tests/quota_rules/message_bounds.rs
@@ -88,5 +88,5 @@
     assert_eq!(message.len(), text.len());
     let received = CountsMessage::decode(text).expect("it is of this format");
     assert_eq!((received.stock, received.counts[0].in_flight), (4095, 63));
-    assert_eq!((received.watermark.figure(), received.ceiling_transfers[0].units()), (2.5, 1.25));
+    assert_eq!((received.watermark.value(), received.ceiling_transfers[0].units()), (2.5, 1.25));
 }
