--- a/crates/admission/src/coordination/quota_ownership.rs
+++ b/crates/admission/src/coordination/quota_ownership.rs
@@ -171,7 +171,7 @@
     match verdict {
         QuotaVerdict::Granted | QuotaVerdict::GrantedAmple => {
             let grant = Grant { gateway, number, expires_ms: request.expires_ms };
-            customer.take_grant(plan, units);
+            customer.charge_grant(plan, units);
             customer.grants.grant(grant, units, now_ms, QUOTA_RATE_SPAN_S);
         }
         QuotaVerdict::Queued => {
--- a/crates/admission/src/state/quota/customer_record.rs
+++ b/crates/admission/src/state/quota/customer_record.rs
@@ -145,7 +145,7 @@
     }
 
     /// Takes units that this gateway grants as the quota's owner from the quota and the ceiling.
-    pub(crate) fn take_grant(&mut self, plan: &PlanSettings, units: f64) {
+    pub(crate) fn charge_grant(&mut self, plan: &PlanSettings, units: f64) {
         if plan.rate_per_second > 0.0 {
             self.quota.take(units);
         }
