--- a/crates/admission/src/lifecycle/customers.rs
+++ b/crates/admission/src/lifecycle/customers.rs
@@ -44,7 +44,7 @@
         }
         let plan = self.settings.plan(plan);
         let customer = self.customers.get_or_insert(tag, now_ms);
-        customer.touch(gateways, now_ms);
+        customer.record_request(gateways, now_ms);
         customer.refill(plan, now_ms);
         (customer, plan)
     }
--- a/crates/admission/src/state/quota/customer_record.rs
+++ b/crates/admission/src/state/quota/customer_record.rs
@@ -80,7 +80,7 @@
     }
 
     /// Records a request that came in through these gateways.
-    pub(crate) fn touch(&mut self, gateways: GatewaySet, now_ms: f64) {
+    pub(crate) fn record_request(&mut self, gateways: GatewaySet, now_ms: f64) {
         self.gateways = gateways;
         self.last_used_ms = now_ms;
     }
