--- a/crates/admission/src/coordination/quota_ownership.rs
+++ b/crates/admission/src/coordination/quota_ownership.rs
@@ -175,7 +175,7 @@
             customer.grants.grant(grant, units, now_ms, QUOTA_RATE_SPAN_S);
         }
         QuotaVerdict::Queued => {
-            customer.grants.wait(Grant { gateway, number, expires_ms: request.waits_until_ms });
+            customer.grants.enqueue(Grant { gateway, number, expires_ms: request.waits_until_ms });
         }
         QuotaVerdict::OverQuotaAllowed => customer.consume_ceiling(units),
         QuotaVerdict::OverQuota => {}
--- a/crates/admission/src/state/quota/grant_ledger.rs
+++ b/crates/admission/src/state/quota/grant_ledger.rs
@@ -75,7 +75,7 @@
     }
 
     /// Queues a request until a slot is free.
-    pub(crate) fn wait(&mut self, grant: Grant) {
+    pub(crate) fn enqueue(&mut self, grant: Grant) {
         self.waiting.push_back(grant);
     }
 
