--- a/crates/admission/src/coordination/quota_ownership.rs
+++ b/crates/admission/src/coordination/quota_ownership.rs
@@ -90,7 +90,7 @@
     fn gateways_of(&self, from: GatewayIndex, request: &QuotaRequest) -> Option<GatewaySet> {
         let first = GatewayIndex(request.first_gateway as usize);
         let len = request.gateways as usize;
-        let gateways = GatewaySet::checked(first, len, self.settings.gateways)?;
+        let gateways = GatewaySet::try_new(first, len, self.settings.gateways)?;
         (gateways.contains(from) && gateways.contains(self.settings.this_gateway)).then_some(gateways)
     }
 
--- a/crates/admission/src/state/fleet/gateway_set.rs
+++ b/crates/admission/src/state/fleet/gateway_set.rs
@@ -50,7 +50,7 @@
     }
 
     /// The same as `new`, but `None` where the first gateway or the number of gateways is not of the fleet.
-    pub(crate) fn checked(first: GatewayIndex, len: usize, fleet: usize) -> Option<Self> {
+    pub(crate) fn try_new(first: GatewayIndex, len: usize, fleet: usize) -> Option<Self> {
         (first.0 < fleet && (1..=fleet).contains(&len)).then_some(GatewaySet { first, len, fleet })
     }
 
