--- a/crates/admission/src/state/fleet/gateway_set.rs
+++ b/crates/admission/src/state/fleet/gateway_set.rs
@@ -71,7 +71,7 @@
 
     /// A gateway's position in the set for a customer, from 0. It is rotated by the customer's tag, so that
     /// the first positions fall to other gateways for other customers.
-    pub(crate) fn place(&self, tag: CustomerTag, gateway: GatewayIndex) -> u32 {
+    pub(crate) fn rotated_position(&self, tag: CustomerTag, gateway: GatewayIndex) -> u32 {
         let distance = gateway.0 + self.fleet - self.first.0;
         (distance as u32).wrapping_add(tag.short()) % self.len as u32
     }
