--- a/crates/admission/src/coordination/gossip_exchange.rs
+++ b/crates/admission/src/coordination/gossip_exchange.rs
@@ -72,7 +72,7 @@
         self.band.set_ready_capacity(load.ready_capacity);
         let own_stock = f64::from(load.in_flight);
         let now_ms = self.clock.now_ms();
-        self.fleet_means.measure(own_stock, now_ms, MEAN_GAIN_PER_SECOND, QUOTA_RATE_SPAN_S);
+        self.fleet_means.apply_own(own_stock, now_ms, MEAN_GAIN_PER_SECOND, QUOTA_RATE_SPAN_S);
         match self.coordination {
             Coordination::Gossip(_) => {}
             // Nothing is received: this gateway's figures stand for the others'.
--- a/crates/admission/src/state/fleet/fleet_means.rs
+++ b/crates/admission/src/state/fleet/fleet_means.rs
@@ -62,7 +62,7 @@
 
     /// Moves the means that are passed on towards this gateway's own figures, at a gain per second. The rate
     /// of responses is smoothed over a span.
-    pub(crate) fn measure(&mut self, own_stock: f64, now_ms: f64, gain_per_second: f64, span_s: f64) {
+    pub(crate) fn apply_own(&mut self, own_stock: f64, now_ms: f64, gain_per_second: f64, span_s: f64) {
         let seconds = self.since_measured_ms(now_ms).max(0.0) / 1000.0;
         self.measured_ms = now_ms;
         let gain = 1.0 - (-gain_per_second * seconds).exp();
