--- a/crates/admission/src/lifecycle/upkeep_schedule.rs
+++ b/crates/admission/src/lifecycle/upkeep_schedule.rs
@@ -22,7 +22,7 @@
 
     /// Whether a large fleet's gateway is to review all endpoints again.
     pub(crate) fn review_is_due(&self) -> bool {
-        review_is_due(self.fleet_means.since_measured_ms(self.clock.now_ms()))
+        review_is_due(self.fleet_means.since_own_applied_ms(self.clock.now_ms()))
     }
 
     /// Whether idle customers are to be evicted again.
--- a/crates/admission/src/state/fleet/fleet_means.rs
+++ b/crates/admission/src/state/fleet/fleet_means.rs
@@ -13,7 +13,7 @@
     /// This gateway's own good responses per second.
     own_rate: DecayingRate,
     /// When the means were last moved towards the own figures, in ms.
-    measured_ms: f64,
+    own_applied_ms: f64,
 }
 
 /// Figures of the mean gateway.
@@ -56,15 +56,15 @@
     }
 
     /// Time since the means were last moved towards the own figures.
-    pub(crate) fn since_measured_ms(&self, now_ms: f64) -> f64 {
-        now_ms - self.measured_ms
+    pub(crate) fn since_own_applied_ms(&self, now_ms: f64) -> f64 {
+        now_ms - self.own_applied_ms
     }
 
     /// Moves the means that are passed on towards this gateway's own figures, at a gain per second. The rate
     /// of responses is smoothed over a span.
     pub(crate) fn apply_own(&mut self, own_stock: f64, now_ms: f64, gain_per_second: f64, span_s: f64) {
-        let seconds = self.since_measured_ms(now_ms).max(0.0) / 1000.0;
-        self.measured_ms = now_ms;
+        let seconds = self.since_own_applied_ms(now_ms).max(0.0) / 1000.0;
+        self.own_applied_ms = now_ms;
         let gain = 1.0 - (-gain_per_second * seconds).exp();
         let own = GatewayMeans { stock: own_stock, responses_per_second: self.own_rate.now(now_ms, span_s) };
         self.passed_on.follow(own, gain);
