--- a/crates/admission/src/coordination/gossip_exchange.rs
+++ b/crates/admission/src/coordination/gossip_exchange.rs
@@ -77,7 +77,7 @@
             Coordination::Gossip(_) => {}
             // Nothing is received: this gateway's figures stand for the others'.
             Coordination::Broadcast(_) | Coordination::Counter(_) | Coordination::Isolated => {
-                self.fleet_means.receive_own();
+                self.fleet_means.use_own_as_received();
             }
         }
         let means = self.fleet_means.received();
--- a/crates/admission/src/state/fleet/fleet_means.rs
+++ b/crates/admission/src/state/fleet/fleet_means.rs
@@ -71,7 +71,7 @@
     }
 
     /// Uses this gateway's figures in place of the received ones, where nothing is received.
-    pub(crate) fn receive_own(&mut self) {
+    pub(crate) fn use_own_as_received(&mut self) {
         self.received = self.passed_on;
     }
 }
