--- a/crates/admission/src/coordination/count_reports.rs
+++ b/crates/admission/src/coordination/count_reports.rs
@@ -104,7 +104,7 @@
                 message.stock = stock;
                 message.watermark = WatermarkOnWire::at_most(self.band.watermark());
                 if should_send_report(report_input(peer, &message, now_ms)) {
-                    peer.number_message(&mut message, CREDIT_PER_REPORT, now_ms);
+                    peer.record_sent_report(&mut message, CREDIT_PER_REPORT, now_ms);
                     actions.push(Action::SendPeerMessage { to, body: message.encode() });
                 }
             }
--- a/crates/admission/src/state/fleet/broadcast_peer.rs
+++ b/crates/admission/src/state/fleet/broadcast_peer.rs
@@ -99,7 +99,7 @@
     }
 
     /// Records a report that is sent and costs this credit, and sets the next sequence number in it.
-    pub(crate) fn number_message(&mut self, message: &mut CountsMessage, credit: f64, now_ms: f64) {
+    pub(crate) fn record_sent_report(&mut self, message: &mut CountsMessage, credit: f64, now_ms: f64) {
         self.credit.take(credit);
         self.sent_sequence = next_sequence(self.sent_sequence);
         self.sent_stock = message.stock;
