--- a/crates/admission/src/coordination/quota_requests.rs
+++ b/crates/admission/src/coordination/quota_requests.rs
@@ -100,8 +100,8 @@
             gossip.spend_message_tokens(TOKENS_PER_QUOTA_REQUEST);
         }
         let number = request.number;
-        let at_ms = self.clock.now_ms();
-        active.set_quota(QuotaState::AwaitingOwner { owner, number, at_ms, retries });
+        let sent_ms = self.clock.now_ms();
+        active.set_quota(QuotaState::AwaitingOwner { owner, number, sent_ms, retries });
         gossip.requests.insert(number, id);
         self.send_gossip(owner, GossipMessage::request(request), actions);
     }
@@ -148,8 +148,10 @@
         let wait_ms = response_wait_ms(self.settings.shortest_objective_ms());
         let missed = gossip.requests.waiting().filter_map(|id| {
             let active = self.requests.get(id)?;
-            let QuotaState::AwaitingOwner { owner, at_ms, retries, .. } = active.quota() else { return None };
-            (self.clock.now_ms() - at_ms > wait_ms).then_some(MissedResponse { id, owner, retries })
+            let QuotaState::AwaitingOwner { owner, sent_ms, retries, .. } = active.quota() else {
+                return None;
+            };
+            (self.clock.now_ms() - sent_ms > wait_ms).then_some(MissedResponse { id, owner, retries })
         });
         missed.collect()
     }
--- a/crates/admission/src/state/quota/quota_state.rs
+++ b/crates/admission/src/state/quota/quota_state.rs
@@ -9,7 +9,7 @@
     /// request is to be sent, so that `within_quota` is only what is taken for granted until then.
     LocalBucket { within_quota: bool },
     /// The quota's owner was sent a quota request and has not responded.
-    AwaitingOwner { owner: GatewayIndex, number: QuotaRequestNumber, at_ms: f64, retries: u32 },
+    AwaitingOwner { owner: GatewayIndex, number: QuotaRequestNumber, sent_ms: f64, retries: u32 },
     /// The owner queues the request until the customer has a free slot.
     QueuedAtOwner { owner: GatewayIndex, number: QuotaRequestNumber },
     /// The owner granted it. Where the quota is ample, the true units need not be reported.
