--- a/crates/admission/src/coordination/count_reports.rs
+++ b/crates/admission/src/coordination/count_reports.rs
@@ -62,9 +62,9 @@
         let interval_ms = report_interval_ms(self.settings.gateways, self.settings.peer_messages_per_second);
         let Some(peers) = broadcast.begin_round(self.clock.now_ms(), interval_ms) else { return };
         let round = ReportRound::new(peers);
-        let stock = self.band_load().in_flight;
+        let in_flight = self.band_load().in_flight;
         let round = self.collect_reports(round);
-        self.send_reports(round, stock, actions);
+        self.send_reports(round, in_flight, actions);
     }
 
     /// Packs what is to be reported of customers into messages.
@@ -92,7 +92,7 @@
     }
 
     /// Completes the messages of a round, and sends those that are due.
-    fn send_reports(&mut self, round: ReportRound, stock: u32, actions: &mut Vec<Action>) {
+    fn send_reports(&mut self, round: ReportRound, in_flight: u32, actions: &mut Vec<Action>) {
         let now_ms = self.clock.now_ms();
         let Coordination::Broadcast(broadcast) = &mut self.coordination else { return };
         let per_second = reports_per_second(self.settings.gateways, self.settings.peer_messages_per_second);
@@ -101,7 +101,7 @@
             peer.accrue_credit(per_second, max_saved_reports(per_second), now_ms);
             for mut message in messages {
                 message.incarnation = self.incarnation;
-                message.stock = stock;
+                message.in_flight = in_flight;
                 message.watermark = WatermarkOnWire::at_most(self.band.watermark());
                 if should_send_report(report_input(peer, &message, now_ms)) {
                     peer.record_sent_report(&mut message, CREDIT_PER_REPORT, now_ms);
@@ -182,7 +182,7 @@
     ReportInput {
         message_credit: peer.credit(),
         has_no_customers: message.is_empty(),
-        has_same_stock: peer.sent_stock() == message.stock,
+        has_same_stock: peer.sent_in_flight() == message.in_flight,
         since_last_ms: peer.since_sent_ms(now_ms),
     }
 }
--- a/crates/admission/src/coordination/gossip_exchange.rs
+++ b/crates/admission/src/coordination/gossip_exchange.rs
@@ -36,7 +36,8 @@
     fn apply_means(&mut self, means: &MeansOnWire) {
         let watermark = bounded_watermark(means.watermark(), self.watermark_floor());
         self.band.follow_watermark(watermark, MEAN_GAIN);
-        let means = GatewayMeans { stock: means.stock(), responses_per_second: means.responses_per_second() };
+        let means =
+            GatewayMeans { in_flight: means.in_flight(), responses_per_second: means.responses_per_second() };
         self.fleet_means.apply(means, MEAN_GAIN, RECEIVED_MEAN_GAIN);
     }
 
@@ -52,7 +53,7 @@
             return self.on_quota_messages(to, message, actions);
         }
         let means = self.fleet_means.passed_on();
-        message.means = MeansOnWire::new(means.stock, self.band.watermark(), means.responses_per_second);
+        message.means = MeansOnWire::new(means.in_flight, self.band.watermark(), means.responses_per_second);
         message.observations = self.recent_observations.to_vec();
         actions.push(Action::SendPeerMessage { to, body: message.encode() });
     }
@@ -70,9 +71,9 @@
     pub(crate) fn update_means(&mut self) {
         let load = self.band_load();
         self.band.set_ready_capacity(load.ready_capacity);
-        let own_stock = f64::from(load.in_flight);
+        let own_in_flight = f64::from(load.in_flight);
         let now_ms = self.clock.now_ms();
-        self.fleet_means.apply_own(own_stock, now_ms, MEAN_GAIN_PER_SECOND, QUOTA_RATE_SPAN_S);
+        self.fleet_means.apply_own(own_in_flight, now_ms, MEAN_GAIN_PER_SECOND, QUOTA_RATE_SPAN_S);
         match self.coordination {
             Coordination::Gossip(_) => {}
             // Nothing is received: this gateway's figures stand for the others'.
--- a/crates/admission/src/lifecycle/band_control.rs
+++ b/crates/admission/src/lifecycle/band_control.rs
@@ -66,7 +66,7 @@
     /// The band of a large fleet, by gossip.
     fn gossip_band(&self) -> LargeFleetBand {
         LargeFleetBand {
-            mean_stock: self.fleet_means.received().stock,
+            mean_stock: self.fleet_means.received().in_flight,
             gateways: self.settings.gateways,
             watermark: self.band.watermark(),
             ready_capacity: self.band.ready_capacity(),
--- a/crates/admission/src/messages/counts_message.rs
+++ b/crates/admission/src/messages/counts_message.rs
@@ -14,7 +14,7 @@
 const SEQUENCE_DIGITS: u32 = 2;
 
 /// Digits of the attempts that the sender has in flight.
-const STOCK_DIGITS: u32 = 2;
+const SENDER_IN_FLIGHT_DIGITS: u32 = 2;
 
 /// Digits of a customer's tag.
 const TAG_DIGITS: u32 = 4;
@@ -30,7 +30,7 @@
 
 /// Bytes of the message's head: version, incarnation, sequence number, attempts in flight and watermark.
 const HEAD_LEN: usize =
-    1 + (INCARNATION_DIGITS + SEQUENCE_DIGITS + STOCK_DIGITS + WatermarkOnWire::LEN) as usize;
+    1 + (INCARNATION_DIGITS + SEQUENCE_DIGITS + SENDER_IN_FLIGHT_DIGITS + WatermarkOnWire::LEN) as usize;
 
 /// Bytes of a count with its marker.
 const COUNT_LEN: usize = 1 + (TAG_DIGITS + CONSUMED_DIGITS + SixtyThirds::LEN + IN_FLIGHT_DIGITS) as usize;
@@ -165,7 +165,7 @@
     /// The message's sequence number to this receiver, 12 bits.
     pub sequence: u32,
     /// Attempts that the sender has in flight; the wire carries 4095 at most.
-    pub stock: u32,
+    pub in_flight: u32,
     /// The sender's watermark.
     pub watermark: WatermarkOnWire,
     /// Customers that the sender consumed units of or has attempts in flight for.
@@ -196,7 +196,7 @@
         text.push(char::from(VERSION));
         put(&mut text, self.incarnation, INCARNATION_DIGITS);
         put(&mut text, self.sequence, SEQUENCE_DIGITS);
-        put_at_most(&mut text, self.stock, STOCK_DIGITS);
+        put_at_most(&mut text, self.in_flight, SENDER_IN_FLIGHT_DIGITS);
         self.watermark.encode(&mut text);
         put_entries(&mut text, &self.counts);
         put_entries(&mut text, &self.ceiling_requests);
@@ -211,7 +211,7 @@
         let mut message = CountsMessage {
             incarnation: take(&mut bytes, INCARNATION_DIGITS)?,
             sequence: take(&mut bytes, SEQUENCE_DIGITS)?,
-            stock: take(&mut bytes, STOCK_DIGITS)?,
+            in_flight: take(&mut bytes, SENDER_IN_FLIGHT_DIGITS)?,
             watermark: WatermarkOnWire::decode(&mut bytes)?,
             ..CountsMessage::default()
         };
--- a/crates/admission/src/messages/gossip_message.rs
+++ b/crates/admission/src/messages/gossip_message.rs
@@ -31,7 +31,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub(crate) struct MeansOnWire {
     /// Attempts in flight.
-    stock: FixedPoint<64, 2>,
+    in_flight: FixedPoint<64, 2>,
     /// The watermark.
     watermark: FixedPoint<32, 2>,
     /// Good responses per second.
@@ -40,17 +40,17 @@
 
 impl MeansOnWire {
     /// Means of a gateway's attempts in flight, its watermark, and its good responses per second.
-    pub(crate) fn new(stock: f64, watermark: f64, responses_per_second: f64) -> Self {
+    pub(crate) fn new(in_flight: f64, watermark: f64, responses_per_second: f64) -> Self {
         MeansOnWire {
-            stock: FixedPoint::nearest(stock),
+            in_flight: FixedPoint::nearest(in_flight),
             watermark: FixedPoint::nearest(watermark),
             rate: FixedPoint::nearest(responses_per_second),
         }
     }
 
     /// Mean attempts in flight of a gateway.
-    pub(crate) fn stock(&self) -> f64 {
-        self.stock.value()
+    pub(crate) fn in_flight(&self) -> f64 {
+        self.in_flight.value()
     }
 
     /// Mean watermark.
@@ -65,7 +65,7 @@
 
     /// Adds the means' digits to a message.
     fn encode(&self, text: &mut String) {
-        self.stock.encode(text);
+        self.in_flight.encode(text);
         self.watermark.encode(text);
         self.rate.encode(text);
     }
@@ -73,7 +73,7 @@
     /// Reads the means from a message; `None` where their digits are not all there.
     fn decode(bytes: &mut Bytes<'_>) -> Option<Self> {
         Some(MeansOnWire {
-            stock: FixedPoint::decode(bytes)?,
+            in_flight: FixedPoint::decode(bytes)?,
             watermark: FixedPoint::decode(bytes)?,
             rate: FixedPoint::decode(bytes)?,
         })
--- a/crates/admission/src/policy/band/band_bounds.rs
+++ b/crates/admission/src/policy/band/band_bounds.rs
@@ -15,9 +15,9 @@
     let lower = band.middle * (1.0 - BAND_DEVIATION);
     let upper = band.middle * (1.0 + BAND_DEVIATION);
     let is_below_even_fraction = band.own_in_flight < lower / band.gateways;
-    if is_below_even_fraction || band.stock < lower {
+    if is_below_even_fraction || band.in_flight < lower {
         BandPosition::UnderLower
-    } else if band.stock < upper {
+    } else if band.in_flight < upper {
         BandPosition::BetweenBounds
     } else {
         BandPosition::NotUnderUpper
@@ -26,5 +26,5 @@
 
 /// Whether the endpoints are saturated, in broadcast mode.
 pub(crate) fn is_saturated_in_broadcast_mode(band: &Band) -> bool {
-    band.stock > SATURATED_FILL * band.middle
+    band.in_flight > SATURATED_FILL * band.middle
 }
--- a/crates/admission/src/policy/peer_messages/fleet_mean_rules.rs
+++ b/crates/admission/src/policy/peer_messages/fleet_mean_rules.rs
@@ -27,7 +27,7 @@
 ) -> f64 {
     let longest_ms = longest_objective_ms.max(mean_response_ms);
     let age_ms = if means.responses_per_second > 0.0 {
-        1000.0 * means.stock / means.responses_per_second
+        1000.0 * means.in_flight / means.responses_per_second
     } else {
         mean_response_ms
     };
--- a/crates/admission/src/state/fleet/band_state.rs
+++ b/crates/admission/src/state/fleet/band_state.rs
@@ -38,7 +38,7 @@
     /// This gateway's attempts in flight.
     pub(crate) own_in_flight: f64,
     /// The stock: attempts in flight of all gateways.
-    pub(crate) stock: f64,
+    pub(crate) in_flight: f64,
     /// The stock that the band is centred on.
     pub(crate) middle: f64,
     /// The gateways that the stock is summed over, this one included.
@@ -90,15 +90,15 @@
         watermark: f64,
         peers: impl Iterator<Item = &'a BroadcastPeer>,
     ) -> Self {
-        let (mut peer_stock, mut watermarks, mut gateways) = (0, watermark, 1.0);
+        let (mut peer_in_flight, mut watermarks, mut gateways) = (0, watermark, 1.0);
         for peer in peers {
-            peer_stock += peer.stock();
+            peer_in_flight += peer.in_flight();
             watermarks += peer.watermark();
             gateways += 1.0;
         }
         Band {
             own_in_flight: f64::from(load.in_flight),
-            stock: f64::from(load.in_flight + peer_stock),
+            in_flight: f64::from(load.in_flight + peer_in_flight),
             middle: watermarks / gateways * load.ready_capacity,
             gateways,
         }
--- a/crates/admission/src/state/fleet/broadcast_peer.rs
+++ b/crates/admission/src/state/fleet/broadcast_peer.rs
@@ -10,7 +10,7 @@
     /// Sequence number of the last message.
     sequence: u32,
     /// Attempts that the peer reported to have in flight.
-    stock: u32,
+    in_flight: u32,
     /// The watermark that the peer reported.
     watermark: f64,
     /// When the last message came, in ms.
@@ -24,7 +24,7 @@
     /// Sequence number of that report.
     sent_sequence: u32,
     /// Attempts in flight that it had.
-    sent_stock: u32,
+    sent_in_flight: u32,
 }
 
 impl BroadcastPeer {
@@ -33,20 +33,20 @@
         BroadcastPeer {
             incarnation: None,
             sequence: 0,
-            stock: 0,
+            in_flight: 0,
             watermark: 0.0,
             received_ms: f64::NEG_INFINITY,
             credit: TokenCount::default(),
             credited_ms: 0.0,
             sent_ms: 0.0,
             sent_sequence: 0,
-            sent_stock: 0,
+            sent_in_flight: 0,
         }
     }
 
     /// Attempts that the peer reported to have in flight.
-    pub(crate) fn stock(&self) -> u32 {
-        self.stock
+    pub(crate) fn in_flight(&self) -> u32 {
+        self.in_flight
     }
 
     /// The watermark that the peer reported.
@@ -70,7 +70,7 @@
         }
         self.incarnation = Some(message.incarnation);
         self.sequence = message.sequence;
-        self.stock = message.stock;
+        self.in_flight = message.in_flight;
         self.watermark = message.watermark.value();
         self.received_ms = now_ms;
         true
@@ -89,8 +89,8 @@
     }
 
     /// Attempts in flight that the last report to the peer had.
-    pub(crate) fn sent_stock(&self) -> u32 {
-        self.sent_stock
+    pub(crate) fn sent_in_flight(&self) -> u32 {
+        self.sent_in_flight
     }
 
     /// Time since the last report to the peer.
@@ -102,7 +102,7 @@
     pub(crate) fn record_sent_report(&mut self, message: &mut CountsMessage, credit: f64, now_ms: f64) {
         self.credit.take(credit);
         self.sent_sequence = next_sequence(self.sent_sequence);
-        self.sent_stock = message.stock;
+        self.sent_in_flight = message.in_flight;
         self.sent_ms = now_ms;
         message.sequence = self.sent_sequence;
     }
--- a/crates/admission/src/state/fleet/fleet_means.rs
+++ b/crates/admission/src/state/fleet/fleet_means.rs
@@ -20,7 +20,7 @@
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct GatewayMeans {
     /// Attempts in flight of one gateway in the mean.
-    pub(crate) stock: f64,
+    pub(crate) in_flight: f64,
     /// Good responses per second.
     pub(crate) responses_per_second: f64,
 }
@@ -28,7 +28,7 @@
 impl GatewayMeans {
     /// Moves each figure by the fraction `gain` of the distance.
     fn follow(&mut self, sample: GatewayMeans, gain: f64) {
-        smooth(&mut self.stock, sample.stock, gain);
+        smooth(&mut self.in_flight, sample.in_flight, gain);
         smooth(&mut self.responses_per_second, sample.responses_per_second, gain);
     }
 }
@@ -62,11 +62,14 @@
 
     /// Moves the means that are passed on towards this gateway's own figures, at a gain per second. The rate
     /// of responses is smoothed over a span.
-    pub(crate) fn apply_own(&mut self, own_stock: f64, now_ms: f64, gain_per_second: f64, span_s: f64) {
+    pub(crate) fn apply_own(&mut self, own_in_flight: f64, now_ms: f64, gain_per_second: f64, span_s: f64) {
         let seconds = self.since_own_applied_ms(now_ms).max(0.0) / 1000.0;
         self.own_applied_ms = now_ms;
         let gain = 1.0 - (-gain_per_second * seconds).exp();
-        let own = GatewayMeans { stock: own_stock, responses_per_second: self.own_rate.now(now_ms, span_s) };
+        let own = GatewayMeans {
+            in_flight: own_in_flight,
+            responses_per_second: self.own_rate.now(now_ms, span_s),
+        };
         self.passed_on.follow(own, gain);
     }
 
--- a/crates/admission/src/tests/load_rules/band_position_rules.rs
+++ b/crates/admission/src/tests/load_rules/band_position_rules.rs
@@ -7,13 +7,13 @@
 use crate::state::{Band, BandPosition};
 
 /// Two gateways, and a band from 90 to 110 around 100 attempts: 45 at its lower bound for each gateway.
-fn reported_band(own_in_flight: f64, stock: f64) -> Band {
-    Band { own_in_flight, stock, middle: 100.0, gateways: 2.0 }
+fn reported_band(own_in_flight: f64, in_flight: f64) -> Band {
+    Band { own_in_flight, in_flight, middle: 100.0, gateways: 2.0 }
 }
 
 /// 10 gateways and 25 endpoints at a watermark of 4: a middle of 100 attempts, 10 for each gateway.
-fn gossip_band(stock: f64) -> LargeFleetBand {
-    LargeFleetBand { mean_stock: stock / 10.0, gateways: 10, watermark: 4.0, ready_capacity: 25.0 }
+fn gossip_band(in_flight: f64) -> LargeFleetBand {
+    LargeFleetBand { mean_stock: in_flight / 10.0, gateways: 10, watermark: 4.0, ready_capacity: 25.0 }
 }
 
 #[test]
@@ -26,17 +26,17 @@
         (44.0, 500.0, BandPosition::UnderLower),
         (45.0, 500.0, BandPosition::NotUnderUpper),
     ];
-    for (own_in_flight, stock, expected) in cases {
-        let position = position_in_broadcast_mode(&reported_band(own_in_flight, stock));
-        assert_eq!(position, expected, "{own_in_flight} of {stock}");
+    for (own_in_flight, in_flight, expected) in cases {
+        let position = position_in_broadcast_mode(&reported_band(own_in_flight, in_flight));
+        assert_eq!(position, expected, "{own_in_flight} of {in_flight}");
     }
 }
 
 #[test]
 fn endpoints_are_saturated_beyond_half_of_the_middle() {
-    for (stock, saturated) in [(50.0, false), (51.0, true)] {
-        assert_eq!(is_saturated_in_broadcast_mode(&reported_band(0.0, stock)), saturated, "{stock}");
-        assert_eq!(gossip_band(stock).is_saturated(), saturated, "{stock} by gossip");
+    for (in_flight, saturated) in [(50.0, false), (51.0, true)] {
+        assert_eq!(is_saturated_in_broadcast_mode(&reported_band(0.0, in_flight)), saturated, "{in_flight}");
+        assert_eq!(gossip_band(in_flight).is_saturated(), saturated, "{in_flight} by gossip");
     }
 }
 
@@ -47,9 +47,9 @@
         (61.0, 0.9, BandPosition::NotUnderUpper),
         (61.0, 1.0, BandPosition::UnderLower),
     ];
-    for (stock, credit, expected) in cases {
-        let position = position_in_large_fleet(&gossip_band(stock), credit, 1.0);
-        assert_eq!(position, expected, "{stock}, {credit}");
+    for (in_flight, credit, expected) in cases {
+        let position = position_in_large_fleet(&gossip_band(in_flight), credit, 1.0);
+        assert_eq!(position, expected, "{in_flight}, {credit}");
     }
     assert!(gossip_band(61.0).is_gated() && !gossip_band(59.0).is_gated());
 }
@@ -72,9 +72,9 @@
 #[test]
 fn credit_refills_by_the_even_quota_faster_while_the_stock_is_low() {
     // 10 attempts at a mean response time of 500 ms are 20 requests a second.
-    for (stock, earned) in [(0.0, 6.0), (100.0, 2.0), (120.0, 1.2), (1000.0, 0.6)] {
-        let credit = credit_after_refill(-1.0, &gossip_band(stock), 500.0, 0.1);
-        assert!(is_close(credit, earned - 1.0), "{credit} at {stock}");
+    for (in_flight, earned) in [(0.0, 6.0), (100.0, 2.0), (120.0, 1.2), (1000.0, 0.6)] {
+        let credit = credit_after_refill(-1.0, &gossip_band(in_flight), 500.0, 0.1);
+        assert!(is_close(credit, earned - 1.0), "{credit} at {in_flight}");
     }
     assert_eq!(credit_after_refill(9.0, &gossip_band(0.0), 500.0, 1.0), 10.0, "the even quota is the limit");
     let band = LargeFleetBand { ready_capacity: 1.0, ..gossip_band(0.0) };
--- a/crates/admission/src/tests/quota_rules/message_bounds.rs
+++ b/crates/admission/src/tests/quota_rules/message_bounds.rs
@@ -72,7 +72,7 @@
     let message = CountsMessage {
         incarnation: 1,
         sequence: 2,
-        stock: 5000,
+        in_flight: 5000,
         watermark: WatermarkOnWire::at_most(2.5),
         counts: vec![CountEntry {
             tag: 1,
@@ -87,6 +87,6 @@
     assert_eq!(message.encode(), text);
     assert_eq!(message.len(), text.len());
     let received = CountsMessage::decode(text).expect("it is of this format");
-    assert_eq!((received.stock, received.counts[0].in_flight), (4095, 63));
+    assert_eq!((received.in_flight, received.counts[0].in_flight), (4095, 63));
     assert_eq!((received.watermark.value(), received.ceiling_transfers[0].units()), (2.5, 1.25));
 }
--- a/crates/admission/src/tests/quota_rules/peer_message_rules.rs
+++ b/crates/admission/src/tests/quota_rules/peer_message_rules.rs
@@ -96,10 +96,10 @@
 fn attempt_age_is_stock_over_response_rate_within_bounds() {
     // Mean responses of 100 ms, longest objective 1000 ms.
     let cases = [(6.0, 20.0, 300.0), (0.1, 20.0, 50.0), (90.0, 20.0, 2000.0), (6.0, 0.0, 100.0)];
-    for (stock, responses_per_second, expected) in cases {
-        let means = GatewayMeans { stock, responses_per_second };
+    for (in_flight, responses_per_second, expected) in cases {
+        let means = GatewayMeans { in_flight, responses_per_second };
         assert!(is_close(mean_attempt_age_ms(means, 100.0, 1000.0), expected), "{means:?}");
     }
-    let jammed = GatewayMeans { stock: 900.0, responses_per_second: 1.0 };
+    let jammed = GatewayMeans { in_flight: 900.0, responses_per_second: 1.0 };
     assert_eq!(mean_attempt_age_ms(jammed, 1500.0, 1000.0), 3000.0, "the response time is the longer one");
 }
