--- a/crates/admission/src/state/fleet/mod.rs
+++ b/crates/admission/src/state/fleet/mod.rs
@@ -5,8 +5,8 @@
 mod coordination_mode;
 mod fleet_means;
 mod gateway_set;
-mod gossip_credit;
 mod gossip_peer;
+mod gossip_peers;
 
 pub(crate) use band_state::{Band, BandLoad, BandPosition, InFlightBand};
 pub(crate) use broadcast_peer::BroadcastPeer;
@@ -14,5 +14,5 @@
 pub(crate) use coordination_mode::{Coordination, FleetMode};
 pub(crate) use fleet_means::{FleetMeans, GatewayMeans};
 pub(crate) use gateway_set::{peer_indices, GatewaySet, RankedGateway};
-pub(crate) use gossip_credit::Gossip;
 pub(crate) use gossip_peer::GossipPeer;
+pub(crate) use gossip_peers::Gossip;
