--- a/crates/admission/src/state/fleet/gossip_peers.rs
+++ b/crates/admission/src/state/fleet/gossip_peers.rs
@@ -4,7 +4,7 @@
 use crate::mechanism::token_bucket::TokenCount;
 use crate::messages::gossip_message::GossipMessage;
 use crate::settings::Settings;
-use crate::state::{peer_indices, GossipPeer, QuotaRequests};
+use crate::state::{peer_indices, GossipPeer, PendingQuotaRequests};
 use std::collections::BTreeMap;
 
 /// What a gateway knows of the others in gossip mode, and how many quota requests it may send them.
@@ -13,7 +13,7 @@
     /// The other gateways, by number.
     peers: BTreeMap<GatewayIndex, GossipPeer>,
     /// Quota requests that wait for a response.
-    pub(crate) requests: QuotaRequests,
+    pub(crate) requests: PendingQuotaRequests,
     /// Message tokens: each quota request costs one, so that no gateway is sent more messages than it
     /// accepts.
     message_tokens: TokenCount,
@@ -27,7 +27,7 @@
     pub(crate) fn new(settings: &Settings, message_tokens: f64) -> Self {
         Gossip {
             peers: peer_indices(settings).map(|peer| (peer, GossipPeer::default())).collect(),
-            requests: QuotaRequests::default(),
+            requests: PendingQuotaRequests::default(),
             message_tokens: TokenCount::new(message_tokens),
             received_rate: DecayingRate::default(),
         }
--- a/crates/admission/src/state/mod.rs
+++ b/crates/admission/src/state/mod.rs
@@ -1,4 +1,5 @@
-//! Records, each with the methods that keep it consistent, grouped by what they are about.
+//! The state of a gateway, grouped by subject: endpoints, fleet, quotas and requests. Each type has the
+//! methods that keep its fields consistent.
 mod endpoint;
 mod event_clock;
 mod fleet;
@@ -16,8 +17,8 @@
     FleetMode, GatewayMeans, GatewaySet, Gossip, GossipPeer, InFlightBand, RankedGateway,
 };
 pub(crate) use quota::{
-    CatchUp, CountedRequest, CounterAccount, CounterCall, CounterCalls, CounterEpoch, Customer,
-    CustomerTable, Grant, LocalBucketCheck, PeerCount, QuotaDecision, QuotaExpectation, QuotaGrants,
-    QuotaRequests, QuotaRoute, QuotaState, ReportedConsumption,
+    CatchUp, CountedRequest, CounterCall, CounterCallQueue, CounterCalls, CounterEpoch, Customer,
+    CustomerTable, Grant, LocalBucketCheck, PeerCount, PendingQuotaRequests, QuotaDecision, QuotaExpectation,
+    QuotaGrants, QuotaRoute, QuotaState, ReportedConsumption,
 };
 pub(crate) use request::{ActiveRequest, Attempt, AttemptRef, PendingAttempt, RequestTable, RetryBudget};
--- a/crates/admission/src/state/quota/counter_call_queue.rs
+++ b/crates/admission/src/state/quota/counter_call_queue.rs
@@ -1,41 +1,42 @@
-//! Counter mode: a customer's calls to the shared counter, and the corrections that its count is due.
+//! Counter mode: a customer's queue of calls to the shared counter, and the corrections that the customer's
+//! count needs.
 use crate::id::RequestId;
 use crate::settings::PlanSettings;
 use std::collections::VecDeque;
 
-/// A call to the counter.
+/// A call to the shared counter, by its purpose.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum CounterCall {
-    /// Adds the units of a request, to learn whether the count had tokens for them.
+    /// Adds the units of a request; the total in the reply shows whether the customer had tokens for them.
     Request(CountedRequest),
-    /// Raises a count that lags behind the clock.
+    /// Raises a count that is so low that it leaves the customer more tokens than the burst.
     CatchUp(CatchUp),
-    /// Adds only the corrections due.
+    /// Adds only the corrections, when no other call is queued.
     Settle,
 }
 
-/// A request that the counter is called for.
+/// A request for which the counter is called.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct CountedRequest {
-    /// The request.
+    /// Id of the request.
     pub(crate) id: RequestId,
     /// Units of the request itself.
     pub(crate) units: f64,
-    /// Units added to the count: also those of the requests that this one stands for.
+    /// Units that the call adds: those of the request and of the unsampled requests that it stands for.
     pub(crate) added_units: f64,
 }
 
-/// By how much a count is raised to keep up with the clock.
+/// The amount by which a call raises a count that has fallen behind the plan's rate.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct CatchUp {
-    /// Units to be added.
+    /// Units that the call adds.
     pub(crate) units: f64,
-    /// The total that showed the lag.
+    /// Total, in units, that showed that the count had fallen behind.
     pub(crate) seen_total: f64,
 }
 
 impl CounterCall {
-    /// Units that the call adds, without corrections.
+    /// Returns the units that the call adds, without corrections.
     fn units(&self) -> f64 {
         match self {
             CounterCall::Request(request) => request.added_units,
@@ -45,55 +46,58 @@
     }
 }
 
-/// The call in flight, with the corrections that it carries along.
+/// A call in flight and the corrections that it carries.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct CallInFlight {
-    /// The call.
+    /// The call, without corrections.
     pub(crate) call: CounterCall,
-    /// Corrections that it carries, in units; below 0 they lower the count.
+    /// Corrections that the call carries, in units; below 0 they lower the count.
     pub(crate) correction_units: f64,
 }
 
-/// Tokens of a customer as the counter last showed them.
+/// The tokens of a customer after its last call: by the total in the reply, or as assumed if the counter gave
+/// no total.
 #[derive(Debug, Clone, Copy, PartialEq)]
-struct TokensSeen {
-    /// The tokens.
+struct RecordedTokens {
+    /// Tokens of the customer, in units.
     tokens: f64,
-    /// When the counter showed them, in ms.
-    at_ms: f64,
+    /// When the tokens were recorded, in ms.
+    recorded_ms: f64,
 }
 
-/// A customer's calls to the counter. One is in flight at a time, so that each reply belongs to one call.
+/// A customer's queue of calls to the shared counter. One call is in flight at a time, so that each reply
+/// belongs to a known call.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct CounterAccount {
-    /// The call in flight.
+pub(crate) struct CounterCallQueue {
+    /// The call that awaits its reply.
     in_flight: Option<CallInFlight>,
-    /// Queued calls, oldest first.
+    /// Calls that wait to be made, oldest first.
     queue: VecDeque<CounterCall>,
     /// Units by which the count is too low; below 0, too high. The next call adds them.
     correction_units: f64,
-    /// What the last reply showed.
-    seen: Option<TokensSeen>,
+    /// Tokens after the last call; `None` before the first one has ended.
+    recorded: Option<RecordedTokens>,
 }
 
-impl CounterAccount {
-    /// Queues a call after all others.
+impl CounterCallQueue {
+    /// Adds a call to the end of the queue.
     pub(crate) fn push(&mut self, call: CounterCall) {
         self.queue.push_back(call);
     }
 
-    /// Queues a call before all others.
+    /// Adds a call to the front of the queue.
     pub(crate) fn push_first(&mut self, call: CounterCall) {
         self.queue.push_front(call);
     }
 
-    /// Whether calls are queued.
+    /// Returns whether calls are queued.
     pub(crate) fn has_queued(&self) -> bool {
         !self.queue.is_empty()
     }
 
-    /// Starts the next call where none is in flight, and returns the units that it adds. Calls for requests
-    /// that no longer wait for a reply are dropped. With no call queued, corrections are settled alone.
+    /// Starts the next call and returns the units that it adds; `None` if a call is in flight or there is
+    /// nothing to add. Calls for requests that no longer wait for a reply are dropped. If no call is queued,
+    /// a call that adds only the corrections is made.
     pub(crate) fn next_call(&mut self, waits_for_reply: impl Fn(RequestId) -> bool) -> Option<f64> {
         if self.in_flight.is_some() {
             return None;
@@ -111,26 +115,26 @@
         Some(call.units() + correction_units)
     }
 
-    /// Ends the call in flight.
+    /// Ends the call in flight and returns it.
     pub(crate) fn complete(&mut self) -> Option<CallInFlight> {
         self.in_flight.take()
     }
 
-    /// Adds to the corrections due.
+    /// Adds units to the corrections that the next call carries.
     pub(crate) fn correct(&mut self, units: f64) {
         self.correction_units += units;
     }
 
-    /// Records what a reply showed of the customer's tokens.
+    /// Records the tokens that the customer has after a call.
     pub(crate) fn record_tokens(&mut self, tokens: f64, now_ms: f64) {
-        self.seen = Some(TokensSeen { tokens, at_ms: now_ms });
+        self.recorded = Some(RecordedTokens { tokens, recorded_ms: now_ms });
     }
 
-    /// The most tokens that the customer can have now, by what the last reply showed and what the rate has
-    /// added since; `None` before the first reply.
+    /// Returns the most tokens that the customer can have now: those last recorded and what the rate has
+    /// added since, up to the burst. `None` before the first call has ended.
     pub(crate) fn tokens_at_most(&self, plan: &PlanSettings, now_ms: f64) -> Option<f64> {
-        let seen = self.seen?;
-        let accrued = plan.rate_per_second * (now_ms - seen.at_ms).max(0.0) / 1000.0;
-        Some((seen.tokens + accrued).min(plan.burst_units))
+        let recorded = self.recorded?;
+        let accrued = plan.rate_per_second * (now_ms - recorded.recorded_ms).max(0.0) / 1000.0;
+        Some((recorded.tokens + accrued).min(plan.burst_units))
     }
 }
--- a/crates/admission/src/state/quota/customer_record.rs
+++ b/crates/admission/src/state/quota/customer_record.rs
@@ -1,52 +1,55 @@
-//! A customer: the tokens of its quota and its ceiling, and what is known of it by reports, grants and the
-//! counter.
+//! A customer's record: tokens of its quota and hard ceiling, and what reports, grants and the counter say
+//! about it.
 use crate::id::{GatewayIndex, PlanIndex};
 use crate::mechanism::token_bucket::TokenBucket;
 use crate::settings::PlanSettings;
 use crate::state::quota::customer_reports::{CustomerReports, PeerActivity, PeerCount, ReportedConsumption};
-use crate::state::{CounterAccount, GatewaySet, QuotaGrants};
+use crate::state::{CounterCallQueue, GatewaySet, QuotaGrants};
 
-/// A customer as this gateway knows it.
+/// A customer's record at this gateway.
 #[derive(Debug, Clone)]
 pub(crate) struct Customer {
-    /// Its plan, an index into the settings; `None` while it is known from peers' reports alone.
+    /// The customer's plan, an index into the settings; `None` while the customer is known from peers'
+    /// reports alone.
     plan: Option<PlanIndex>,
-    /// The gateways that its requests come through.
+    /// Gateways that the customer's requests come through.
     gateways: GatewaySet,
-    /// Units of its quota. Before the plan is known it has the fraction of the burst that was last reported,
-    /// which `set_plan` turns into units.
+    /// Token bucket of the quota, in units. Before the plan is known, it holds the fraction of the burst that
+    /// was last reported, which `set_plan` converts to units.
     quota: TokenBucket,
-    /// Units of this gateway's own fraction of its hard ceiling.
+    /// Token bucket of this gateway's fraction of the hard ceiling, in units.
     ceiling: TokenBucket,
-    /// When a request of the customer came in here, or a report of it from a peer, in ms.
+    /// When the customer's last request, or a peer's last report about the customer, was received, in ms.
     last_used_ms: f64,
-    /// Own attempts in flight.
+    /// Attempts that this gateway has in flight for the customer.
     in_flight: u32,
-    /// Broadcast mode: what gateways report to each other of it.
+    /// Broadcast mode: what gateways report to each other about the customer.
     pub(crate) reports: CustomerReports,
-    /// Gossip mode: what this gateway granted to others as the owner of the customer's quota.
+    /// Gossip mode: quota requests that this gateway has granted or queued as the owner of the customer's
+    /// quota.
     pub(crate) grants: QuotaGrants,
-    /// Gossip mode: the sampling fraction that the quota's owner sent, where that is another gateway.
+    /// Gossip mode: the sampling fraction that the quota's owner sent, if the owner is another gateway.
     sampling: OwnerSampling,
-    /// Counter mode: its calls to the shared counter.
-    pub(crate) counter: CounterAccount,
+    /// Counter mode: calls to the shared counter for the customer.
+    pub(crate) counter: CounterCallQueue,
 }
 
-/// The fraction of a customer's requests for which its quota's owner wants quota requests.
+/// The fraction of a customer's requests for which the owner of the quota wants quota requests.
 #[derive(Debug, Clone, Copy)]
 struct OwnerSampling {
     /// The fraction, 0 to 1.
     fraction: f64,
-    /// When the owner sent it, in ms.
+    /// When the fraction was received, in ms.
     received_ms: f64,
 }
 
 impl Customer {
-    /// A customer of whom nothing is known: a full quota.
+    /// Creates the record of a customer about which nothing is known, with a full quota.
     pub(crate) fn new(now_ms: f64) -> Self {
         Customer {
             plan: None,
-            // A placeholder until its first request here says which gateways it comes through.
+            // A placeholder until the customer's first request here says which gateways its requests come
+            // through.
             gateways: GatewaySet::new(GatewayIndex(0), 1, 1),
             quota: TokenBucket::new(1.0, 1.0, now_ms),
             ceiling: TokenBucket::new(0.0, 1.0, now_ms),
@@ -55,41 +58,42 @@
             reports: CustomerReports::default(),
             grants: QuotaGrants::default(),
             sampling: OwnerSampling { fraction: 1.0, received_ms: now_ms },
-            counter: CounterAccount::default(),
+            counter: CounterCallQueue::default(),
         }
     }
 
-    /// Its plan, an index into the settings.
+    /// Returns the customer's plan, an index into the settings.
     pub(crate) fn plan(&self) -> Option<PlanIndex> {
         self.plan
     }
 
-    /// The gateways that its requests come through.
+    /// Returns the gateways that the customer's requests come through.
     pub(crate) fn gateways(&self) -> &GatewaySet {
         &self.gateways
     }
 
-    /// Units of the quota as of the last refill.
+    /// Returns the tokens of the quota as of the last refill.
     pub(crate) fn quota_tokens(&self) -> f64 {
         self.quota.tokens()
     }
 
-    /// Units of this gateway's fraction of the ceiling as of the last refill.
+    /// Returns the tokens of this gateway's fraction of the ceiling as of the last refill.
     pub(crate) fn ceiling_tokens(&self) -> f64 {
         self.ceiling.tokens()
     }
 
-    /// Records a request that came in through these gateways.
+    /// Records a request; `gateways` are those that the customer's requests come through.
     pub(crate) fn record_request(&mut self, gateways: GatewaySet, now_ms: f64) {
         self.gateways = gateways;
         self.last_used_ms = now_ms;
     }
 
-    /// Sets the plan, which was not known before. Until now the quota was a fraction of the burst. The
-    /// ceiling starts with what its fraction accrued in the gateway's uptime.
+    /// Sets the plan, which was not known before, and converts the quota from a fraction of the burst to
+    /// units. The ceiling starts with the tokens that this gateway's fraction of it has accrued since the
+    /// gateway started.
     ///
-    /// Guards against a ceiling that is passed after a restart: the gateway cannot know what it spent before,
-    /// so it starts as if it had spent all of it.
+    /// This guards against exceeding the ceiling after a restart: the gateway does not know what it spent
+    /// before, so it assumes that it spent everything.
     pub(crate) fn set_plan(
         &mut self,
         index: PlanIndex,
@@ -112,39 +116,40 @@
         self.ceiling.refill(plan.ceiling_rate_per_second, plan.ceiling_burst_units, now_ms);
     }
 
-    /// Lets time pass without adding tokens, while no plan is known that says how many.
+    /// Lets time pass without adding tokens, because the rate is unknown until the plan is known.
     pub(crate) fn skip_refill(&mut self, now_ms: f64) {
         self.quota.skip_refill(now_ms);
         self.ceiling.skip_refill(now_ms);
     }
 
-    /// An own attempt has been sent.
+    /// Counts an attempt that this gateway has sent.
     pub(crate) fn start_attempt(&mut self) {
         self.in_flight += 1;
     }
 
-    /// An own attempt has ended.
+    /// Counts an attempt of this gateway that has ended.
     pub(crate) fn end_attempt(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    /// Time since a request of the customer came in here, or a report of it from a peer.
+    /// Returns the time since the customer's last request, or a peer's last report about the customer, was
+    /// received, in ms.
     pub(crate) fn idle_ms(&self, now_ms: f64) -> f64 {
         now_ms - self.last_used_ms
     }
 
-    /// Own attempts in flight.
+    /// Returns the attempts that this gateway has in flight for the customer.
     pub(crate) fn in_flight(&self) -> u32 {
         self.in_flight
     }
 
-    /// Takes units from the quota, to be reported to peers; below 0 gives some back.
+    /// Takes units from the quota and counts them for the next report to peers; units below 0 are given back.
     pub(crate) fn consume_quota(&mut self, units: f64) {
         self.quota.take(units);
         self.reports.record_consumption(units);
     }
 
-    /// Takes units that this gateway grants as the quota's owner from the quota and the ceiling.
+    /// Takes units that this gateway has granted as the owner from the quota and the ceiling.
     pub(crate) fn charge_grant(&mut self, plan: &PlanSettings, units: f64) {
         if plan.rate_per_second > 0.0 {
             self.quota.take(units);
@@ -152,7 +157,7 @@
         self.ceiling.take(units);
     }
 
-    /// Corrects the quota that this gateway owns by what a granted request consumed beyond its grant.
+    /// Corrects the quota, as its owner, by the units that a granted request consumed beyond its grant.
     pub(crate) fn settle_grant(&mut self, plan: &PlanSettings, additional_units: f64) {
         self.quota.add(-additional_units, plan.burst_units);
     }
@@ -162,7 +167,7 @@
         self.ceiling.take(units);
     }
 
-    /// Takes units of the ceiling for a peer, to be sent with the next report.
+    /// Takes units from the ceiling and schedules their transfer to a peer with the next report.
     pub(crate) fn transfer_ceiling(&mut self, peer: GatewayIndex, units: f64) {
         self.ceiling.take(units);
         self.reports.add_ceiling_transfer(peer, units);
@@ -173,13 +178,13 @@
         self.ceiling.add(units, max_units);
     }
 
-    /// What peers reported to have in flight, by reports younger than the time-out.
+    /// Returns the attempts in flight that peers reported, by reports younger than the time-out.
     pub(crate) fn peer_activity(&self, now_ms: f64, timeout_ms: f64) -> PeerActivity {
         self.reports.peer_activity(now_ms, timeout_ms)
     }
 
-    /// What a peer's count says of its consumption beyond its last count. `fill` is the fraction of the burst
-    /// that the peer sees in the quota; it is all there is to go by before the plan is known.
+    /// Returns the units that a peer consumed since its last count. `fill` is the fraction of the burst that
+    /// the peer sees in the quota, which is all that a report can be used for before the plan is known.
     pub(crate) fn reported_consumption(
         &self,
         peer: GatewayIndex,
@@ -192,19 +197,20 @@
         }
     }
 
-    /// Records a peer's count, to compare the next one with, and the tokens that the quota has after it.
+    /// Records a peer's count, with which its next count is compared, and sets the tokens that the quota has
+    /// after it.
     pub(crate) fn record_peer_count(&mut self, peer: GatewayIndex, count: PeerCount, quota_tokens: f64) {
         self.quota.set(quota_tokens);
         self.last_used_ms = count.received_ms;
         self.reports.record_peer_count(peer, count);
     }
 
-    /// Time since the quota's owner sent the sampling fraction.
+    /// Returns the time since the sampling fraction was received, in ms.
     pub(crate) fn sampling_age_ms(&self, now_ms: f64) -> f64 {
         now_ms - self.sampling.received_ms
     }
 
-    /// The sampling fraction that the quota's owner last sent.
+    /// Returns the sampling fraction that the quota's owner last sent.
     pub(crate) fn sampling_fraction(&self) -> f64 {
         self.sampling.fraction
     }
--- a/crates/admission/src/state/quota/customer_reports.rs
+++ b/crates/admission/src/state/quota/customer_reports.rs
@@ -1,73 +1,72 @@
-//! Broadcast mode: what gateways report to each other of one customer.
+//! Broadcast mode: what gateways report to each other about one customer.
 use crate::id::GatewayIndex;
 use crate::messages::counts_message::ConsumedUnits;
 use std::collections::BTreeMap;
 
-/// What gateways report to each other of one customer, and what is still to be sent.
+/// What gateways have reported to each other about one customer, and what is still to be sent.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct CustomerReports {
-    /// Units that this gateway consumed since its start.
+    /// Units that this gateway has consumed since it started.
     consumed_units: f64,
-    /// What each peer last reported.
+    /// Last count of each peer.
     peers: BTreeMap<GatewayIndex, PeerCount>,
-    /// Rounds in which the own count is still to be sent.
+    /// Rounds of reports in which this gateway's count is still to be sent.
     pending_rounds: u8,
-    /// The next round requests units of the ceiling from peers.
+    /// Whether the next round requests units of the ceiling from peers.
     ceiling_requested: bool,
-    /// Units of the ceiling transferred to peers and not sent yet.
+    /// Units of the ceiling that are to be transferred to each peer and have not been sent.
     ceiling_transfers: BTreeMap<GatewayIndex, f64>,
 }
 
-/// What a peer reported of one customer.
+/// A peer's count of one customer.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct PeerCount {
-    /// The peer's start that the count belongs to.
+    /// Incarnation of the peer that sent the count.
     pub(crate) incarnation: u32,
-    /// Units that the peer consumed since that start.
+    /// Units that the peer has consumed since it started.
     pub(crate) consumed: ConsumedUnits,
-    /// The peer's attempts in flight for the customer.
+    /// Attempts that the peer has in flight for the customer.
     pub(crate) in_flight: u32,
-    /// When the report came, in ms.
+    /// When the report was received, in ms.
     pub(crate) received_ms: f64,
 }
 
-/// What a peer's report says of the units that it consumed of one customer's quota.
+/// The consumption of one customer's quota that a peer's report shows.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum ReportedConsumption {
-    /// The first report of this peer, or no plan is known here yet. It has only the fraction of the burst
-    /// that the peer sees in the quota.
+    /// Unknown, because this is the peer's first report or the customer's plan is not known here.
     Unknown {
-        /// That fraction, 0 to 1.
+        /// The fraction of the burst that the peer sees in the quota, 0 to 1.
         fill: f64,
     },
     /// Units consumed since the peer's last report.
     Since {
-        /// The units; below 0 some were given back.
+        /// The units; below 0 if some were given back.
         consumed_units: f64,
     },
 }
 
-/// What peers that reported recently have in flight for one customer.
+/// Attempts in flight for one customer at the peers that reported recently.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct PeerActivity {
-    /// Attempts in flight, by their last reports.
+    /// Attempts in flight, summed over the peers' last reports.
     pub(crate) in_flight: u32,
-    /// How many peers these reports are of.
+    /// Number of peers that reported recently.
     pub(crate) reporting_peers: u32,
 }
 
 impl CustomerReports {
-    /// Counts units that this gateway consumed; below 0 some are given back.
+    /// Adds units that this gateway has consumed; units below 0 are given back.
     pub(crate) fn record_consumption(&mut self, units: f64) {
         self.consumed_units += units;
     }
 
-    /// Units that this gateway consumed since its start.
+    /// Returns the units that this gateway has consumed since it started.
     pub(crate) fn consumed_units(&self) -> f64 {
         self.consumed_units
     }
 
-    /// What peers reported to have in flight, by reports younger than the time-out.
+    /// Returns the attempts in flight that peers reported, by reports younger than the time-out.
     pub(crate) fn peer_activity(&self, now_ms: f64, timeout_ms: f64) -> PeerActivity {
         let live = self.peers.values().filter(|p| now_ms - p.received_ms < timeout_ms);
         live.fold(PeerActivity::default(), |sum, p| PeerActivity {
@@ -76,10 +75,10 @@
         })
     }
 
-    /// What a peer's count says of its consumption beyond its last count.
+    /// Returns the units that a peer consumed since its last count.
     ///
-    /// Guards against a peer that restarted, whose count is lower than before: the incarnation shows it, and
-    /// its count is taken from 0.
+    /// This guards against a peer that restarted, whose count is lower than before: its incarnation has
+    /// changed, and its count is taken from 0.
     pub(crate) fn consumption_since_last(
         &self,
         peer: GatewayIndex,
@@ -92,42 +91,42 @@
         ReportedConsumption::Since { consumed_units: count.consumed.units_since(earlier) }
     }
 
-    /// Records a peer's count, to compare the next one with.
+    /// Records a peer's count, with which its next count is compared.
     pub(crate) fn record_peer_count(&mut self, peer: GatewayIndex, count: PeerCount) {
         self.peers.insert(peer, count);
     }
 
-    /// Has the own count sent in the next rounds.
+    /// Schedules this gateway's count for the next `rounds` rounds of reports.
     pub(crate) fn schedule(&mut self, rounds: u8) {
         self.pending_rounds = rounds;
     }
 
-    /// Whether the own count is to be sent in this round.
+    /// Returns whether this gateway's count is to be sent in this round.
     pub(crate) fn is_pending(&self) -> bool {
         self.pending_rounds > 0
     }
 
-    /// Has the next round request units of the ceiling from peers.
+    /// Schedules a request for units of the ceiling from peers, for the next round.
     pub(crate) fn request_ceiling(&mut self) {
         self.ceiling_requested = true;
     }
 
-    /// Whether this round requests units of the ceiling from peers.
+    /// Returns whether this round requests units of the ceiling from peers.
     pub(crate) fn ceiling_requested(&self) -> bool {
         self.ceiling_requested
     }
 
-    /// Adds units of the ceiling that are to be sent to a peer.
+    /// Schedules a transfer of units of the ceiling to a peer, added to any that are scheduled already.
     pub(crate) fn add_ceiling_transfer(&mut self, peer: GatewayIndex, units: f64) {
         *self.ceiling_transfers.entry(peer).or_insert(0.0) += units;
     }
 
-    /// Takes the units of the ceiling that are to be sent to a peer.
+    /// Removes the scheduled transfer to a peer and returns its units.
     pub(crate) fn take_ceiling_transfer(&mut self, peer: GatewayIndex) -> Option<f64> {
         self.ceiling_transfers.remove(&peer)
     }
 
-    /// Ends a round of reports; `true` while another one is to follow.
+    /// Ends a round of reports; returns whether the count is to be sent in another one.
     pub(crate) fn end_round(&mut self) -> bool {
         self.ceiling_requested = false;
         self.pending_rounds = self.pending_rounds.saturating_sub(1);
--- a/crates/admission/src/state/quota/customer_table.rs
+++ b/crates/admission/src/state/quota/customer_table.rs
@@ -4,29 +4,29 @@
 use crate::state::Customer;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What is known of customers, by tag.
+/// The records of all customers that a gateway knows.
 #[derive(Debug, Default)]
 pub(crate) struct CustomerTable {
-    /// Their records.
+    /// Records by the customer's tag.
     by_tag: BTreeMap<CustomerTag, Customer>,
-    /// Customers of which something is to be sent to peers.
+    /// Customers about which something is to be sent to peers.
     unreported: BTreeSet<CustomerTag>,
-    /// When idle customers were last evicted.
+    /// When idle customers were last evicted, in ms.
     evicted_ms: f64,
 }
 
 impl CustomerTable {
-    /// A customer's record.
+    /// Returns a customer's record.
     pub(crate) fn get(&self, tag: CustomerTag) -> Option<&Customer> {
         self.by_tag.get(&tag)
     }
 
-    /// A customer's record, to be changed.
+    /// Returns a customer's record, mutably.
     pub(crate) fn get_mut(&mut self, tag: CustomerTag) -> Option<&mut Customer> {
         self.by_tag.get_mut(&tag)
     }
 
-    /// A customer's record, made where there is none.
+    /// Returns a customer's record, which is created if there is none.
     pub(crate) fn get_or_insert(&mut self, tag: CustomerTag, now_ms: f64) -> &mut Customer {
         self.by_tag.entry(tag).or_insert_with(|| Customer::new(now_ms))
     }
@@ -38,12 +38,12 @@
         }
     }
 
-    /// Whether a customer's plan is known.
+    /// Returns whether a customer's plan is known.
     pub(crate) fn knows_plan(&self, tag: CustomerTag) -> bool {
         self.by_tag.get(&tag).is_some_and(|customer| customer.plan().is_some())
     }
 
-    /// Has a customer's count sent to peers in the next rounds.
+    /// Schedules a customer's count for the next `rounds` rounds of reports to peers.
     pub(crate) fn schedule_report(&mut self, tag: CustomerTag, rounds: u8) {
         if let Some(customer) = self.by_tag.get_mut(&tag) {
             customer.reports.schedule(rounds);
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Has the next round request units of a customer's ceiling from peers.
+    /// Schedules a request for units of a customer's ceiling from peers, for the next round.
     pub(crate) fn schedule_ceiling_request(&mut self, tag: CustomerTag) {
         if let Some(customer) = self.by_tag.get_mut(&tag) {
             customer.reports.request_ceiling();
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Takes units of a customer's ceiling for a peer, to be sent in the next round.
+    /// Takes units from a customer's ceiling and schedules their transfer to a peer, for the next round.
     pub(crate) fn schedule_ceiling_transfer(&mut self, tag: CustomerTag, peer: GatewayIndex, units: f64) {
         if let Some(customer) = self.by_tag.get_mut(&tag) {
             customer.transfer_ceiling(peer, units);
@@ -67,27 +67,27 @@
         }
     }
 
-    /// Customers of which something is to be sent to peers.
+    /// Returns the customers about which something is to be sent to peers.
     pub(crate) fn unreported(&self) -> Vec<CustomerTag> {
         self.unreported.iter().copied().collect()
     }
 
-    /// Nothing more of a customer is to be sent.
+    /// Records that nothing more is to be sent about a customer.
     pub(crate) fn mark_reported(&mut self, tag: CustomerTag) {
         self.unreported.remove(&tag);
     }
 
-    /// How many customers are known.
+    /// Returns the number of known customers.
     pub(crate) fn len(&self) -> usize {
         self.by_tag.len()
     }
 
-    /// Time since idle customers were last evicted.
+    /// Returns the time since idle customers were last evicted, in ms.
     pub(crate) fn since_eviction_ms(&self, now_ms: f64) -> f64 {
         now_ms - self.evicted_ms
     }
 
-    /// Evicts the customers for which `is_evicted` holds.
+    /// Evicts the customers for which `is_evicted` returns true.
     pub(crate) fn evict(&mut self, now_ms: f64, is_evicted: impl Fn(&Customer) -> bool) {
         self.evicted_ms = now_ms;
         self.by_tag.retain(|_, customer| !is_evicted(customer));
--- a/crates/admission/src/state/quota/pending_quota_requests.rs
+++ b/crates/admission/src/state/quota/pending_quota_requests.rs
@@ -1,41 +1,41 @@
-//! Quota requests that this gateway sent to owners and that wait for a response.
+//! Gossip mode: quota requests that this gateway has sent to owners and that await a response.
 use crate::id::{GatewayIndex, RequestId};
 use crate::messages::quota_message::QuotaRequestNumber;
 use crate::state::QuotaState;
 use std::collections::BTreeMap;
 
-/// Who decides on a request's quota.
+/// The gateway that decides whether a request is within its quota.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum QuotaRoute {
-    /// The owner is sent a quota request.
+    /// The quota's owner decides: it is sent a quota request.
     ToOwner,
-    /// This gateway decides alone, by what is expected of the customer.
+    /// This gateway decides alone, by what it expects of the customer.
     DecideAlone(QuotaExpectation),
 }
 
-/// What is expected of a customer on whose request its quota's owner does not decide.
+/// What this gateway expects of a customer when it decides on a request without the quota's owner.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum QuotaExpectation {
-    /// It is most likely within its quota.
+    /// The customer is most likely within its quota.
     Within,
-    /// It is most likely over its quota.
+    /// The customer is most likely over its quota.
     Over,
 }
 
-/// Quota requests that wait for a response, by their number.
+/// Quota requests that await a response, by their number.
 #[derive(Debug, Default)]
-pub(crate) struct QuotaRequests {
-    /// The requests that they were sent for.
+pub(crate) struct PendingQuotaRequests {
+    /// The request that each quota request was sent for.
     pending: BTreeMap<QuotaRequestNumber, RequestId>,
-    /// The number that the next new quota request gets.
+    /// Number of the next new quota request.
     next_number: QuotaRequestNumber,
 }
 
-impl QuotaRequests {
-    /// The number of a quota request to an owner, given where the request stands.
+impl PendingQuotaRequests {
+    /// Returns the number for a quota request to the owner `to`, for a request in this state.
     ///
-    /// Guards against a lost response, after which the owner would grant the same request twice: the same
-    /// owner gets the same number again, by which it recognizes the request.
+    /// This guards against a lost response, after which the owner would grant the same request twice: a quota
+    /// request that is repeated to the same owner keeps its number, by which the owner recognizes it.
     pub(crate) fn number_for(&mut self, state: QuotaState, to: GatewayIndex) -> QuotaRequestNumber {
         match state {
             QuotaState::AwaitingOwner { owner, number, .. } if owner == to => return number,
@@ -45,7 +45,7 @@
         self.next_number
     }
 
-    /// Records a quota request that is sent, whether with a new number or again with an old one.
+    /// Records a quota request that is being sent, with a new number or repeated with its old one.
     pub(crate) fn insert(&mut self, number: QuotaRequestNumber, request: RequestId) {
         if number == self.next_number {
             self.next_number = number.next();
@@ -53,18 +53,18 @@
         self.pending.insert(number, request);
     }
 
-    /// The request that a quota request was sent for.
+    /// Returns the request that a quota request was sent for.
     pub(crate) fn get(&self, number: QuotaRequestNumber) -> Option<RequestId> {
         self.pending.get(&number).copied()
     }
 
-    /// Removes a quota request that no response is awaited for.
+    /// Removes a quota request that awaits no response any more.
     pub(crate) fn remove(&mut self, number: QuotaRequestNumber) {
         self.pending.remove(&number);
     }
 
-    /// The requests of all numbers recorded, in the order of the numbers. Some may have been decided without
-    /// the owner meanwhile.
+    /// Returns the requests of all recorded quota requests, in the order of their numbers. Some of them may
+    /// have been decided without the owner in the meantime.
     pub(crate) fn waiting(&self) -> impl Iterator<Item = RequestId> + '_ {
         self.pending.values().copied()
     }
--- a/crates/admission/src/state/quota/quota_grants.rs
+++ b/crates/admission/src/state/quota/quota_grants.rs
@@ -1,32 +1,34 @@
-//! What the owner of a customer's quota has granted to the other gateways.
+//! Gossip mode: quota requests that the owner of a customer's quota has granted or queued.
 use crate::id::GatewayIndex;
 use crate::mechanism::decaying_rate::DecayingRate;
 use crate::messages::quota_message::QuotaRequestNumber;
 use std::collections::VecDeque;
 
-/// A quota request as its owner knows it: who sent it, its number there, and until when it counts.
+/// A quota request that the owner has granted, or has queued to grant it later. The sender and its number
+/// identify it.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct Grant {
-    /// The gateway that sent it.
+    /// Gateway that sent the quota request.
     pub(crate) gateway: GatewayIndex,
-    /// Its number there.
+    /// Number of the quota request at its sender.
     pub(crate) number: QuotaRequestNumber,
-    /// Until when it counts.
+    /// When the grant or the place in the queue expires, in ms.
     pub(crate) expires_ms: f64,
 }
 
 impl Grant {
-    /// Whether it is the quota request of this number from this gateway.
+    /// Returns whether this is the quota request with this number from this gateway.
     fn is_for(&self, gateway: GatewayIndex, number: QuotaRequestNumber) -> bool {
         self.gateway == gateway && self.number == number
     }
 }
 
-/// The owner's account of one customer: requests granted that have not ended, requests that wait for one of
-/// these to end, and how many units are requested and granted.
+/// The owner's record of one customer's quota requests: those granted and not yet ended, those that wait for
+/// one of these to end, and the rates of units requested and granted.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct QuotaGrants {
-    /// Granted requests that have not ended; a repeat of one is granted again at no cost.
+    /// Granted requests that have not ended. A repeated quota request for one of them is granted again at no
+    /// cost.
     granted: Vec<Grant>,
     /// Requests that wait for a slot, oldest first.
     waiting: VecDeque<Grant>,
@@ -37,38 +39,38 @@
 }
 
 impl QuotaGrants {
-    /// Drops the requests that no longer count: their release was lost, or their time is over.
+    /// Removes the requests that have expired: their release was lost, or they waited too long.
     pub(crate) fn expire(&mut self, now_ms: f64) {
         self.granted.retain(|g| g.expires_ms > now_ms);
         self.waiting.retain(|g| g.expires_ms > now_ms);
     }
 
-    /// Whether a request has been granted.
+    /// Returns whether a quota request has been granted and has not ended.
     pub(crate) fn is_granted(&self, gateway: GatewayIndex, number: QuotaRequestNumber) -> bool {
         self.granted.iter().any(|g| g.is_for(gateway, number))
     }
 
-    /// Whether a request waits for an active slot.
+    /// Returns whether a quota request waits for a slot.
     pub(crate) fn is_waiting(&self, gateway: GatewayIndex, number: QuotaRequestNumber) -> bool {
         self.waiting.iter().any(|g| g.is_for(gateway, number))
     }
 
-    /// Requests granted that have not ended.
+    /// Returns the number of granted requests that have not ended.
     pub(crate) fn active(&self) -> usize {
         self.granted.len()
     }
 
-    /// Requests that wait for an active slot.
+    /// Returns the number of requests that wait for a slot.
     pub(crate) fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Counts units requested, those of the requests that this one stands for included.
+    /// Adds requested units to the rate, including those of the requests that the sampled one stands for.
     pub(crate) fn record_request(&mut self, units: f64, now_ms: f64, span_s: f64) {
         self.requested_rate.add(units, now_ms, span_s);
     }
 
-    /// Grants a request.
+    /// Grants a request and adds its units to the rate of granted units.
     pub(crate) fn grant(&mut self, grant: Grant, units: f64, now_ms: f64, span_s: f64) {
         self.granted_rate.add(units, now_ms, span_s);
         self.granted.push(grant);
@@ -89,18 +91,18 @@
         true
     }
 
-    /// Removes the request that has waited longest and still counts.
+    /// Removes and returns the request that has waited longest and has not expired.
     pub(crate) fn next_waiting(&mut self, now_ms: f64) -> Option<Grant> {
         self.waiting.retain(|g| g.expires_ms > now_ms);
         self.waiting.pop_front()
     }
 
-    /// Units requested per second, as a divisor: never 0.
+    /// Returns the units requested per second, as a divisor: never 0.
     pub(crate) fn requested_per_second(&self, now_ms: f64, span_s: f64) -> f64 {
         self.requested_rate.divisor(now_ms, span_s)
     }
 
-    /// Units granted per second.
+    /// Returns the units granted per second.
     pub(crate) fn granted_per_second(&self, now_ms: f64, span_s: f64) -> f64 {
         self.granted_rate.now(now_ms, span_s)
     }
--- a/crates/admission/src/state/quota/quota_state.rs
+++ b/crates/admission/src/state/quota/quota_state.rs
@@ -1,32 +1,35 @@
-//! Where a request stands with its customer's quota.
+//! The state of a request's quota check.
 use crate::id::GatewayIndex;
 use crate::messages::quota_message::{QuotaRequestNumber, QuotaVerdict};
 
-/// Who decides whether a request is within its customer's quota, and what was decided.
+/// The state of a request's quota check: who decides whether the request is within its customer's quota, and
+/// what was decided.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum QuotaState {
-    /// This gateway's own token bucket decides, without a message or call. It is checked again when the
-    /// request is to be sent, so that `within_quota` is only what is taken for granted until then.
+    /// This gateway's own token bucket decides, without a message or call. `within_quota` is provisional: the
+    /// bucket is checked again when the request is to be sent.
     LocalBucket { within_quota: bool },
-    /// The quota's owner was sent a quota request and has not responded.
+    /// The quota's owner was sent a quota request at `sent_ms` and has not responded. `retries` is how often
+    /// a quota request for the same request had been sent before.
     AwaitingOwner { owner: GatewayIndex, number: QuotaRequestNumber, sent_ms: f64, retries: u32 },
     /// The owner queues the request until the customer has a free slot.
     QueuedAtOwner { owner: GatewayIndex, number: QuotaRequestNumber },
-    /// The owner granted it. Where the quota is ample, the true units need not be reported.
+    /// The owner granted the request. If the quota is `ample`, the true units need not be reported.
     GrantedByOwner { owner: GatewayIndex, number: QuotaRequestNumber, ample: bool },
-    /// It is over the quota, or taken to be. Where it `may_exceed` the quota, it is sent while there is
-    /// capacity.
+    /// The request is over the quota, or assumed to be. If it `may_exceed` the quota, it is sent while there
+    /// is capacity.
     OverQuota { may_exceed: bool },
-    /// The quota counter was called for it and has not responded.
+    /// The quota counter was called for the request and has not replied.
     AwaitingCounter,
-    /// The counter's total admitted it. Where the quota is ample, the true units need not be reported.
+    /// The customer's count admitted the request. If the quota is `ample`, the true units need not be
+    /// reported.
     AdmittedByCounter { ample: bool },
-    /// It may be sent, though the counter was not called for it.
+    /// The request may be sent, although the counter was not called for it.
     AdmittedUncounted,
 }
 
 impl QuotaState {
-    /// Where a request stands after its quota's owner responded to the quota request of this number.
+    /// Returns the state after the quota's owner responded to the quota request with this number.
     pub(crate) fn after_verdict(
         verdict: QuotaVerdict,
         owner: GatewayIndex,
@@ -41,7 +44,7 @@
         }
     }
 
-    /// What has been decided already; `None` where this gateway's own records are still to be checked.
+    /// Returns what has been decided already; `None` if this gateway's own records are still to be checked.
     pub(crate) fn decision(&self) -> Option<QuotaDecision> {
         match self {
             QuotaState::LocalBucket { .. }
@@ -55,19 +58,19 @@
         }
     }
 
-    /// Whether the request's attempts count to its customer at this gateway; else the quota's owner counts
-    /// them.
+    /// Returns whether the request's attempts count as the customer's attempts in flight at this gateway. If
+    /// the owner granted the request, the owner counts them instead.
     pub(crate) fn holds_slot_here(&self) -> bool {
         self.is_local_bucket()
             || matches!(self, QuotaState::AdmittedByCounter { .. } | QuotaState::AdmittedUncounted)
     }
 
-    /// Whether this gateway's own token bucket decides.
+    /// Returns whether this gateway's own token bucket decides.
     pub(crate) fn is_local_bucket(&self) -> bool {
         matches!(self, QuotaState::LocalBucket { .. })
     }
 
-    /// Whether the request counts to its customer's quota.
+    /// Returns whether the request is charged to its customer's quota.
     pub(crate) fn is_within_quota(&self) -> bool {
         match self {
             QuotaState::LocalBucket { within_quota } => *within_quota,
@@ -81,12 +84,12 @@
         }
     }
 
-    /// Whether the request is over its quota, but may still be sent while there is capacity.
+    /// Returns whether the request is over its quota, but may still be sent while there is capacity.
     pub(crate) fn may_exceed_quota(&self) -> bool {
         matches!(self, QuotaState::OverQuota { may_exceed: true })
     }
 
-    /// Whether a response of this owner to the quota request of this number is awaited.
+    /// Returns whether the request awaits this owner's response to the quota request with this number.
     pub(crate) fn awaits_response(&self, from: GatewayIndex, response_to: QuotaRequestNumber) -> bool {
         match *self {
             QuotaState::AwaitingOwner { owner, number, .. } | QuotaState::QueuedAtOwner { owner, number } => {
@@ -97,24 +100,24 @@
     }
 }
 
-/// Whether a request may be sent as far as its customer's quota goes.
+/// Whether a request may be sent as far as its customer's quota is concerned.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum QuotaDecision {
-    /// It may be sent now.
+    /// The request may be sent now.
     Admit,
-    /// It stays queued: a response, a slot or units of the ceiling are still to come.
+    /// The request stays queued until a response, a slot or units of the ceiling arrive.
     Wait,
-    /// It is over the quota, so it leaves the queue.
+    /// The request is over the quota, so it leaves the queue.
     OverQuota,
 }
 
-/// What the customer's token bucket at this gateway says of a new request.
+/// Result of checking a new request against the customer's token bucket at this gateway.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct LocalBucketCheck {
-    /// The request is within the quota.
+    /// Whether the request is within the quota.
     pub(crate) is_within_quota: bool,
-    /// Beyond its quota the request may still be sent while there is capacity.
+    /// Whether the request may be sent over the quota while there is capacity.
     pub(crate) may_exceed: bool,
-    /// Time until the bucket has filled enough for the request, in ms; `None` where it never does.
+    /// Time until the bucket holds enough for the request, in ms; `None` if it never will.
     pub(crate) retry_after_ms: Option<f64>,
 }
