--- a/crates/admission/src/coordination/counter_calls.rs
+++ b/crates/admission/src/coordination/counter_calls.rs
@@ -159,7 +159,7 @@
         let burst_units = settings.burst_units;
         let raise_units = catch_up_units(burst_units, tokens);
         if let (Some(units), Some(customer)) = (raise_units, self.customers.get_mut(tag)) {
-            customer.counter.push_first(CounterCall::CatchUp(CatchUp { units, seen_total: total }));
+            customer.counter.push_front(CounterCall::CatchUp(CatchUp { units, seen_total: total }));
         }
         self.decide_counted(tag, plan, request, tokens.min(burst_units));
     }
--- a/crates/admission/src/state/quota/counter_call_queue.rs
+++ b/crates/admission/src/state/quota/counter_call_queue.rs
@@ -86,7 +86,7 @@
     }
 
     /// Adds a call to the front of the queue.
-    pub(crate) fn push_first(&mut self, call: CounterCall) {
+    pub(crate) fn push_front(&mut self, call: CounterCall) {
         self.queue.push_front(call);
     }
 
