--- a/crates/admission/src/state/fleet/band_state.rs
+++ b/crates/admission/src/state/fleet/band_state.rs
@@ -1,23 +1,24 @@
-//! The in-flight band's state: watermark, dispatch credit, and whether queued requests wait for it.
+//! State of the in-flight band: watermark, dispatch credit, and whether queued requests wait for the band.
 use crate::state::{BroadcastPeer, Endpoint};
 
-/// The in-flight band of one gateway.
+/// The in-flight band as one gateway maintains it.
 #[derive(Debug, Default)]
 pub(crate) struct InFlightBand {
-    /// Attempts in flight per ready endpoint at the band's middle.
+    /// The watermark: attempts in flight per ready endpoint at the band's middle.
     watermark: f64,
-    /// Queued requests wait only for the band or for an endpoint.
+    /// Whether a queued request that its quota permits waits for the band or for an endpoint.
     blocked: bool,
-    /// Queued requests have waited for the band since the last step of the watermark.
+    /// Whether queued requests have waited for the band since the last step of the watermark.
     blocked_since_step: bool,
-    /// The endpoints are saturated: the stock is a large fraction of the band.
+    /// Whether the endpoints are saturated: the fleet's attempts in flight exceed a fraction of the band's
+    /// middle.
     saturated: bool,
     /// When the watermark last took a step, in milliseconds.
     stepped_ms: f64,
-    /// Ready endpoints as the band counted them at the last review; one that is warming up counts as a
-    /// fraction.
+    /// Ready endpoints as the band last counted them; an endpoint that is warming up counts as a fraction.
     ready_capacity: f64,
-    /// Requests that this gateway may send by its even fraction of the band; below 0 it is overdrawn.
+    /// Requests that this gateway may send by its even fraction of the band; below 0, the credit is
+    /// overdrawn.
     dispatch_credit: f64,
     /// When the dispatch credit was last refilled, in milliseconds.
     refilled_ms: f64,
@@ -26,50 +27,51 @@
 /// The load of the endpoints that the band counts.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct BandLoad {
-    /// Ready endpoints; one that is warming up counts as a fraction.
+    /// Ready endpoints; an endpoint that is warming up counts as a fraction.
     pub(crate) ready_capacity: f64,
-    /// This gateway's attempts in flight at them.
+    /// Attempts that this gateway has in flight at these endpoints.
     pub(crate) in_flight: u32,
 }
 
-/// The band of a fleet whose gateways report their counts to each other.
+/// The band of a fleet in broadcast mode, whose gateways report their counts to each other.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Band {
-    /// This gateway's attempts in flight.
+    /// Attempts that this gateway has in flight.
     pub(crate) own_in_flight: f64,
-    /// The stock: attempts in flight of all gateways.
+    /// Attempts that all gateways together have in flight.
     pub(crate) in_flight: f64,
-    /// The stock that the band is centred on.
+    /// Attempts in flight that the band is centred on.
     pub(crate) middle: f64,
-    /// The gateways that the stock is summed over, this one included.
+    /// Number of gateways that `in_flight` is summed over, this one included.
     pub(crate) gateways: f64,
 }
 
-/// Where the stock lies against the band's bounds.
+/// The position of the attempts in flight relative to the band's bounds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum BandPosition {
-    /// Under the lower bound: queued and new requests may be sent.
+    /// Below the lower bound: queued and new requests may be sent.
     UnderLower,
-    /// Between the bounds: a new request may be sent, queued ones wait.
+    /// Between the bounds: a new request may be sent, queued requests wait.
     BetweenBounds,
-    /// Not under the upper bound: none may be sent.
+    /// At or above the upper bound: no request may be sent.
     NotUnderUpper,
 }
 
 impl BandPosition {
-    /// Whether a queued request may be sent.
+    /// Returns whether a queued request may be sent.
     pub(crate) fn permits_queued_request(self) -> bool {
         self == BandPosition::UnderLower
     }
 
-    /// Whether a new request within its quota may be sent without being queued.
+    /// Returns whether a new request within its quota may be sent without being queued.
     pub(crate) fn permits_new_request(self) -> bool {
         self != BandPosition::NotUnderUpper
     }
 }
 
 impl BandLoad {
-    /// The load of these endpoints, each given with the fraction of a warm endpoint that it counts as.
+    /// Returns the load of these endpoints. Each endpoint comes with the fraction of a warm endpoint that it
+    /// counts as.
     pub(crate) fn sum<'a>(endpoints: impl Iterator<Item = (&'a Endpoint, f64)>) -> Self {
         let mut load = BandLoad { ready_capacity: 0.0, in_flight: 0 };
         for (endpoint, fraction) in endpoints {
@@ -83,8 +85,8 @@
 }
 
 impl Band {
-    /// The band of this gateway's load and watermark and of what peers reported: stocks add up, and the
-    /// watermark is the mean.
+    /// Returns the band that follows from this gateway's load and watermark and from the peers' reports:
+    /// attempts in flight are summed, watermarks are averaged.
     pub(crate) fn from_reports<'a>(
         load: BandLoad,
         watermark: f64,
@@ -106,17 +108,17 @@
 }
 
 impl InFlightBand {
-    /// A band with this watermark and dispatch credit that no request waits for.
+    /// Creates a band with this watermark and dispatch credit, for which no request waits.
     pub(crate) fn new(watermark: f64, dispatch_credit: f64) -> Self {
         InFlightBand { watermark, dispatch_credit, ..InFlightBand::default() }
     }
 
-    /// Attempts in flight per ready endpoint at the band's middle.
+    /// Returns the watermark: attempts in flight per ready endpoint at the band's middle.
     pub(crate) fn watermark(&self) -> f64 {
         self.watermark
     }
 
-    /// Moves the watermark by this weight towards the one that a peer reported.
+    /// Moves the watermark towards the one that a peer reported, by the fraction `weight` of the distance.
     pub(crate) fn follow_watermark(&mut self, reported: f64, weight: f64) {
         self.watermark += weight * (reported - self.watermark);
     }
@@ -126,12 +128,13 @@
         self.watermark = watermark;
     }
 
-    /// Time since the watermark's last step, in milliseconds.
+    /// Returns the time since the watermark's last step, in milliseconds.
     pub(crate) fn since_step_ms(&self, now_ms: f64) -> f64 {
         now_ms - self.stepped_ms
     }
 
-    /// Begins a step of the watermark. `true` where queued requests waited for the band since the last one.
+    /// Begins a step of the watermark, and returns whether queued requests wait now, or have waited for the
+    /// band since the last step.
     pub(crate) fn begin_step(&mut self, now_ms: f64) -> bool {
         let was_blocked = self.blocked || self.blocked_since_step;
         self.blocked_since_step = false;
@@ -139,12 +142,13 @@
         was_blocked
     }
 
-    /// Whether queued requests wait for the band or for an endpoint: a new request must not overtake them.
+    /// Returns whether a queued request that its quota permits waits for the band or for an endpoint. A new
+    /// request must not overtake it.
     pub(crate) fn is_blocked(&self) -> bool {
         self.blocked
     }
 
-    /// Begins a round of dispatch: no request is known to wait.
+    /// Begins a round of dispatch: until `block` is called, no request is known to wait.
     pub(crate) fn unblock(&mut self) {
         self.blocked = false;
     }
@@ -155,12 +159,12 @@
         self.blocked_since_step = true;
     }
 
-    /// Records that a queued request waits for an endpoint, which a higher watermark would not help.
+    /// Records that a queued request waits for an endpoint, for which a higher watermark would not help.
     pub(crate) fn block_for_endpoint(&mut self) {
         self.blocked = true;
     }
 
-    /// Whether the endpoints are saturated.
+    /// Returns whether the endpoints are saturated.
     pub(crate) fn is_saturated(&self) -> bool {
         self.saturated
     }
@@ -170,7 +174,7 @@
         self.saturated = saturated;
     }
 
-    /// Ready endpoints as the band counted them at the last review.
+    /// Returns the ready endpoints as the band last counted them.
     pub(crate) fn ready_capacity(&self) -> f64 {
         self.ready_capacity
     }
@@ -180,17 +184,17 @@
         self.ready_capacity = ready_capacity;
     }
 
-    /// Requests that this gateway may send by its even fraction of the band.
+    /// Returns the requests that this gateway may send by its even fraction of the band.
     pub(crate) fn dispatch_credit(&self) -> f64 {
         self.dispatch_credit
     }
 
-    /// Sets the requests that this gateway may send.
+    /// Sets the requests that this gateway may send by its even fraction of the band.
     pub(crate) fn set_dispatch_credit(&mut self, dispatch_credit: f64) {
         self.dispatch_credit = dispatch_credit;
     }
 
-    /// Begins a refill, and returns the seconds since the last one.
+    /// Begins a refill of the dispatch credit, and returns the seconds since the last one.
     pub(crate) fn begin_refill(&mut self, now_ms: f64) -> f64 {
         let seconds = (now_ms - self.refilled_ms).max(0.0) / 1000.0;
         self.refilled_ms = now_ms;
--- a/crates/admission/src/state/fleet/broadcast_peer.rs
+++ b/crates/admission/src/state/fleet/broadcast_peer.rs
@@ -1,34 +1,34 @@
-//! Broadcast mode: the last report of another gateway, and when it may be sent one.
+//! Broadcast mode: the last report of another gateway, and when this gateway may send it a report.
 use crate::mechanism::token_bucket::TokenCount;
 use crate::messages::counts_message::{is_newer_sequence, next_sequence, CountsMessage};
 
-/// Another gateway in broadcast mode, where each sends the others its counts.
+/// Another gateway in broadcast mode, in which each gateway sends its counts to all others.
 #[derive(Debug)]
 pub(crate) struct BroadcastPeer {
-    /// The peer's start that the last message came from; `None` before the first message.
+    /// Incarnation of the peer that sent the last message; `None` before the first message.
     incarnation: Option<u32>,
     /// Sequence number of the last message.
     sequence: u32,
-    /// Attempts that the peer reported to have in flight.
+    /// Attempts in flight that the peer reported.
     in_flight: u32,
-    /// The watermark that the peer reported.
+    /// Watermark that the peer reported.
     watermark: f64,
-    /// When the last message came, in ms.
+    /// When the last message was received, in ms.
     received_ms: f64,
-    /// Reports that the peer may be sent now.
+    /// Number of reports that may be sent to the peer now.
     credit: TokenCount,
-    /// When the credit was last added to, in ms.
+    /// When credit was last added, in ms.
     credited_ms: f64,
-    /// When the peer was last sent a report, in ms.
+    /// When a report was last sent to the peer, in ms.
     sent_ms: f64,
-    /// Sequence number of that report.
+    /// Sequence number of the last report to the peer.
     sent_sequence: u32,
-    /// Attempts in flight that it had.
+    /// This gateway's attempts in flight in the last report to the peer.
     sent_in_flight: u32,
 }
 
 impl BroadcastPeer {
-    /// A peer that nothing was received from and nothing sent to.
+    /// Creates a peer from which nothing was received and to which nothing was sent.
     pub(crate) fn unknown() -> Self {
         BroadcastPeer {
             incarnation: None,
@@ -44,25 +44,26 @@
         }
     }
 
-    /// Attempts that the peer reported to have in flight.
+    /// Returns the attempts in flight that the peer reported.
     pub(crate) fn in_flight(&self) -> u32 {
         self.in_flight
     }
 
-    /// The watermark that the peer reported.
+    /// Returns the watermark that the peer reported.
     pub(crate) fn watermark(&self) -> f64 {
         self.watermark
     }
 
-    /// Whether the peer's last report is younger than the time-out.
+    /// Returns whether the peer's last report is younger than the time-out.
     pub(crate) fn is_live(&self, now_ms: f64, timeout_ms: f64) -> bool {
         now_ms - self.received_ms < timeout_ms
     }
 
-    /// Records the head of a message; `false` for a message that must not be applied.
+    /// Records the head of a message; returns `false` if the message must not be applied.
     ///
-    /// Guards against datagrams that arrive twice or out of order: units of a ceiling would be there twice,
-    /// and an older count would be taken for units given back. Sequence numbers of the same start show both.
+    /// This guards against datagrams that arrive twice or out of order: transferred units of a ceiling would
+    /// be added twice, and an older count would look as if units had been given back. Within one incarnation,
+    /// the sequence number reveals both.
     pub(crate) fn record_message(&mut self, message: &CountsMessage, now_ms: f64) -> bool {
         let restarted = self.incarnation != Some(message.incarnation);
         if !restarted && !is_newer_sequence(message.sequence, self.sequence) {
@@ -76,29 +77,30 @@
         true
     }
 
-    /// Adds the reports that the peer may be sent for the time since the last call, up to a limit.
+    /// Adds the reports that the time since the last call allows to the peer's credit, up to a limit.
     pub(crate) fn accrue_credit(&mut self, reports_per_second: f64, max_saved: f64, now_ms: f64) {
         let accrued = reports_per_second * (now_ms - self.credited_ms) / 1000.0;
         self.credit.add(accrued, max_saved);
         self.credited_ms = now_ms;
     }
 
-    /// Reports that the peer may be sent now.
+    /// Returns the number of reports that may be sent to the peer now.
     pub(crate) fn credit(&self) -> f64 {
         self.credit.tokens()
     }
 
-    /// Attempts in flight that the last report to the peer had.
+    /// Returns this gateway's attempts in flight in the last report to the peer.
     pub(crate) fn sent_in_flight(&self) -> u32 {
         self.sent_in_flight
     }
 
-    /// Time since the last report to the peer.
+    /// Returns the time since the last report to the peer, in ms.
     pub(crate) fn since_sent_ms(&self, now_ms: f64) -> f64 {
         now_ms - self.sent_ms
     }
 
-    /// Records a report that is sent and costs this credit, and sets the next sequence number in it.
+    /// Records a report that is about to be sent: takes its credit, and sets its sequence number to the next
+    /// one.
     pub(crate) fn record_sent_report(&mut self, message: &mut CountsMessage, credit: f64, now_ms: f64) {
         self.credit.take(credit);
         self.sent_sequence = next_sequence(self.sent_sequence);
--- a/crates/admission/src/state/fleet/broadcast_peers.rs
+++ b/crates/admission/src/state/fleet/broadcast_peers.rs
@@ -4,7 +4,7 @@
 use crate::state::{peer_indices, BroadcastPeer};
 use std::collections::BTreeMap;
 
-/// What a gateway knows of the others in broadcast mode.
+/// State of broadcast mode: the other gateways, and when they were last sent reports.
 #[derive(Debug)]
 pub(crate) struct Broadcast {
     /// The other gateways, by number.
@@ -14,19 +14,19 @@
 }
 
 impl Broadcast {
-    /// A gateway that has received nothing and sent nothing yet.
+    /// Creates the state of a gateway that has received and sent nothing.
     pub(crate) fn new(settings: &Settings) -> Self {
         let peers = peer_indices(settings).map(|peer| (peer, BroadcastPeer::unknown())).collect();
         Broadcast { peers, reported_ms: 0.0 }
     }
 
-    /// Peers whose last report is younger than the time-out.
+    /// Returns the peers whose last report is younger than the time-out.
     pub(crate) fn live_peers(&self, now_ms: f64, timeout_ms: f64) -> impl Iterator<Item = &BroadcastPeer> {
         self.peers.values().filter(move |peer| peer.is_live(now_ms, timeout_ms))
     }
 
-    /// Begins a round of reports, at least `interval_ms` after the last; `None` where none is due or there
-    /// are no peers.
+    /// Begins a round of reports and returns the peers to report to; `None` if the last round began less than
+    /// `interval_ms` ago or there are no peers.
     pub(crate) fn begin_round(
         &mut self,
         now_ms: f64,
@@ -39,7 +39,7 @@
         Some(self.peers.keys().copied())
     }
 
-    /// Another gateway; `None` for this one.
+    /// Returns the state of another gateway; `None` for this one.
     pub(crate) fn peer_mut(&mut self, gateway: GatewayIndex) -> Option<&mut BroadcastPeer> {
         self.peers.get_mut(&gateway)
     }
--- a/crates/admission/src/state/fleet/fleet_means.rs
+++ b/crates/admission/src/state/fleet/fleet_means.rs
@@ -2,31 +2,31 @@
 use crate::mechanism::decaying_rate::DecayingRate;
 use crate::mechanism::smoothing::smooth;
 
-/// Means over the gateways of a fleet that does not broadcast counts. There are two of each: the mean passed
-/// on to peers, which contains this gateway's own figures, and the mean received, which leaves these out.
+/// Means over the gateways of a fleet that does not broadcast counts. Each mean is kept twice: as passed on
+/// to peers, which includes this gateway's own values, and as received, which does not.
 #[derive(Debug, Default)]
 pub(crate) struct FleetMeans {
     /// The means that are passed on to peers.
     passed_on: GatewayMeans,
-    /// The means as received, which decisions go by.
+    /// The means as received, on which decisions are based.
     received: GatewayMeans,
-    /// This gateway's own good responses per second.
+    /// Good responses at this gateway per second, smoothed.
     own_rate: DecayingRate,
-    /// When the means were last moved towards the own figures, in ms.
+    /// When this gateway's own values were last applied, in ms.
     own_applied_ms: f64,
 }
 
-/// Figures of the mean gateway.
+/// Means over the fleet of one gateway's values.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct GatewayMeans {
-    /// Attempts in flight of one gateway in the mean.
+    /// Mean attempts in flight of a gateway.
     pub(crate) in_flight: f64,
-    /// Good responses per second.
+    /// Mean good responses of a gateway per second.
     pub(crate) responses_per_second: f64,
 }
 
 impl GatewayMeans {
-    /// Moves each figure by the fraction `gain` of the distance.
+    /// Moves each mean towards the sample by the fraction `gain` of the distance.
     fn follow(&mut self, sample: GatewayMeans, gain: f64) {
         smooth(&mut self.in_flight, sample.in_flight, gain);
         smooth(&mut self.responses_per_second, sample.responses_per_second, gain);
@@ -34,34 +34,34 @@
 }
 
 impl FleetMeans {
-    /// The means that are passed on to peers.
+    /// Returns the means that are passed on to peers.
     pub(crate) fn passed_on(&self) -> GatewayMeans {
         self.passed_on
     }
 
-    /// The means as received, which decisions go by.
+    /// Returns the means as received, on which decisions are based.
     pub(crate) fn received(&self) -> GatewayMeans {
         self.received
     }
 
-    /// Counts a good response at this gateway.
+    /// Counts a good response at this gateway, with the rate smoothed over `span_s`.
     pub(crate) fn record_response(&mut self, now_ms: f64, span_s: f64) {
         self.own_rate.add(1.0, now_ms, span_s);
     }
 
-    /// Applies a peer's means, with a gain for those passed on and one for those received.
+    /// Applies a peer's means, with one gain for the means passed on and one for those received.
     pub(crate) fn apply(&mut self, means: GatewayMeans, passed_on_gain: f64, received_gain: f64) {
         self.passed_on.follow(means, passed_on_gain);
         self.received.follow(means, received_gain);
     }
 
-    /// Time since the means were last moved towards the own figures.
+    /// Returns the time since this gateway's own values were last applied, in ms.
     pub(crate) fn since_own_applied_ms(&self, now_ms: f64) -> f64 {
         now_ms - self.own_applied_ms
     }
 
-    /// Moves the means that are passed on towards this gateway's own figures, at a gain per second. The rate
-    /// of responses is smoothed over a span.
+    /// Moves the means that are passed on towards this gateway's own values. `gain_per_second` sets how fast
+    /// they follow; the rate of responses is smoothed over `span_s`.
     pub(crate) fn apply_own(&mut self, own_in_flight: f64, now_ms: f64, gain_per_second: f64, span_s: f64) {
         let seconds = self.since_own_applied_ms(now_ms).max(0.0) / 1000.0;
         self.own_applied_ms = now_ms;
@@ -73,7 +73,7 @@
         self.passed_on.follow(own, gain);
     }
 
-    /// Uses this gateway's figures in place of the received ones, where nothing is received.
+    /// Replaces the received means by those passed on, for modes in which nothing is received.
     pub(crate) fn use_own_as_received(&mut self) {
         self.received = self.passed_on;
     }
--- a/crates/admission/src/state/fleet/gateway_set.rs
+++ b/crates/admission/src/state/fleet/gateway_set.rs
@@ -4,90 +4,96 @@
 use crate::mechanism::splitmix64::mix;
 use crate::settings::Settings;
 
-/// Numbers of the other gateways of the fleet.
+/// Returns the numbers of the other gateways of the fleet.
 pub(crate) fn peer_indices(settings: &Settings) -> impl Iterator<Item = GatewayIndex> {
     let me = settings.this_gateway;
     (0..settings.gateways).map(GatewayIndex).filter(move |gateway| *gateway != me)
 }
 
-/// Some gateways of the fleet, consecutive by number; gateway 0 follows the last one.
+/// A set of gateways with consecutive numbers; gateway 0 follows the last one of the fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct GatewaySet {
-    /// The first gateway.
+    /// First gateway of the set.
     first: GatewayIndex,
-    /// How many gateways the set has.
+    /// Number of gateways in the set.
     len: usize,
-    /// How many gateways the fleet has.
-    fleet: usize,
+    /// Number of gateways in the fleet.
+    fleet_size: usize,
 }
 
 /// A gateway and its rank for one customer. The gateway of the lowest rank in a set owns the customer's
 /// quota.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct RankedGateway {
-    /// The rank, evenly spread over all gateways and customers.
+    /// The rank, evenly distributed over all gateways and customers.
     pub(crate) rank: u64,
     /// The gateway's number.
     pub(crate) gateway: GatewayIndex,
 }
 
 impl RankedGateway {
-    /// The gateway's rank by rendezvous hashing: every gateway computes the same.
+    /// Computes the gateway's rank by rendezvous hashing; every gateway computes the same one.
     fn new(tag: CustomerTag, gateway: GatewayIndex) -> Self {
         RankedGateway { rank: mix(tag.0 ^ mix(gateway.0 as u64)), gateway }
     }
 }
 
 impl GatewaySet {
-    /// `len` gateways from `first` on, of a fleet of `fleet`; at least one and at most the whole fleet.
-    pub(crate) fn new(first: GatewayIndex, len: usize, fleet: usize) -> Self {
-        GatewaySet { first: GatewayIndex(first.0 % fleet), len: len.clamp(1, fleet), fleet }
+    /// Creates the set of `len` gateways from `first` on, in a fleet of `fleet_size`. The set has at least
+    /// one gateway and at most the whole fleet.
+    pub(crate) fn new(first: GatewayIndex, len: usize, fleet_size: usize) -> Self {
+        GatewaySet { first: GatewayIndex(first.0 % fleet_size), len: len.clamp(1, fleet_size), fleet_size }
     }
 
-    /// The gateways that the requests of a request's customer come through.
-    pub(crate) fn of_request(request: &Request, fleet: usize) -> Self {
-        GatewaySet::new(request.first_gateway, request.gateway_count, fleet)
+    /// Returns the set of gateways that the requests of this request's customer come through.
+    pub(crate) fn of_request(request: &Request, fleet_size: usize) -> Self {
+        GatewaySet::new(request.first_gateway, request.gateway_count, fleet_size)
     }
 
-    /// The same as `new`, but `None` where the first gateway or the number of gateways is not of the fleet.
-    pub(crate) fn try_new(first: GatewayIndex, len: usize, fleet: usize) -> Option<Self> {
-        (first.0 < fleet && (1..=fleet).contains(&len)).then_some(GatewaySet { first, len, fleet })
+    /// Creates the same set as `new`; `None` if the first gateway is not in the fleet, or the set would be
+    /// empty or larger than the fleet.
+    pub(crate) fn try_new(first: GatewayIndex, len: usize, fleet_size: usize) -> Option<Self> {
+        (first.0 < fleet_size && (1..=fleet_size).contains(&len)).then_some(GatewaySet {
+            first,
+            len,
+            fleet_size,
+        })
     }
 
-    /// The first gateway.
+    /// Returns the first gateway.
     pub(crate) fn first(&self) -> GatewayIndex {
         self.first
     }
 
-    /// How many gateways the set has.
+    /// Returns the number of gateways in the set.
     pub(crate) fn len(&self) -> usize {
         self.len
     }
 
-    /// Whether a gateway is among the set.
+    /// Returns whether a gateway is in the set.
     pub(crate) fn contains(&self, gateway: GatewayIndex) -> bool {
-        (gateway.0 + self.fleet - self.first.0) % self.fleet < self.len
+        (gateway.0 + self.fleet_size - self.first.0) % self.fleet_size < self.len
     }
 
-    /// A gateway's position in the set for a customer, from 0. It is rotated by the customer's tag, so that
-    /// the first positions fall to other gateways for other customers.
+    /// Returns a gateway's position in the set for a customer, from 0. Positions are rotated by the
+    /// customer's tag, so that different customers have different gateways in the first positions.
     pub(crate) fn rotated_position(&self, tag: CustomerTag, gateway: GatewayIndex) -> u32 {
-        let distance = gateway.0 + self.fleet - self.first.0;
+        let distance = gateway.0 + self.fleet_size - self.first.0;
         (distance as u32).wrapping_add(tag.short()) % self.len as u32
     }
 
-    /// The set's gateways.
+    /// Returns the set's gateways, in the order of their numbers from the first one on.
     pub(crate) fn members(&self) -> impl Iterator<Item = GatewayIndex> {
-        let GatewaySet { first, len, fleet } = *self;
-        (0..len).map(move |step| GatewayIndex((first.0 + step) % fleet))
+        let GatewaySet { first, len, fleet_size } = *self;
+        (0..len).map(move |step| GatewayIndex((first.0 + step) % fleet_size))
     }
 
-    /// The set's gateways with their ranks for a customer, in the order of their numbers.
+    /// Returns the set's gateways with their ranks for a customer, in the same order as `members`.
     pub(crate) fn rendezvous_ranking(&self, tag: CustomerTag) -> impl Iterator<Item = RankedGateway> {
         self.members().map(move |gateway| RankedGateway::new(tag, gateway))
     }
 
-    /// How many of the set's gateways come before a gateway in a customer's ranking.
+    /// Returns how many of the set's gateways come before this gateway in a customer's ranking.
     pub(crate) fn ranking_position(&self, tag: CustomerTag, gateway: GatewayIndex) -> usize {
         let rank = RankedGateway::new(tag, gateway).rank;
         self.rendezvous_ranking(tag).filter(|other| other.rank < rank).count()
--- a/crates/admission/src/state/fleet/gossip_peers.rs
+++ b/crates/admission/src/state/fleet/gossip_peers.rs
@@ -7,23 +7,23 @@
 use crate::state::{peer_indices, GossipPeer, PendingQuotaRequests};
 use std::collections::BTreeMap;
 
-/// What a gateway knows of the others in gossip mode, and how many quota requests it may send them.
+/// State of gossip mode: the other gateways, quota requests sent to them, and how many more may be sent.
 #[derive(Debug)]
 pub(crate) struct Gossip {
     /// The other gateways, by number.
     peers: BTreeMap<GatewayIndex, GossipPeer>,
-    /// Quota requests that wait for a response.
+    /// Quota requests that await a response.
     pub(crate) requests: PendingQuotaRequests,
-    /// Message tokens: each quota request costs one, so that no gateway is sent more messages than it
+    /// Message tokens. Each quota request costs one, so that no gateway is sent more messages than it
     /// accepts.
     message_tokens: TokenCount,
-    /// Messages per second with others' quota requests and releases.
+    /// Rate of received messages that carry quota requests or releases of other gateways, per second.
     received_rate: DecayingRate,
 }
 
 impl Gossip {
-    /// A gateway that has received nothing and sent nothing yet, and that may send so many quota requests at
-    /// once.
+    /// Creates the state of a gateway that has received and sent nothing. `message_tokens` is the number of
+    /// quota requests that it may send at once.
     pub(crate) fn new(settings: &Settings, message_tokens: f64) -> Self {
         Gossip {
             peers: peer_indices(settings).map(|peer| (peer, GossipPeer::default())).collect(),
@@ -33,17 +33,17 @@
         }
     }
 
-    /// Whether a gateway is sent no quota requests now.
+    /// Returns whether a gateway is suspected to be down, so that it is sent no quota requests.
     pub(crate) fn is_suspected(&self, gateway: GatewayIndex, now_ms: f64) -> bool {
         self.peers.get(&gateway).is_some_and(|peer| peer.is_suspected(now_ms))
     }
 
-    /// Another gateway; `None` for this one.
+    /// Returns the state of another gateway; `None` for this one.
     pub(crate) fn peer_mut(&mut self, gateway: GatewayIndex) -> Option<&mut GossipPeer> {
         self.peers.get_mut(&gateway)
     }
 
-    /// Message tokens: quota requests that may be sent now.
+    /// Returns the message tokens: the number of quota requests that may be sent now.
     pub(crate) fn message_tokens(&self) -> f64 {
         self.message_tokens.tokens()
     }
@@ -53,8 +53,8 @@
         self.message_tokens.take(tokens);
     }
 
-    /// Records a message of a peer. Messages with responses do not count as received: own quota requests
-    /// cause them, and the budget of these plans for their responses.
+    /// Records a message of a peer. Messages with responses do not count as received: they are caused by this
+    /// gateway's own quota requests, whose budget includes their responses.
     pub(crate) fn record_message(
         &mut self,
         from: GatewayIndex,
@@ -70,7 +70,8 @@
         }
     }
 
-    /// Messages per second with others' quota requests and releases.
+    /// Returns the rate of received messages that carry quota requests or releases of other gateways, per
+    /// second.
     pub(crate) fn received_per_second(&self, now_ms: f64, span_s: f64) -> f64 {
         self.received_rate.now(now_ms, span_s)
     }
--- a/crates/admission/src/state/fleet/mod.rs
+++ b/crates/admission/src/state/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! The fleet's other gateways, the mode in which they coordinate, and the in-flight band.
+//! State of the fleet: its other gateways, the mode in which they coordinate, and the in-flight band.
 mod band_state;
 mod broadcast_peer;
 mod broadcast_peers;
