--- a/crates/admission/src/messages/counts_message.rs
+++ b/crates/admission/src/messages/counts_message.rs
@@ -1,5 +1,5 @@
-//! The counts message: what each gateway sends every other in broadcast mode.
-use crate::messages::base64_digits::{max_value, put, put_at_most, take};
+//! The counts message, which each gateway sends to every other in broadcast mode.
+use crate::messages::base64_digits::{max_value, put, put_saturating, take};
 use crate::messages::fixed_point::{FixedPoint, SixtyThirds};
 use crate::messages::message_entry::{put_entries, take_entry, take_version, MessageEntry};
 use std::str::Bytes;
@@ -32,7 +32,7 @@
 const HEAD_LEN: usize =
     1 + (INCARNATION_DIGITS + SEQUENCE_DIGITS + SENDER_IN_FLIGHT_DIGITS + WatermarkOnWire::LEN) as usize;
 
-/// Bytes of a count with its marker.
+/// Bytes of a customer's count with its marker.
 const COUNT_LEN: usize = 1 + (TAG_DIGITS + CONSUMED_DIGITS + SixtyThirds::LEN + IN_FLIGHT_DIGITS) as usize;
 
 /// Bytes of a ceiling request with its marker.
@@ -41,92 +41,94 @@
 /// Bytes of a ceiling transfer with its marker.
 const CEILING_TRANSFER_LEN: usize = 1 + (TAG_DIGITS + TRANSFER_DIGITS) as usize;
 
-/// Bytes that all entries of one customer have at most.
+/// The most bytes that the entries of one customer take up together.
 pub(crate) const MAX_CUSTOMER_LEN: usize = COUNT_LEN + CEILING_REQUEST_LEN + CEILING_TRANSFER_LEN;
 
 /// Mask of sequence numbers, which have 12 bits.
 const SEQUENCE_MASK: u32 = max_value(SEQUENCE_DIGITS);
 
-/// Half the range of sequence numbers: one that is ahead by less is newer, one that is ahead by more is
-/// older.
+/// Half the range of sequence numbers. A number is newer than another if it is ahead of it by no more than
+/// this, and older if it is ahead by more.
 const MAX_SEQUENCE_LEAD: u32 = SEQUENCE_MASK / 2;
 
 /// Mask of incarnations, which have 18 bits.
 const INCARNATION_MASK: u32 = max_value(INCARNATION_DIGITS);
 
-/// Steps of a unit, where units are counted in quarters.
+/// Number of quarter units in a unit; messages carry units in quarters.
 pub(crate) const QUARTERS_PER_UNIT: f64 = 4.0;
 
-/// Mask of the quarters consumed, of which the message carries the low 18 bits.
+/// Mask of the quarter units consumed, of which the message carries the low 18 bits.
 const CONSUMED_MASK: u32 = max_value(CONSUMED_DIGITS);
 
-/// The incarnation of a gateway that a hash of its seed names: as many bits as a message carries.
+/// Returns a gateway's incarnation for a hash of its seed, reduced to the bits that a message carries.
 pub(crate) fn incarnation(hash: u64) -> u32 {
     (hash & u64::from(INCARNATION_MASK)) as u32
 }
 
-/// The sequence number after another one. It begins again at 0 after the largest.
+/// Returns the sequence number after this one. After the largest, numbers restart at 0.
 pub(crate) fn next_sequence(sequence: u32) -> u32 {
     (sequence + 1) & SEQUENCE_MASK
 }
 
-/// Whether a sequence number is newer than another one of the same sender, though numbers begin again at 0.
+/// Returns whether a sequence number is newer than `last` of the same sender, although numbers restart at 0.
 pub(crate) fn is_newer_sequence(sequence: u32, last: u32) -> bool {
     let lead = sequence.wrapping_sub(last) & SEQUENCE_MASK;
     lead > 0 && lead <= MAX_SEQUENCE_LEAD
 }
 
-/// What a gateway reports of one customer.
+/// A gateway's count of one customer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct CountEntry {
-    /// The customer's tag, 24 bits.
+    /// Tag of the customer, 24 bits.
     pub tag: u32,
-    /// Units consumed since the sender's start.
+    /// Units that the sender has consumed since it started.
     pub consumed: ConsumedUnits,
-    /// The fraction of the burst that the sender sees in the quota.
+    /// Fraction of the burst that the sender sees in the quota.
     pub fill: QuotaFill,
-    /// Attempts that the sender has in flight for the customer; the wire carries 63 at most.
+    /// Attempts that the sender has in flight for the customer; a message carries 63 at most.
     pub in_flight: u32,
 }
 
-/// Requests units of a customer's hard ceiling from the receiver.
+/// A request to the receiver for units of a customer's hard ceiling.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct CeilingRequest {
-    /// The customer's tag, 24 bits.
+    /// Tag of the customer, 24 bits.
     pub tag: u32,
 }
 
-/// Units of a customer's hard ceiling that the sender transfers to the receiver.
+/// A transfer of units of a customer's hard ceiling from the sender to the receiver.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct CeilingTransfer {
-    /// The customer's tag, 24 bits.
+    /// Tag of the customer, 24 bits.
     pub tag: u32,
     quarter_units: u32,
 }
 
 impl CeilingTransfer {
-    /// A transfer of units, rounded down to quarters: no more may arrive than was taken off.
+    /// Creates a transfer of units, rounded down to quarters, so that no more arrives than the sender gave
+    /// up.
     pub(crate) fn new(tag: u32, units: f64) -> Self {
         CeilingTransfer { tag, quarter_units: (units * QUARTERS_PER_UNIT) as u32 }
     }
 
-    /// Units transferred.
+    /// Returns the units transferred.
     pub(crate) fn units(&self) -> f64 {
         f64::from(self.quarter_units) / QUARTERS_PER_UNIT
     }
 }
 
-/// Units consumed since a gateway's start: the low 18 bits of the quarters, so that the count wraps.
+/// Units that a gateway has consumed since it started, as the low 18 bits of their quarters. The count wraps.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub(crate) struct ConsumedUnits(u32);
 
 impl ConsumedUnits {
-    /// The count of units consumed.
+    /// Creates the count of these units, rounded to the nearest quarter.
     pub(crate) fn new(units: f64) -> Self {
         ConsumedUnits((units * QUARTERS_PER_UNIT).round() as i64 as u32 & CONSUMED_MASK)
     }
 
-    /// Units consumed since an earlier count. More than half the range means that some were given back.
+    /// Returns the units consumed since an earlier count. A difference of half the range or more means that
+    /// units were given back.
     pub(crate) fn units_since(self, earlier: ConsumedUnits) -> f64 {
         let range = f64::from(CONSUMED_MASK + 1) / QUARTERS_PER_UNIT;
         let units = f64::from(self.0.wrapping_sub(earlier.0) & CONSUMED_MASK) / QUARTERS_PER_UNIT;
@@ -143,18 +145,18 @@
 pub(crate) struct QuotaFill(SixtyThirds);
 
 impl QuotaFill {
-    /// The highest step that is not above a fraction of the burst.
+    /// Returns the highest 63rd that is not above a fraction of the burst.
     pub(crate) fn at_most(fraction: f64) -> Self {
         QuotaFill(SixtyThirds::at_most(fraction))
     }
 
-    /// The fraction of the burst.
+    /// Returns the fraction of the burst.
     pub(crate) fn fraction(self) -> f64 {
         self.0.value()
     }
 }
 
-/// A watermark in 16ths, as the message has it.
+/// A watermark in 16ths, as the message carries it.
 pub(crate) type WatermarkOnWire = FixedPoint<16, 2>;
 
 /// A message between gateways in broadcast mode.
@@ -162,22 +164,22 @@
 pub(crate) struct CountsMessage {
     /// Distinguishes this start of the sender from earlier ones, 18 bits.
     pub incarnation: u32,
-    /// The message's sequence number to this receiver, 12 bits.
+    /// Sequence number of the message among those to this receiver, 12 bits.
     pub sequence: u32,
-    /// Attempts that the sender has in flight; the wire carries 4095 at most.
+    /// Attempts that the sender has in flight; a message carries 4095 at most.
     pub in_flight: u32,
-    /// The sender's watermark.
+    /// Watermark of the sender.
     pub watermark: WatermarkOnWire,
-    /// Customers that the sender consumed units of or has attempts in flight for.
+    /// Counts of the customers that the sender consumed units of or has attempts in flight for.
     pub counts: Vec<CountEntry>,
-    /// Customers of whose ceiling the sender requests units.
+    /// Requests for units of customers' ceilings.
     pub ceiling_requests: Vec<CeilingRequest>,
-    /// Units of ceilings that the sender transfers to the receiver.
+    /// Transfers of units of customers' ceilings to the receiver.
     pub ceiling_transfers: Vec<CeilingTransfer>,
 }
 
 impl CountsMessage {
-    /// Length of the text in bytes.
+    /// Returns the length of the encoded message in bytes.
     pub(crate) fn len(&self) -> usize {
         HEAD_LEN
             + COUNT_LEN * self.counts.len()
@@ -185,18 +187,18 @@
             + CEILING_TRANSFER_LEN * self.ceiling_transfers.len()
     }
 
-    /// Whether the message says nothing of any customer.
+    /// Returns whether the message has no entry of any customer.
     pub(crate) fn is_empty(&self) -> bool {
         self.len() == HEAD_LEN
     }
 
-    /// The message as text.
+    /// Returns the message as text.
     pub(crate) fn encode(&self) -> String {
         let mut text = String::with_capacity(self.len());
         text.push(char::from(VERSION));
         put(&mut text, self.incarnation, INCARNATION_DIGITS);
         put(&mut text, self.sequence, SEQUENCE_DIGITS);
-        put_at_most(&mut text, self.in_flight, SENDER_IN_FLIGHT_DIGITS);
+        put_saturating(&mut text, self.in_flight, SENDER_IN_FLIGHT_DIGITS);
         self.watermark.encode(&mut text);
         put_entries(&mut text, &self.counts);
         put_entries(&mut text, &self.ceiling_requests);
@@ -204,7 +206,7 @@
         text
     }
 
-    /// Reads a text; `None` where any of it is not of this format.
+    /// Decodes a message; `None` if any part of the text is not in this format.
     pub(crate) fn decode(text: &str) -> Option<Self> {
         let mut bytes = text.bytes();
         take_version(&mut bytes, VERSION)?;
@@ -234,7 +236,7 @@
         put(text, self.tag, TAG_DIGITS);
         put(text, self.consumed.0, CONSUMED_DIGITS);
         self.fill.0.encode(text);
-        put_at_most(text, self.in_flight, IN_FLIGHT_DIGITS);
+        put_saturating(text, self.in_flight, IN_FLIGHT_DIGITS);
     }
 
     fn decode(bytes: &mut Bytes<'_>) -> Option<Self> {
--- a/crates/admission/src/messages/fixed_point.rs
+++ b/crates/admission/src/messages/fixed_point.rs
@@ -1,61 +1,61 @@
-//! Figures in whole steps, as messages carry them.
-use crate::messages::base64_digits::{max_value, put_at_most, take};
+//! Fixed-point numbers, as messages carry them.
+use crate::messages::base64_digits::{max_value, put_saturating, take};
 use std::str::Bytes;
 
-/// A figure of 0 or more in whole steps: `STEPS` of them make 1, and it has `DIGITS` digits in a message. A
-/// figure that is too large counts as the largest that the digits carry.
+/// A number of 0 or more, in steps of 1/`STEPS`, which a message carries as `DIGITS` digits. A number that is
+/// too large counts as the largest that the digits carry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub(crate) struct FixedPoint<const STEPS: u32, const DIGITS: u32>(u32);
 
-/// A fraction of 0 to 1 in one digit.
+/// A fraction of 0 to 1 in 63rds, which a message carries as one digit.
 pub(crate) type SixtyThirds = FixedPoint<63, 1>;
 
 impl<const STEPS: u32, const DIGITS: u32> FixedPoint<STEPS, DIGITS> {
-    /// Digits of the figure in a message.
+    /// Digits of the number in a message.
     pub(crate) const LEN: u32 = DIGITS;
 
-    /// The figure 1.
+    /// The number 1.
     pub(crate) const ONE: Self = FixedPoint(STEPS);
 
-    /// One step, the smallest figure above 0.
+    /// One step, the smallest number above 0.
     pub(crate) const ONE_STEP: Self = FixedPoint(1);
 
-    /// The step nearest to a figure.
-    pub(crate) fn nearest(figure: f64) -> Self {
-        Self::of_steps((figure * f64::from(STEPS)).round() as u32)
+    /// Returns the multiple of a step nearest to `value`.
+    pub(crate) fn nearest(value: f64) -> Self {
+        Self::from_steps((value * f64::from(STEPS)).round() as u32)
     }
 
-    /// The highest step that is not above a figure.
-    pub(crate) fn at_most(figure: f64) -> Self {
-        Self::of_steps((figure * f64::from(STEPS)) as u32)
+    /// Returns the highest multiple of a step that is not above `value`.
+    pub(crate) fn at_most(value: f64) -> Self {
+        Self::from_steps((value * f64::from(STEPS)) as u32)
     }
 
-    /// So many steps, as far as the digits carry them.
-    fn of_steps(steps: u32) -> Self {
+    /// Returns the number of so many steps, limited to what the digits carry.
+    fn from_steps(steps: u32) -> Self {
         FixedPoint(steps.min(max_value(DIGITS)))
     }
 
-    /// The larger of two figures.
+    /// Returns the larger of two numbers.
     pub(crate) fn max(self, other: Self) -> Self {
         FixedPoint(self.0.max(other.0))
     }
 
-    /// The number of steps.
+    /// Returns the number of steps.
     pub(crate) fn steps(self) -> u32 {
         self.0
     }
 
-    /// The figure.
+    /// Returns the number as a float.
     pub(crate) fn value(self) -> f64 {
         f64::from(self.0) / f64::from(STEPS)
     }
 
-    /// Adds the figure's digits to a message.
+    /// Appends the number's digits to a message.
     pub(crate) fn encode(self, text: &mut String) {
-        put_at_most(text, self.0, DIGITS);
+        put_saturating(text, self.0, DIGITS);
     }
 
-    /// Reads a figure from a message; `None` where its digits are not all there.
+    /// Reads a number from a message; `None` if a digit is missing or invalid.
     pub(crate) fn decode(bytes: &mut Bytes<'_>) -> Option<Self> {
         take(bytes, DIGITS).map(FixedPoint)
     }
--- a/crates/admission/src/messages/gossip_message.rs
+++ b/crates/admission/src/messages/gossip_message.rs
@@ -9,37 +9,37 @@
 /// First character of every gossip message.
 const VERSION: u8 = b'w';
 
-/// Bytes that the text of a message is given space for at first: enough for one quota message.
+/// Initial capacity of a message's text in bytes, enough for one quota message.
 const USUAL_LEN: usize = 64;
 
 /// A message between gateways in gossip mode.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub(crate) struct GossipMessage {
-    /// Means over the fleet as the sender has them.
+    /// Means over the fleet as the sender knows them.
     pub means: MeansOnWire,
-    /// Quota requests to the receiver as the owner of the quotas.
+    /// Quota requests to the receiver, which owns the quotas.
     pub requests: Vec<QuotaRequest>,
     /// Responses to the receiver's quota requests.
     pub responses: Vec<QuotaResponse>,
-    /// Requests that the receiver granted or queued and that have ended.
+    /// Releases of requests that the receiver granted or queued and that have ended.
     pub releases: Vec<QuotaRelease>,
-    /// What the sender observed of endpoints.
+    /// The sender's observations of endpoints.
     pub observations: Vec<Observation>,
 }
 
-/// Means over the fleet of one gateway's figures, in the steps of the wire.
+/// Means over the fleet of one gateway's values, rounded to the steps that a message carries.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub(crate) struct MeansOnWire {
-    /// Attempts in flight.
+    /// Mean attempts in flight of a gateway.
     in_flight: FixedPoint<64, 2>,
-    /// The watermark.
+    /// Mean watermark.
     watermark: FixedPoint<32, 2>,
-    /// Good responses per second.
+    /// Mean good responses of a gateway per second.
     rate: FixedPoint<32, 2>,
 }
 
 impl MeansOnWire {
-    /// Means of a gateway's attempts in flight, its watermark, and its good responses per second.
+    /// Creates the means, each rounded to its nearest step.
     pub(crate) fn new(in_flight: f64, watermark: f64, responses_per_second: f64) -> Self {
         MeansOnWire {
             in_flight: FixedPoint::nearest(in_flight),
@@ -48,29 +48,29 @@
         }
     }
 
-    /// Mean attempts in flight of a gateway.
+    /// Returns the mean attempts in flight of a gateway.
     pub(crate) fn in_flight(&self) -> f64 {
         self.in_flight.value()
     }
 
-    /// Mean watermark.
+    /// Returns the mean watermark.
     pub(crate) fn watermark(&self) -> f64 {
         self.watermark.value()
     }
 
-    /// Mean good responses of a gateway per second.
+    /// Returns the mean good responses of a gateway per second.
     pub(crate) fn responses_per_second(&self) -> f64 {
         self.rate.value()
     }
 
-    /// Adds the means' digits to a message.
+    /// Appends the means' digits to a message.
     fn encode(&self, text: &mut String) {
         self.in_flight.encode(text);
         self.watermark.encode(text);
         self.rate.encode(text);
     }
 
-    /// Reads the means from a message; `None` where their digits are not all there.
+    /// Reads the means from a message; `None` if a digit is missing or invalid.
     fn decode(bytes: &mut Bytes<'_>) -> Option<Self> {
         Some(MeansOnWire {
             in_flight: FixedPoint::decode(bytes)?,
@@ -93,22 +93,22 @@
 }
 
 impl GossipMessage {
-    /// A message that carries one quota request.
+    /// Creates a message that carries one quota request.
     pub(crate) fn request(request: QuotaRequest) -> Self {
         GossipMessage { requests: vec![request], ..GossipMessage::default() }
     }
 
-    /// A message that carries one response.
+    /// Creates a message that carries one response.
     pub(crate) fn response(response: QuotaResponse) -> Self {
         GossipMessage { responses: vec![response], ..GossipMessage::default() }
     }
 
-    /// A message that carries one release.
+    /// Creates a message that carries one release.
     pub(crate) fn release(release: QuotaRelease) -> Self {
         GossipMessage { releases: vec![release], ..GossipMessage::default() }
     }
 
-    /// The message as text.
+    /// Returns the message as text.
     pub(crate) fn encode(&self) -> String {
         let mut text = String::with_capacity(USUAL_LEN);
         text.push(char::from(VERSION));
@@ -120,7 +120,7 @@
         text
     }
 
-    /// Reads a text; `None` where any of it is not of this format.
+    /// Decodes a message; `None` if any part of the text is not in this format.
     pub(crate) fn decode(text: &str) -> Option<Self> {
         let mut bytes = text.bytes();
         take_version(&mut bytes, VERSION)?;
--- a/crates/admission/src/messages/message_entry.rs
+++ b/crates/admission/src/messages/message_entry.rs
@@ -1,19 +1,19 @@
-//! The entries that a message has after its head, each behind the character that marks its type.
+//! The entries that follow the head of a message. Each is preceded by a character that marks its type.
 use std::str::Bytes;
 
-/// A type of entries.
+/// A type of message entry.
 pub(crate) trait MessageEntry: Sized {
     /// The character that marks an entry of this type.
     const MARKER: u8;
 
-    /// Adds the entry's digits to a message.
+    /// Appends the entry's digits to a message.
     fn encode(&self, text: &mut String);
 
-    /// Reads an entry from a message; `None` where its digits are not all there.
+    /// Reads an entry from a message; `None` if a digit is missing or invalid.
     fn decode(bytes: &mut Bytes<'_>) -> Option<Self>;
 }
 
-/// Adds entries to a message, each with its marker.
+/// Appends entries to a message, each after its marker.
 pub(crate) fn put_entries<E: MessageEntry>(text: &mut String, entries: &[E]) {
     for entry in entries {
         text.push(char::from(E::MARKER));
@@ -21,14 +21,14 @@
     }
 }
 
-/// Reads an entry of this type, behind its marker, into the entries received so far; `None` where its digits
-/// are not all there.
+/// Reads an entry of this type, whose marker has been read, and appends it to `entries`; `None` if a digit is
+/// missing or invalid.
 pub(crate) fn take_entry<E: MessageEntry>(bytes: &mut Bytes<'_>, entries: &mut Vec<E>) -> Option<()> {
     entries.push(E::decode(bytes)?);
     Some(())
 }
 
-/// Reads the first character of a message; `None` where it is of another type.
+/// Reads the first character of a message; `None` if it is not that of this type of message.
 pub(crate) fn take_version(bytes: &mut Bytes<'_>, version: u8) -> Option<()> {
     (bytes.next()? == version).then_some(())
 }
--- a/crates/admission/src/messages/quota_message.rs
+++ b/crates/admission/src/messages/quota_message.rs
@@ -1,70 +1,71 @@
-//! Quota requests, responses and releases: what passes between the owner of a customer's quota and the other
+//! Quota requests, responses and releases, which the owner of a customer's quota exchanges with the other
 //! gateways that the customer's requests come through.
-use crate::messages::base64_digits::{put, put_at_most, put_long, take, take_long, MAX_TWO_DIGITS};
+use crate::messages::base64_digits::{put, put_saturating, put_u64, take, take_u64, MAX_TWO_DIGITS};
 use crate::messages::fixed_point::SixtyThirds;
 use crate::messages::message_entry::MessageEntry;
 use std::str::Bytes;
 
-/// Requests from the owner of a customer's quota that a request may be sent.
+/// A request to the owner of a customer's quota for permission to send one of the customer's requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct QuotaRequest {
-    /// The customer's full id.
+    /// Full id of the customer.
     pub customer: u64,
-    /// Its plan, an index into the settings, 63 at most.
+    /// The customer's plan, an index into the settings, 63 at most.
     pub plan: u32,
     /// Units of the request, 63 at most.
     pub units: u32,
     /// Number of the first gateway that the customer's requests come through.
     pub first_gateway: u32,
-    /// How many gateways these are. The others follow the first, and gateway 0 follows the last of the fleet.
+    /// Number of gateways that the customer's requests come through. The others follow the first by number,
+    /// and gateway 0 follows the last of the fleet.
     pub gateways: u32,
-    /// The quota request's number at its sender.
+    /// Number of the quota request at its sender.
     pub number: QuotaRequestNumber,
-    /// How long a response is of use.
+    /// Time for which a response is of use to the sender.
     pub wait_budget: WaitBudget,
-    /// Fraction of such requests for which the sender sends quota requests.
+    /// Fraction of the customer's requests for which the sender sends quota requests.
     pub sampling_fraction: SamplingFraction,
 }
 
-/// What the owner of a customer's quota decided on a quota request.
+/// The owner's response to a quota request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct QuotaResponse {
-    /// The quota request's number at its sender.
+    /// Number of the quota request at its sender.
     pub number: QuotaRequestNumber,
-    /// What was decided.
+    /// What the owner decided.
     pub verdict: QuotaVerdict,
-    /// Fraction of such requests for which the owner wants quota requests.
+    /// Fraction of the customer's requests for which the owner wants quota requests.
     pub sampling_fraction: SamplingFraction,
 }
 
-/// Notifies the owner of a customer's quota that a request it granted or queued has ended.
+/// A notice to the owner of a customer's quota that a request which it granted or queued has ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct QuotaRelease {
-    /// The customer's full id.
+    /// Full id of the customer.
     pub customer: u64,
-    /// Number of the quota request.
+    /// Number of the quota request at its sender.
     pub number: QuotaRequestNumber,
-    /// What the request consumed beyond the units granted; below 0 some are given back.
+    /// Units that the request consumed beyond those granted; below 0, units are given back.
     pub additional_units: QuarterUnits,
 }
 
-/// What the owner of a quota decides on a quota request.
+/// The decision of a quota's owner on a quota request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum QuotaVerdict {
-    /// Within the quota.
+    /// The request is within the quota.
     Granted,
-    /// Within the quota, which is so full that the true units need not be reported.
+    /// The request is within the quota, which is so full that the true units need not be reported.
     GrantedAmple,
-    /// Within the quota, but all the customer's slots are taken: the request is queued at the owner.
+    /// The request is within the quota, but all the customer's slots are taken, so the owner queues it.
     Queued,
-    /// Over the quota, but plan and ceiling allow it while there is capacity.
+    /// The request is over the quota, but its plan and the ceiling allow it while there is capacity.
     OverQuotaAllowed,
-    /// Over the quota or the ceiling, or as many requests wait for a slot as may.
+    /// The request is over the quota or the ceiling, or too many requests wait for a slot already.
     OverQuota,
 }
 
 impl QuotaVerdict {
-    /// The number that stands for it on the wire.
+    /// Returns the code of the verdict in a message.
     fn code(self) -> u32 {
         match self {
             QuotaVerdict::Granted => 0,
@@ -75,7 +76,7 @@
         }
     }
 
-    /// The verdict of a code; an unknown one grants nothing.
+    /// Returns the verdict of a code; an unknown code grants nothing.
     fn from_code(code: u32) -> Self {
         match code {
             0 => QuotaVerdict::Granted,
@@ -87,63 +88,64 @@
     }
 }
 
-/// A quota request's number at its sender. It has the 12 bits of the wire, and restarts at 0 after them.
+/// The number of a quota request at its sender. It has 12 bits, as many as a message carries, and restarts at
+/// 0 after the largest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub(crate) struct QuotaRequestNumber(u32);
 
 impl QuotaRequestNumber {
-    /// The number of the sender's next new quota request.
+    /// Returns the number of the sender's next new quota request.
     pub(crate) fn next(self) -> Self {
         QuotaRequestNumber((self.0 + 1) & MAX_TWO_DIGITS)
     }
 
-    /// Adds the number's digits to a message.
+    /// Appends the number's digits to a message.
     fn encode(self, text: &mut String) {
         put(text, self.0, 2);
     }
 
-    /// Reads a number from a message; `None` where its digits are not all there.
+    /// Reads a number from a message; `None` if a digit is missing or invalid.
     fn decode(bytes: &mut Bytes<'_>) -> Option<Self> {
         take(bytes, 2).map(QuotaRequestNumber)
     }
 }
 
-/// A fraction of requests, in 63rds as one digit carries them.
+/// A fraction of requests in 63rds, which a message carries as one digit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct SamplingFraction(SixtyThirds);
 
 impl SamplingFraction {
-    /// All requests.
+    /// The fraction 1: all requests.
     pub(crate) const ALL: Self = SamplingFraction(SixtyThirds::ONE);
 
-    /// The nearest 63rd to a fraction of 0 to 1.
+    /// Returns the 63rd nearest to a fraction of 0 to 1.
     pub(crate) fn nearest(fraction: f64) -> Self {
         SamplingFraction(SixtyThirds::nearest(fraction))
     }
 
-    /// The nearest 63rd to a fraction of 0 to 1, but one at least.
+    /// Returns the 63rd nearest to a fraction of 0 to 1, but at least one 63rd.
     pub(crate) fn nearest_above_zero(fraction: f64) -> Self {
         SamplingFraction(SixtyThirds::nearest(fraction).max(SixtyThirds::ONE_STEP))
     }
 
-    /// The highest 63rd that is not above a fraction of 0 to 1.
+    /// Returns the highest 63rd that is not above a fraction of 0 to 1.
     pub(crate) fn at_most(fraction: f64) -> Self {
         SamplingFraction(SixtyThirds::at_most(fraction))
     }
 
-    /// The fraction, 0 to 1.
+    /// Returns the fraction, 0 to 1.
     pub(crate) fn fraction(self) -> f64 {
         self.0.value()
     }
 
-    /// Units of all requests, where the requests of the fraction have `units`.
+    /// Returns the units of all requests, if the sampled fraction of them has `units`.
     pub(crate) fn extrapolate(self, units: f64) -> f64 {
         let sampled = self.0.max(SixtyThirds::ONE_STEP);
         units * f64::from(SixtyThirds::ONE.steps()) / f64::from(sampled.steps())
     }
 }
 
-/// A span of time in steps of 16 ms, 65 s at most.
+/// A time span in steps of 16 ms, 65 s at most.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct WaitBudget(u32);
 
@@ -151,38 +153,38 @@
     /// Length of a step in ms.
     const STEP_MS: f64 = 16.0;
 
-    /// The most steps that fit into a span.
+    /// Returns the span rounded down to whole steps.
     pub(crate) fn from_ms(ms: f64) -> Self {
         let steps = (ms.max(0.0) / Self::STEP_MS) as u32;
         WaitBudget(steps.min(MAX_TWO_DIGITS))
     }
 
-    /// The span.
+    /// Returns the span in ms.
     pub(crate) fn ms(self) -> f64 {
         Self::STEP_MS * f64::from(self.0)
     }
 }
 
-/// Units in steps of a quarter; the wire carries -512 to 511.75.
+/// Units in steps of a quarter; a message carries -512 to 511.75.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct QuarterUnits(i32);
 
 impl QuarterUnits {
-    /// Steps of a unit.
+    /// Number of steps in a unit.
     const STEPS: f64 = 4.0;
 
-    /// Added on the wire, which has no sign.
+    /// Added to the steps in a message, which carries no sign.
     const OFFSET: i32 = 2048;
 
-    /// The most steps that the wire carries.
+    /// The most steps that a message carries.
     const MAX_ON_WIRE: i32 = MAX_TWO_DIGITS as i32 - Self::OFFSET;
 
-    /// The nearest step.
+    /// Returns the units rounded to the nearest step.
     pub(crate) fn nearest(units: f64) -> Self {
         QuarterUnits((units * Self::STEPS).round() as i32)
     }
 
-    /// The units.
+    /// Returns the units.
     pub(crate) fn units(self) -> f64 {
         f64::from(self.0) / Self::STEPS
     }
@@ -192,19 +194,19 @@
     const MARKER: u8 = b'a';
 
     fn encode(&self, text: &mut String) {
-        put_long(text, self.customer);
-        put_at_most(text, self.plan, 1);
-        put_at_most(text, self.units, 1);
-        put_at_most(text, self.first_gateway, 2);
-        put_at_most(text, self.gateways, 2);
+        put_u64(text, self.customer);
+        put_saturating(text, self.plan, 1);
+        put_saturating(text, self.units, 1);
+        put_saturating(text, self.first_gateway, 2);
+        put_saturating(text, self.gateways, 2);
         self.number.encode(text);
-        put_at_most(text, self.wait_budget.0, 2);
+        put_saturating(text, self.wait_budget.0, 2);
         self.sampling_fraction.0.encode(text);
     }
 
     fn decode(bytes: &mut Bytes<'_>) -> Option<Self> {
         Some(QuotaRequest {
-            customer: take_long(bytes)?,
+            customer: take_u64(bytes)?,
             plan: take(bytes, 1)?,
             units: take(bytes, 1)?,
             first_gateway: take(bytes, 2)?,
@@ -238,7 +240,7 @@
     const MARKER: u8 = b'e';
 
     fn encode(&self, text: &mut String) {
-        put_long(text, self.customer);
+        put_u64(text, self.customer);
         self.number.encode(text);
         let quarters = self.additional_units.0.clamp(-QuarterUnits::OFFSET, QuarterUnits::MAX_ON_WIRE);
         put(text, (quarters + QuarterUnits::OFFSET) as u32, 2);
@@ -246,7 +248,7 @@
 
     fn decode(bytes: &mut Bytes<'_>) -> Option<Self> {
         Some(QuotaRelease {
-            customer: take_long(bytes)?,
+            customer: take_u64(bytes)?,
             number: QuotaRequestNumber::decode(bytes)?,
             additional_units: QuarterUnits(take(bytes, 2)? as i32 - QuarterUnits::OFFSET),
         })
--- a/crates/admission/src/state/fleet/band_state.rs
+++ b/crates/admission/src/state/fleet/band_state.rs
@@ -148,7 +148,7 @@
         self.blocked
     }
 
-    /// Begins a round of dispatch: until `block` is called, no request is known to wait.
+    /// Begins a round of dispatch, in which no request is known to wait yet.
     pub(crate) fn unblock(&mut self) {
         self.blocked = false;
     }
