--- a/crates/admission/src/policy/band/band_bounds.rs
+++ b/crates/admission/src/policy/band/band_bounds.rs
@@ -16,7 +16,7 @@
     let upper = band.middle * (1.0 + BAND_DEVIATION);
     let is_below_even_fraction = band.own_in_flight < lower / band.gateways;
     if is_below_even_fraction || band.in_flight < lower {
-        BandPosition::UnderLower
+        BandPosition::BelowLowerBound
     } else if band.in_flight < upper {
         BandPosition::BetweenBounds
     } else {
--- a/crates/admission/src/policy/band/dispatch_credit.rs
+++ b/crates/admission/src/policy/band/dispatch_credit.rs
@@ -90,7 +90,7 @@
     credit_required: f64,
 ) -> BandPosition {
     if dispatch_credit >= credit_required || band.is_ungated() {
-        BandPosition::UnderLower
+        BandPosition::BelowLowerBound
     } else {
         BandPosition::NotUnderUpper
     }
--- a/crates/admission/src/state/fleet/band_state.rs
+++ b/crates/admission/src/state/fleet/band_state.rs
@@ -50,7 +50,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum BandPosition {
     /// Below the lower bound: queued and new requests may be sent.
-    UnderLower,
+    BelowLowerBound,
     /// Between the bounds: a new request may be sent, queued requests wait.
     BetweenBounds,
     /// At or above the upper bound: no request may be sent.
@@ -60,7 +60,7 @@
 impl BandPosition {
     /// Returns whether a queued request may be sent.
     pub(crate) fn permits_queued_request(self) -> bool {
-        self == BandPosition::UnderLower
+        self == BandPosition::BelowLowerBound
     }
 
     /// Returns whether a new request within its quota may be sent without being queued.
--- a/crates/admission/src/tests/load_rules/dispatch_order_rules.rs
+++ b/crates/admission/src/tests/load_rules/dispatch_order_rules.rs
@@ -14,17 +14,22 @@
 #[test]
 fn heads_are_judged_by_quota_and_in_a_large_fleet_by_credit() {
     let cases = [
-        (QuotaDecision::Admit, BandPosition::UnderLower, HeadDecision::Eligible, HeadDecision::Eligible),
+        (QuotaDecision::Admit, BandPosition::BelowLowerBound, HeadDecision::Eligible, HeadDecision::Eligible),
         (
             QuotaDecision::Admit,
             BandPosition::NotUnderUpper,
             HeadDecision::Eligible,
             HeadDecision::BlockedByBand,
         ),
-        (QuotaDecision::Wait, BandPosition::UnderLower, HeadDecision::AwaitsQuota, HeadDecision::AwaitsQuota),
+        (
+            QuotaDecision::Wait,
+            BandPosition::BelowLowerBound,
+            HeadDecision::AwaitsQuota,
+            HeadDecision::AwaitsQuota,
+        ),
         (
             QuotaDecision::OverQuota,
-            BandPosition::UnderLower,
+            BandPosition::BelowLowerBound,
             HeadDecision::OverQuota,
             HeadDecision::OverQuota,
         ),
@@ -47,9 +52,9 @@
 #[test]
 fn over_quota_requests_are_sent_only_where_the_plan_pays_and_the_stock_is_low() {
     let cases = [
-        (true, BandPosition::UnderLower, true),
+        (true, BandPosition::BelowLowerBound, true),
         (true, BandPosition::BetweenBounds, false),
-        (false, BandPosition::UnderLower, false),
+        (false, BandPosition::BelowLowerBound, false),
     ];
     for (may_exceed, position, sent) in cases {
         assert_eq!(may_send_over_quota(may_exceed, || position), sent);
--- a/crates/admission/src/tests/load_rules/new_request_rules.rs
+++ b/crates/admission/src/tests/load_rules/new_request_rules.rs
@@ -13,7 +13,7 @@
 const ADMITTED: AdmissionInput = AdmissionInput {
     quota: LocalBucketCheck { is_within_quota: true, may_exceed: false, retry_after_ms: Some(70.0) },
     limits: LimitDecision::Admit,
-    band: BandPosition::UnderLower,
+    band: BandPosition::BelowLowerBound,
     queue_is_blocked: false,
     queued_requests: 3999,
 };
