--- a/crates/admission/src/policy/band/band_bounds.rs
+++ b/crates/admission/src/policy/band/band_bounds.rs
@@ -20,7 +20,7 @@
     } else if band.in_flight < upper {
         BandPosition::BetweenBounds
     } else {
-        BandPosition::NotUnderUpper
+        BandPosition::AtOrAboveUpperBound
     }
 }
 
--- a/crates/admission/src/policy/band/dispatch_credit.rs
+++ b/crates/admission/src/policy/band/dispatch_credit.rs
@@ -92,7 +92,7 @@
     if dispatch_credit >= credit_required || band.is_ungated() {
         BandPosition::BelowLowerBound
     } else {
-        BandPosition::NotUnderUpper
+        BandPosition::AtOrAboveUpperBound
     }
 }
 
--- a/crates/admission/src/state/fleet/band_state.rs
+++ b/crates/admission/src/state/fleet/band_state.rs
@@ -54,7 +54,7 @@
     /// Between the bounds: a new request may be sent, queued requests wait.
     BetweenBounds,
     /// At or above the upper bound: no request may be sent.
-    NotUnderUpper,
+    AtOrAboveUpperBound,
 }
 
 impl BandPosition {
@@ -65,7 +65,7 @@
 
     /// Returns whether a new request within its quota may be sent without being queued.
     pub(crate) fn permits_new_request(self) -> bool {
-        self != BandPosition::NotUnderUpper
+        self != BandPosition::AtOrAboveUpperBound
     }
 }
 
--- a/crates/admission/src/tests/load_rules/band_position_rules.rs
+++ b/crates/admission/src/tests/load_rules/band_position_rules.rs
@@ -22,9 +22,9 @@
         (60.0, 89.0, BandPosition::BelowLowerBound),
         (60.0, 91.0, BandPosition::BetweenBounds),
         (60.0, 109.0, BandPosition::BetweenBounds),
-        (60.0, 111.0, BandPosition::NotUnderUpper),
+        (60.0, 111.0, BandPosition::AtOrAboveUpperBound),
         (44.0, 500.0, BandPosition::BelowLowerBound),
-        (45.0, 500.0, BandPosition::NotUnderUpper),
+        (45.0, 500.0, BandPosition::AtOrAboveUpperBound),
     ];
     for (own_in_flight, in_flight, expected) in cases {
         let position = position_in_broadcast_mode(&reported_band(own_in_flight, in_flight));
@@ -44,7 +44,7 @@
 fn large_fleet_requires_credit_from_six_tenths_of_the_middle_on() {
     let cases = [
         (59.0, 0.0, BandPosition::BelowLowerBound),
-        (61.0, 0.9, BandPosition::NotUnderUpper),
+        (61.0, 0.9, BandPosition::AtOrAboveUpperBound),
         (61.0, 1.0, BandPosition::BelowLowerBound),
     ];
     for (in_flight, credit, expected) in cases {
--- a/crates/admission/src/tests/load_rules/dispatch_order_rules.rs
+++ b/crates/admission/src/tests/load_rules/dispatch_order_rules.rs
@@ -17,7 +17,7 @@
         (QuotaDecision::Admit, BandPosition::BelowLowerBound, HeadDecision::Eligible, HeadDecision::Eligible),
         (
             QuotaDecision::Admit,
-            BandPosition::NotUnderUpper,
+            BandPosition::AtOrAboveUpperBound,
             HeadDecision::Eligible,
             HeadDecision::BlockedByBand,
         ),
--- a/crates/admission/src/tests/load_rules/new_request_rules.rs
+++ b/crates/admission/src/tests/load_rules/new_request_rules.rs
@@ -35,7 +35,7 @@
     let cases = [
         (ADMITTED, Admission::Send),
         (AdmissionInput { band: BandPosition::BetweenBounds, ..ADMITTED }, Admission::Send),
-        (AdmissionInput { band: BandPosition::NotUnderUpper, ..ADMITTED }, Admission::Queue),
+        (AdmissionInput { band: BandPosition::AtOrAboveUpperBound, ..ADMITTED }, Admission::Queue),
         (AdmissionInput { limits: LimitDecision::WaitForSlot, ..ADMITTED }, Admission::Queue),
         (AdmissionInput { queue_is_blocked: true, ..ADMITTED }, Admission::Queue),
         (AdmissionInput { queue_is_blocked: true, queued_requests: 4000, ..ADMITTED }, REJECTED),
@@ -77,7 +77,7 @@
     let cases = [
         (ADMITTED, false),
         (lacking, true),
-        (AdmissionInput { band: BandPosition::NotUnderUpper, ..lacking }, false),
+        (AdmissionInput { band: BandPosition::AtOrAboveUpperBound, ..lacking }, false),
         (AdmissionInput { quota: over, ..lacking }, false),
     ];
     for (input, expected) in cases {
