--- a/crates/admission/src/policy/peer_messages/count_merge.rs
+++ b/crates/admission/src/policy/peer_messages/count_merge.rs
@@ -10,7 +10,7 @@
     max_overdraft_units: f64,
 ) -> f64 {
     match consumption {
-        ReportedConsumption::Since { consumed_units } => {
+        ReportedConsumption::SinceLastReport { consumed_units } => {
             (tokens - consumed_units).clamp(-max_overdraft_units, burst_units)
         }
         ReportedConsumption::Unknown { fill } => tokens.min(fill * burst_units),
--- a/crates/admission/src/state/quota/customer_reports.rs
+++ b/crates/admission/src/state/quota/customer_reports.rs
@@ -40,7 +40,7 @@
         fill: f64,
     },
     /// Units consumed since the peer's last report.
-    Since {
+    SinceLastReport {
         /// The units; below 0 if some were given back.
         consumed_units: f64,
     },
@@ -88,7 +88,7 @@
         let Some(last) = self.peers.get(&peer) else { return ReportedConsumption::Unknown { fill } };
         let same_incarnation = last.incarnation == count.incarnation;
         let earlier = if same_incarnation { last.consumed } else { ConsumedUnits::default() };
-        ReportedConsumption::Since { consumed_units: count.consumed.units_since(earlier) }
+        ReportedConsumption::SinceLastReport { consumed_units: count.consumed.units_since(earlier) }
     }
 
     /// Records a peer's count, with which its next count is compared.
--- a/crates/admission/src/tests/quota_rules/peer_message_rules.rs
+++ b/crates/admission/src/tests/quota_rules/peer_message_rules.rs
@@ -77,7 +77,7 @@
 
 #[test]
 fn a_report_takes_what_the_peer_consumed_and_the_first_one_only_bounds() {
-    let since = |consumed_units| ReportedConsumption::Since { consumed_units };
+    let since = |consumed_units| ReportedConsumption::SinceLastReport { consumed_units };
     let unknown = |fill| ReportedConsumption::Unknown { fill };
     let cases = [
         (since(3.0), 17.0),
