--- a/crates/admission/src/messages/fixed_point.rs
+++ b/crates/admission/src/messages/fixed_point.rs
@@ -30,7 +30,7 @@
         Self::from_steps((value * f64::from(STEPS)) as u32)
     }
 
-    /// Returns the number of so many steps, limited to what the digits carry.
+    /// Creates the number of `steps` steps, or the largest that the digits carry.
     fn from_steps(steps: u32) -> Self {
         FixedPoint(steps.min(max_value(DIGITS)))
     }
--- a/crates/admission/src/state/fleet/broadcast_peer.rs
+++ b/crates/admission/src/state/fleet/broadcast_peer.rs
@@ -29,7 +29,7 @@
 
 impl BroadcastPeer {
     /// Creates a peer from which nothing was received and to which nothing was sent.
-    pub(crate) fn unknown() -> Self {
+    pub(crate) fn new() -> Self {
         BroadcastPeer {
             incarnation: None,
             sequence: 0,
--- a/crates/admission/src/state/fleet/broadcast_peers.rs
+++ b/crates/admission/src/state/fleet/broadcast_peers.rs
@@ -16,7 +16,7 @@
 impl Broadcast {
     /// Creates the state of a gateway that has received and sent nothing.
     pub(crate) fn new(settings: &Settings) -> Self {
-        let peers = peer_indices(settings).map(|peer| (peer, BroadcastPeer::unknown())).collect();
+        let peers = peer_indices(settings).map(|peer| (peer, BroadcastPeer::new())).collect();
         Broadcast { peers, reported_ms: 0.0 }
     }
 
