--- a/crates/admission/src/coordination/count_reports.rs
+++ b/crates/admission/src/coordination/count_reports.rs
@@ -63,9 +63,9 @@
         let interval_ms = report_interval_ms(self.settings.gateways, self.settings.peer_messages_per_second);
         let Some(peers) = broadcast.begin_round(self.clock.now_ms(), interval_ms) else { return };
         let round = ReportRound::new(peers);
-        let stock = self.band_load().in_flight;
+        let in_flight = self.band_load().in_flight;
         let round = self.collect_reports(round);
-        self.send_reports(round, stock, actions);
+        self.send_reports(round, in_flight, actions);
     }
 
     /// Packs what is to be reported about customers into messages.
@@ -93,7 +93,7 @@
     }
 
     /// Fills in the heads of a round's messages, and sends the messages that are due.
-    fn send_reports(&mut self, round: ReportRound, stock: u32, actions: &mut Vec<Action>) {
+    fn send_reports(&mut self, round: ReportRound, in_flight: u32, actions: &mut Vec<Action>) {
         let now_ms = self.clock.now_ms();
         let Coordination::Broadcast(broadcast) = &mut self.coordination else { return };
         let per_second = reports_per_second(self.settings.gateways, self.settings.peer_messages_per_second);
@@ -102,10 +102,10 @@
             peer.accrue_credit(per_second, max_report_credit(per_second), now_ms);
             for mut message in messages {
                 message.incarnation = self.incarnation;
-                message.stock = stock;
+                message.in_flight = in_flight;
                 message.watermark = WatermarkOnWire::at_most(self.band.watermark());
                 if should_send_report(report_input(peer, &message, now_ms)) {
-                    peer.number_message(&mut message, CREDIT_PER_REPORT, now_ms);
+                    peer.record_sent_report(&mut message, CREDIT_PER_REPORT, now_ms);
                     actions.push(Action::SendPeerMessage { to, body: message.encode() });
                 }
             }
@@ -184,7 +184,7 @@
     ReportInput {
         report_credit: peer.credit(),
         has_no_entries: message.is_empty(),
-        has_same_in_flight: peer.sent_stock() == message.stock,
+        has_same_in_flight: peer.sent_in_flight() == message.in_flight,
         since_last_ms: peer.since_sent_ms(now_ms),
     }
 }
--- a/crates/admission/src/coordination/quota_ownership.rs
+++ b/crates/admission/src/coordination/quota_ownership.rs
@@ -91,7 +91,7 @@
     fn checked_gateways(&self, from: GatewayIndex, request: &QuotaRequest) -> Option<GatewaySet> {
         let first = GatewayIndex(request.first_gateway as usize);
         let len = request.gateways as usize;
-        let gateways = GatewaySet::checked(first, len, self.settings.gateways)?;
+        let gateways = GatewaySet::try_new(first, len, self.settings.gateways)?;
         (gateways.contains(from) && gateways.contains(self.settings.this_gateway)).then_some(gateways)
     }
 
@@ -173,11 +173,11 @@
     match verdict {
         QuotaVerdict::Granted | QuotaVerdict::GrantedAmple => {
             let grant = Grant { gateway, number, expires_ms: request.expires_ms };
-            customer.take_grant(plan, units);
+            customer.charge_grant(plan, units);
             customer.grants.grant(grant, units, now_ms, QUOTA_RATE_SPAN_S);
         }
         QuotaVerdict::Queued => {
-            customer.grants.wait(Grant { gateway, number, expires_ms: request.waits_until_ms });
+            customer.grants.enqueue(Grant { gateway, number, expires_ms: request.waits_until_ms });
         }
         QuotaVerdict::OverQuotaAllowed => customer.consume_ceiling(units),
         QuotaVerdict::OverQuota => {}
--- a/crates/admission/src/lifecycle/band_control.rs
+++ b/crates/admission/src/lifecycle/band_control.rs
@@ -67,7 +67,7 @@
     /// Returns the band of a large fleet, computed from means over the fleet.
     fn gossip_band(&self) -> LargeFleetBand {
         LargeFleetBand {
-            mean_in_flight: self.fleet_means.received().stock,
+            mean_in_flight: self.fleet_means.received().in_flight,
             gateways: self.settings.gateways,
             watermark: self.band.watermark(),
             ready_capacity: self.band.ready_capacity(),
--- a/crates/admission/src/lifecycle/upkeep_schedule.rs
+++ b/crates/admission/src/lifecycle/upkeep_schedule.rs
@@ -22,7 +22,7 @@
 
     /// Returns whether the next review of all endpoints is due, in a large fleet.
     pub(crate) fn review_is_due(&self) -> bool {
-        review_is_due(self.fleet_means.since_measured_ms(self.clock.now_ms()))
+        review_is_due(self.fleet_means.since_own_applied_ms(self.clock.now_ms()))
     }
 
     /// Returns whether the next eviction of idle customers is due.
--- a/crates/admission/src/policy/band/dispatch_credit.rs
+++ b/crates/admission/src/policy/band/dispatch_credit.rs
@@ -96,9 +96,9 @@
     credit_required: f64,
 ) -> BandPosition {
     if dispatch_credit >= credit_required || band.is_below_credit_threshold() {
-        BandPosition::UnderLower
+        BandPosition::BelowLowerBound
     } else {
-        BandPosition::NotUnderUpper
+        BandPosition::AtOrAboveUpperBound
     }
 }
 
--- a/crates/admission/src/tests/load_rules/band_position_rules.rs
+++ b/crates/admission/src/tests/load_rules/band_position_rules.rs
@@ -8,50 +8,50 @@
 
 /// A band of two gateways with bounds of 90 and 110 around 100 attempts in flight: an even fraction of the
 /// lower bound is 45.
-fn reported_band(own_in_flight: f64, stock: f64) -> Band {
-    Band { own_in_flight, stock, middle: 100.0, gateways: 2.0 }
+fn reported_band(own_in_flight: f64, in_flight: f64) -> Band {
+    Band { own_in_flight, in_flight, middle: 100.0, gateways: 2.0 }
 }
 
 /// A band of 10 gateways, with 25 endpoints and a watermark of 4: its middle is 100 attempts in flight, 10
 /// for each gateway.
-fn gossip_band(stock: f64) -> LargeFleetBand {
-    LargeFleetBand { mean_in_flight: stock / 10.0, gateways: 10, watermark: 4.0, ready_capacity: 25.0 }
+fn gossip_band(in_flight: f64) -> LargeFleetBand {
+    LargeFleetBand { mean_in_flight: in_flight / 10.0, gateways: 10, watermark: 4.0, ready_capacity: 25.0 }
 }
 
 #[test]
 fn broadcast_position_follows_both_bounds_above_the_even_fraction() {
     let cases = [
-        (60.0, 89.0, BandPosition::UnderLower),
+        (60.0, 89.0, BandPosition::BelowLowerBound),
         (60.0, 91.0, BandPosition::BetweenBounds),
         (60.0, 109.0, BandPosition::BetweenBounds),
-        (60.0, 111.0, BandPosition::NotUnderUpper),
-        (44.0, 500.0, BandPosition::UnderLower),
-        (45.0, 500.0, BandPosition::NotUnderUpper),
+        (60.0, 111.0, BandPosition::AtOrAboveUpperBound),
+        (44.0, 500.0, BandPosition::BelowLowerBound),
+        (45.0, 500.0, BandPosition::AtOrAboveUpperBound),
     ];
-    for (own_in_flight, stock, expected) in cases {
-        let position = position_in_broadcast_mode(&reported_band(own_in_flight, stock));
-        assert_eq!(position, expected, "{own_in_flight} of {stock}");
+    for (own_in_flight, in_flight, expected) in cases {
+        let position = position_in_broadcast_mode(&reported_band(own_in_flight, in_flight));
+        assert_eq!(position, expected, "{own_in_flight} of {in_flight}");
     }
 }
 
 #[test]
 fn endpoints_are_saturated_above_half_of_the_middle() {
-    for (stock, saturated) in [(50.0, false), (51.0, true)] {
-        assert_eq!(is_saturated_in_broadcast_mode(&reported_band(0.0, stock)), saturated, "{stock}");
-        assert_eq!(gossip_band(stock).is_saturated(), saturated, "{stock} by gossip");
+    for (in_flight, saturated) in [(50.0, false), (51.0, true)] {
+        assert_eq!(is_saturated_in_broadcast_mode(&reported_band(0.0, in_flight)), saturated, "{in_flight}");
+        assert_eq!(gossip_band(in_flight).is_saturated(), saturated, "{in_flight} by gossip");
     }
 }
 
 #[test]
 fn large_fleet_requires_credit_above_six_tenths_of_the_middle() {
     let cases = [
-        (59.0, 0.0, BandPosition::UnderLower),
-        (61.0, 0.9, BandPosition::NotUnderUpper),
-        (61.0, 1.0, BandPosition::UnderLower),
+        (59.0, 0.0, BandPosition::BelowLowerBound),
+        (61.0, 0.9, BandPosition::AtOrAboveUpperBound),
+        (61.0, 1.0, BandPosition::BelowLowerBound),
     ];
-    for (stock, credit, expected) in cases {
-        let position = position_in_large_fleet(&gossip_band(stock), credit, 1.0);
-        assert_eq!(position, expected, "{stock}, {credit}");
+    for (in_flight, credit, expected) in cases {
+        let position = position_in_large_fleet(&gossip_band(in_flight), credit, 1.0);
+        assert_eq!(position, expected, "{in_flight}, {credit}");
     }
     assert!(gossip_band(61.0).is_above_credit_threshold() && !gossip_band(59.0).is_above_credit_threshold());
 }
@@ -74,9 +74,9 @@
 #[test]
 fn credit_refills_faster_while_fewer_attempts_are_in_flight() {
     // 10 attempts in flight at a mean response time of 500 ms are 20 requests per second.
-    for (stock, earned) in [(0.0, 6.0), (100.0, 2.0), (120.0, 1.2), (1000.0, 0.6)] {
-        let credit = credit_after_refill(-1.0, &gossip_band(stock), 500.0, 0.1);
-        assert!(is_close(credit, earned - 1.0), "{credit} at {stock}");
+    for (in_flight, earned) in [(0.0, 6.0), (100.0, 2.0), (120.0, 1.2), (1000.0, 0.6)] {
+        let credit = credit_after_refill(-1.0, &gossip_band(in_flight), 500.0, 0.1);
+        assert!(is_close(credit, earned - 1.0), "{credit} at {in_flight}");
     }
     assert_eq!(
         credit_after_refill(9.0, &gossip_band(0.0), 500.0, 1.0),
--- a/crates/admission/src/tests/load_rules/dispatch_order_rules.rs
+++ b/crates/admission/src/tests/load_rules/dispatch_order_rules.rs
@@ -15,17 +15,22 @@
 #[test]
 fn head_needs_quota_and_in_a_large_fleet_also_credit() {
     let cases = [
-        (QuotaDecision::Admit, BandPosition::UnderLower, HeadDecision::Eligible, HeadDecision::Eligible),
+        (QuotaDecision::Admit, BandPosition::BelowLowerBound, HeadDecision::Eligible, HeadDecision::Eligible),
         (
             QuotaDecision::Admit,
-            BandPosition::NotUnderUpper,
+            BandPosition::AtOrAboveUpperBound,
             HeadDecision::Eligible,
             HeadDecision::BlockedByBand,
         ),
-        (QuotaDecision::Wait, BandPosition::UnderLower, HeadDecision::AwaitsQuota, HeadDecision::AwaitsQuota),
+        (
+            QuotaDecision::Wait,
+            BandPosition::BelowLowerBound,
+            HeadDecision::AwaitsQuota,
+            HeadDecision::AwaitsQuota,
+        ),
         (
             QuotaDecision::OverQuota,
-            BandPosition::UnderLower,
+            BandPosition::BelowLowerBound,
             HeadDecision::OverQuota,
             HeadDecision::OverQuota,
         ),
@@ -48,9 +53,9 @@
 #[test]
 fn request_over_quota_is_sent_only_if_it_may_exceed_and_under_the_lower_bound() {
     let cases = [
-        (true, BandPosition::UnderLower, true),
+        (true, BandPosition::BelowLowerBound, true),
         (true, BandPosition::BetweenBounds, false),
-        (false, BandPosition::UnderLower, false),
+        (false, BandPosition::BelowLowerBound, false),
     ];
     for (may_exceed, position, sent) in cases {
         assert_eq!(may_send_over_quota(may_exceed, || position), sent);
--- a/crates/admission/src/tests/quota_rules/message_bounds.rs
+++ b/crates/admission/src/tests/quota_rules/message_bounds.rs
@@ -75,7 +75,7 @@
     let message = CountsMessage {
         incarnation: 1,
         sequence: 2,
-        stock: 5000,
+        in_flight: 5000,
         watermark: WatermarkOnWire::at_most(2.5),
         counts: vec![CountEntry {
             tag: 1,
@@ -90,6 +90,6 @@
     assert_eq!(message.encode(), text);
     assert_eq!(message.len(), text.len());
     let received = CountsMessage::decode(text).expect("it is of this format");
-    assert_eq!((received.stock, received.counts[0].in_flight), (4095, 63));
-    assert_eq!((received.watermark.figure(), received.ceiling_transfers[0].units()), (2.5, 1.25));
+    assert_eq!((received.in_flight, received.counts[0].in_flight), (4095, 63));
+    assert_eq!((received.watermark.value(), received.ceiling_transfers[0].units()), (2.5, 1.25));
 }
--- a/crates/admission/src/tests/quota_rules/peer_message_rules.rs
+++ b/crates/admission/src/tests/quota_rules/peer_message_rules.rs
@@ -77,7 +77,7 @@
 
 #[test]
 fn report_deducts_consumption_and_first_report_only_caps_tokens() {
-    let since = |consumed_units| ReportedConsumption::Since { consumed_units };
+    let since = |consumed_units| ReportedConsumption::SinceLastReport { consumed_units };
     let unknown = |fill| ReportedConsumption::Unknown { fill };
     let cases = [
         (since(3.0), 17.0),
@@ -96,11 +96,11 @@
 fn attempt_age_is_in_flight_over_response_rate_within_bounds() {
     // A mean response time of 100 ms, and a longest objective of 1000 ms.
     let cases = [(6.0, 20.0, 300.0), (0.1, 20.0, 50.0), (90.0, 20.0, 2000.0), (6.0, 0.0, 100.0)];
-    for (stock, responses_per_second, expected) in cases {
-        let means = GatewayMeans { stock, responses_per_second };
+    for (in_flight, responses_per_second, expected) in cases {
+        let means = GatewayMeans { in_flight, responses_per_second };
         assert!(is_close(mean_attempt_age_ms(means, 100.0, 1000.0), expected), "{means:?}");
     }
-    let congested = GatewayMeans { stock: 900.0, responses_per_second: 1.0 };
+    let congested = GatewayMeans { in_flight: 900.0, responses_per_second: 1.0 };
     assert_eq!(
         mean_attempt_age_ms(congested, 1500.0, 1000.0),
         3000.0,
