--- a/crates/gateway/src/discovery/endpoint_list.rs
+++ b/crates/gateway/src/discovery/endpoint_list.rs
@@ -1,5 +1,5 @@
-//! The endpoint list as discovery writes it, and its endpoints as the admission library and the pool take
-//! them.
+//! Parses the endpoint list from discovery's JSON into the endpoints that the admission library and the
+//! upstream pool use.
 use crate::logging::target;
 use irishinge_admission::{EndpointEntry, EndpointId, EndpointState, MachineKindIndex, ZoneIndex};
 use irishinge_settings::Names;
@@ -8,66 +8,75 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// The endpoint list, or the changes to it, in discovery's JSON. The configuration's `known`, the list that
-/// was cached before a restart, has the same form.
+/// The complete endpoint list or the changes to it, in discovery's JSON format. `known` in the configuration,
+/// the list that was cached before a restart, has the same format.
 #[derive(Deserialize)]
 pub(crate) struct EndpointList {
-    /// The version of the list.
+    /// The version number of the list. A newer list has a greater one.
     #[serde(rename = "rev")]
     pub revision: u64,
-    /// Whether this is the complete list and not only the changes to it.
+    /// Whether this is the complete list rather than the changes since a revision.
     #[serde(default, rename = "all")]
     pub is_complete: bool,
-    /// Parsed one by one, so that a malformed record does not spoil the others.
+    /// The endpoints' records. They are parsed one by one, so that a malformed record does not make the
+    /// others unusable.
     #[serde(rename = "targets")]
     records: Vec<serde_json::Value>,
 }
 
-/// One endpoint in discovery's JSON.
+/// One endpoint in discovery's JSON format.
 #[derive(Deserialize)]
 struct EndpointRecord {
+    /// The unique name of the endpoint, which is the same at every gateway.
     uid: String,
+    /// The address that the endpoint listens on.
     #[serde(rename = "endpoint")]
     addr: SocketAddr,
+    /// The name of the endpoint's zone.
     #[serde(default, rename = "az")]
     zone: String,
+    /// The name of the kind of machine that the endpoint runs on.
     #[serde(default, rename = "model")]
     machine_kind: String,
+    /// The endpoint's cell, a group of endpoints that may share their memory of idempotency keys.
     #[serde(default, rename = "pod_group")]
     cell: u64,
+    /// One of `up`, `draining` and `removed`.
     state: String,
-    /// When it started, in Unix milliseconds; 0 where that is not known.
+    /// When the endpoint started, in Unix milliseconds, or 0 if that is unknown.
     #[serde(default, rename = "boot_ms")]
     started_at_ms: f64,
 }
 
-/// Why a record of the list cannot be used.
+/// The reason for which a record of the list is ignored.
 #[derive(Debug, Error)]
 enum EndpointRecordError {
+    /// The record is not an object, or a field is missing or has the wrong type.
     #[error(transparent)]
     Malformed(#[from] serde_json::Error),
-    #[error("unknown state: {0}")]
+    /// The state is none of the three that the gateway knows.
+    #[error("unknown state {0:?}, expected \"up\", \"draining\" or \"removed\"")]
     UnknownState(String),
 }
 
-/// An endpoint that discovery has named.
+/// An endpoint from a list of discovery.
 pub(crate) struct DiscoveredEndpoint {
-    /// What the admission library knows of it.
+    /// The endpoint's entry in the list that is passed to the admission library.
     pub entry: EndpointEntry,
-    /// Where it listens.
+    /// The address that the endpoint listens on.
     pub addr: SocketAddr,
 }
 
 impl EndpointList {
-    /// Whether the list names no endpoint.
+    /// Returns whether the list has no records.
     pub(crate) fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// The endpoints of the list, at `now_ms` in Unix milliseconds.
+    /// Returns the endpoints of the list. `now_ms` is the current time in Unix milliseconds.
     ///
-    /// A record that cannot be used is logged and left out. Its endpoint then counts as absent from a
-    /// complete list, and nothing is sent to it.
+    /// A record that is malformed or has an unknown state is logged and skipped. If the list is complete, its
+    /// endpoint then counts as absent, and nothing is sent to it.
     pub(crate) fn endpoints(self, names: &Names, now_ms: f64) -> Vec<DiscoveredEndpoint> {
         let parse = |record| match EndpointRecord::parse(record).and_then(|r| r.into_endpoint(names, now_ms))
         {
@@ -76,7 +85,7 @@
                 tracing::warn!(
                     target: target::DISCOVERY,
                     reason = %error,
-                    "endpoint entry ignored: it cannot be read"
+                    "endpoint list entry ignored: malformed or in an unknown state"
                 );
                 None
             }
@@ -86,10 +95,12 @@
 }
 
 impl EndpointRecord {
+    /// Parses a record of the list.
     fn parse(record: serde_json::Value) -> Result<Self, EndpointRecordError> {
         Ok(serde_json::from_value(record)?)
     }
 
+    /// Converts the record to an endpoint. `names` gives the indexes of the zone and the kind of machine.
     fn into_endpoint(self, names: &Names, now_ms: f64) -> Result<DiscoveredEndpoint, EndpointRecordError> {
         let state = match self.state.as_str() {
             "up" => EndpointState::Ready,
@@ -97,27 +108,28 @@
             "removed" => EndpointState::Gone,
             _ => return Err(EndpointRecordError::UnknownState(self.state)),
         };
-        let has_start = self.started_at_ms.is_finite() && self.started_at_ms > 0.0;
+        let has_start_time = self.started_at_ms.is_finite() && self.started_at_ms > 0.0;
         let entry = EndpointEntry {
             id: endpoint_id(&self.uid),
-            // All zones and kinds that the settings do not name get the same index, the one after the last
-            // name.
+            // Zones that the settings do not name share one index, the one after the last name. The same
+            // goes for kinds of machines.
             zone: names.zone_index(&self.zone).unwrap_or(ZoneIndex(names.zones.len())),
             kind: names
                 .machine_kind_index(&self.machine_kind)
                 .unwrap_or(MachineKindIndex(names.machine_kinds.len())),
             cell: self.cell,
             state,
-            // Discovery's clock may be ahead of ours. With a start in the future, slow start would compute a
-            // negative capacity.
-            started_at_ms: has_start.then(|| self.started_at_ms.min(now_ms)),
+            // Discovery's clock may be ahead of the gateway's. If an endpoint had a start time in the future,
+            // slow start would compute a negative capacity.
+            started_at_ms: has_start_time.then(|| self.started_at_ms.min(now_ms)),
         };
         Ok(DiscoveredEndpoint { entry, addr: self.addr })
     }
 }
 
-/// The FNV-1a hash of the uid. An endpoint's id must be the same at every gateway, since messages between
-/// gateways name endpoints by it; its address may differ.
+/// Returns an endpoint's id: the FNV-1a hash of its uid. The id must be the same at every gateway, because
+/// messages between gateways identify endpoints by it. The address would not do, because it may differ
+/// between gateways.
 fn endpoint_id(uid: &str) -> EndpointId {
     let mut hasher = fnv::FnvHasher::default();
     hasher.write(uid.as_bytes());
--- a/crates/gateway/src/discovery/error.rs
+++ b/crates/gateway/src/discovery/error.rs
@@ -1,59 +1,63 @@
-//! Why a call to discovery brought no list. [`DiscoveryError`] says what the failure shows of discovery, by
-//! which the next call and the lease are decided; [`CallError`] says what went wrong.
+//! The errors of calls to discovery. [`DiscoveryError`] says what a failed call shows about discovery's
+//! state, which determines the lease and the pause before the next call. [`CallError`] is the cause of the
+//! failure.
 use crate::http_connection::ExchangeError;
 use std::io;
 use thiserror::Error;
 use tokio::time::Instant;
 
-/// A call to discovery that brought no list, by what this shows of discovery.
+/// A call to discovery that returned no usable list, classified by what this shows about discovery's state.
 #[derive(Debug, Error)]
 pub(super) enum DiscoveryError {
-    /// Nothing was reached, so that no change that discovery has published since counts as known yet.
+    /// No connection could be established. While discovery cannot be reached, no gateway need know of the
+    /// changes that discovery has.
     #[error("discovery cannot be reached")]
     Unreachable {
         /// When the attempt to connect began.
         attempted_at: Instant,
-        /// What went wrong.
+        /// The reason for which there is no connection.
         #[source]
         cause: CallError,
     },
-    /// The call was rejected with status 503: discovery is overloaded, or a proxy in front of it answers
-    /// for it.
+    /// The call was rejected with status 503: either discovery is overloaded, or discovery is down and a
+    /// proxy in front of it responded.
     #[error("discovery rejected the call with status 503")]
     Rejected,
-    /// Something was reached over a new connection, or it answered, but there was no list.
-    #[error("discovery gave no list")]
+    /// A connection was established but its first call got no usable response, or any call got a response
+    /// without a list: discovery was reached and may have changes that the gateway has not received.
+    #[error("discovery returned no endpoint list")]
     NoList(#[source] CallError),
-    /// A watch over an established connection broke or got no response: discovery may be up or down.
-    #[error("the watch was interrupted")]
+    /// A later call on a connection got no response or no valid one, or a call returned an older revision
+    /// than the cached one: discovery may be up or down.
+    #[error("the watch of the endpoint list was interrupted")]
     WatchInterrupted(#[source] CallError),
 }
 
-/// What went wrong with a call.
+/// The cause of a failed call.
 #[derive(Debug, Error)]
 pub(super) enum CallError {
-    /// The connection did not come up in time.
+    /// The connection was not established before the timeout.
     #[error("connection timed out")]
     ConnectTimedOut,
-    /// The operating system reported why there is no connection.
+    /// The operating system returned an error instead of a connection.
     #[error("cannot connect")]
     ConnectFailed(#[source] io::Error),
-    /// No request can be built from the address and the path: a defect of the program.
+    /// The address and the path do not form a valid request: a defect of the program.
     #[error("cannot build the request")]
     InvalidRequest(#[from] hyper::http::Error),
-    /// The connection is up, but the response did not come in time.
+    /// The connection was established, but the response did not arrive before the timeout.
     #[error("no response in time")]
     ResponseTimedOut,
-    /// The connection broke, or what came is not a response.
+    /// The connection was lost, or the response is not valid HTTP or too large.
     #[error("no valid response")]
     ExchangeFailed(#[from] ExchangeError),
     /// The status is neither 200 nor 503.
-    #[error("unexpected status {0}")]
+    #[error("unexpected status {0}, expected 200 OK")]
     UnexpectedStatus(hyper::StatusCode),
-    /// The response's body is not a list.
-    #[error("cannot read the list")]
+    /// The response's body is not an endpoint list.
+    #[error("the response is not a valid endpoint list")]
     MalformedList(#[from] serde_json::Error),
-    /// The revision is older than the cached one.
-    #[error("the list is older than the one known")]
-    RevisionWentBack,
+    /// The revision of the received list is older than that of the cached one.
+    #[error("the received endpoint list is older than the cached one")]
+    StaleRevision,
 }
--- a/crates/gateway/src/discovery/lease_expiry.rs
+++ b/crates/gateway/src/discovery/lease_expiry.rs
@@ -1,10 +1,11 @@
-//! Reports when the lease on the list runs out.
+//! Reports when the lease on the endpoint list expires.
 use tokio::sync::watch;
 use tokio::time::{sleep_until, Instant};
 
-/// Calls `on_expired` once each time that the lease runs out, until the sender of `expires_at` is dropped.
+/// Calls `on_expired` once for each expiry of the lease, and returns when the sender of `expires_at` is
+/// dropped.
 ///
-/// A renewal at the moment of expiry counts: the channel is polled before the clock, so that a lease which
+/// A renewal at the moment of expiry is in time: the channel is polled before the timer, so that a lease that
 /// was renewed in time is never reported as expired.
 pub(super) async fn report_lease_expiry(
     mut expires_at: watch::Receiver<Instant>,
@@ -12,8 +13,8 @@
 ) {
     loop {
         let until = *expires_at.borrow_and_update();
-        // Nothing is lost on cancellation: `changed` leaves an unseen value marked as changed, and the
-        // sleep is set up again from the present lease.
+        // Both branches are cancellation safe: `changed` leaves an unseen value marked as changed, and the
+        // next iteration starts the sleep again from the current lease.
         tokio::select! {
             biased;
             changed = expires_at.changed() => match changed {
@@ -22,7 +23,7 @@
             },
             () = sleep_until(until) => on_expired(),
         }
-        // An expired lease is reported once, so the next renewal is awaited first.
+        // Without waiting for the next renewal, the same expiry would be reported again.
         if expires_at.changed().await.is_err() {
             return;
         }
--- a/crates/gateway/src/discovery/list_revision.rs
+++ b/crates/gateway/src/discovery/list_revision.rs
@@ -1,26 +1,27 @@
-//! The revision of the cached list: what to request next, and which responses may be applied.
+//! The revision of the cached list, which determines what to request next and which responses may be applied.
 use super::error::{CallError, DiscoveryError};
 use std::time::Duration;
 
-/// The path of the endpoint list.
+/// The path at which discovery serves the endpoint list.
 const LIST_PATH: &str = "/v1/servers";
 
-/// The revision since which changes are requested; `None` requests the complete list.
+/// The revision of the cached list, from which the next call requests the changes. With `None`, it requests
+/// the complete list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct ListRevision(pub(super) Option<u64>);
 
-/// A call for the list.
+/// The parameters of a call to discovery for the list.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) struct ListCall {
-    /// Path and query.
+    /// The path and query of the request.
     pub(super) path: String,
-    /// How long discovery may delay its response while nothing changes.
+    /// How long discovery may delay its response while the list does not change.
     pub(super) wait: Duration,
 }
 
 impl ListRevision {
-    /// The next call. A watch, which waits for changes up to `wait`, is only possible from a revision; the
-    /// complete list is returned at once.
+    /// Returns the next call. If there is a revision, the call is a watch, which waits up to `wait` for
+    /// changes. Otherwise it requests the complete list, which discovery returns immediately.
     pub(super) fn next_call(&self, wait: Duration) -> ListCall {
         match self.0 {
             Some(revision) => {
@@ -35,24 +36,26 @@
     ///
     /// # Errors
     ///
-    /// Fails if it is older than the requested one: the response was overtaken, or discovery has restarted
-    /// its count. Applied, it could undo a drain, and its changes may be to another list than the cached
-    /// one. The error makes the watch fetch the complete list.
+    /// Fails if the received revision is older than the requested one, because the response was overtaken
+    /// by a newer one or discovery has restarted its revision numbers. If such a response were applied, it
+    /// could make a draining endpoint ready again, and its changes may not be relative to the cached list.
+    /// The error makes the watch fetch the complete list.
     pub(super) fn advance(&mut self, received: u64) -> Result<(), DiscoveryError> {
         if self.0.is_some_and(|cached| received < cached) {
-            return Err(DiscoveryError::WatchInterrupted(CallError::RevisionWentBack));
+            return Err(DiscoveryError::WatchInterrupted(CallError::StaleRevision));
         }
         self.0 = Some(received);
         Ok(())
     }
 
-    /// Has the complete list requested next.
+    /// Drops the revision, so that the next call requests the complete list.
     pub(super) fn reset(&mut self) {
         self.0 = None;
     }
 
-    /// Has the complete list requested after a failure. Only after a rejection the revision stays:
-    /// discovery may be overloaded, and changes cost it less to write than the complete list.
+    /// Drops the revision after a failed call, so that the next call requests the complete list. The revision
+    /// is kept only after a rejection: discovery may be overloaded, and it takes less work to write the
+    /// changes than the complete list.
     pub(super) fn reset_after(&mut self, error: &DiscoveryError) {
         match error {
             DiscoveryError::Rejected => {}
--- a/crates/gateway/src/discovery/mod.rs
+++ b/crates/gateway/src/discovery/mod.rs
@@ -1,15 +1,16 @@
-//! Discovery: the endpoint list, the watch that keeps it current, and the lease under which it may be used.
+//! The client of discovery, the service that publishes the endpoint list: a watch keeps the list current,
+//! and a lease limits how long the list may be used.
 //!
-//! Nothing here knows who uses the list: an [`EndpointListObserver`] is notified of each list and of the
-//! lease.
+//! This module does not depend on the users of the list: it notifies an [`EndpointListObserver`] of each
+//! list and of each change of the lease.
 //!
-//! - [`endpoint_list`]: the list's JSON and what is read from it.
+//! - [`endpoint_list`]: parses the list from discovery's JSON.
 //! - [`watch`]: the loop that calls discovery over one connection after another.
-//! - [`refresh_schedule`]: when the next call is due and how long it may take, by the times of the
+//! - [`refresh_schedule`]: decides when the next call starts and how long it may take, from the
 //!   [`refresh_policy`], the [`list_lease`] and a [`backoff`] with jitter.
 //! - [`list_revision`]: what to request next, and which responses may be applied.
-//! - [`lease_expiry`]: reports when the lease runs out.
-//! - [`error`]: why a call brought no list, by what it shows of discovery.
+//! - [`lease_expiry`]: reports when the lease expires.
+//! - [`error`]: the reasons for which a call returns no list, grouped by what they show about discovery.
 mod backoff;
 mod endpoint_list;
 mod error;
--- a/crates/gateway/src/discovery/observer.rs
+++ b/crates/gateway/src/discovery/observer.rs
@@ -1,17 +1,18 @@
-//! How discovery reports to those who act on the endpoint list, without knowing them.
+//! The interface through which the watch reports the endpoint list and its lease.
 use super::endpoint_list::EndpointList;
 use irishinge_admission::ListKind;
 use tokio::time::Instant;
 
-/// Who acts on the endpoint list.
+/// Receives the endpoint list and the changes of its lease.
 pub(crate) trait EndpointListObserver {
-    /// Discovery has answered with the complete list or with the changes to it.
+    /// Called when discovery has returned the complete list or the changes to it.
     fn list_received(&self, kind: ListKind, list: EndpointList);
 
-    /// The list may be used until `until`. Called at the start and at each renewal, and when the lease is
-    /// shortened.
-    fn lease_updated(&self, until: Instant);
+    /// Called with the time at which the lease expires: at the start, at each renewal, and when the lease is
+    /// shortened. Never called if lists have no lease.
+    fn lease_updated(&self, expires_at: Instant);
 
-    /// The lease has run out: nothing may be sent by the list until the next one is received.
+    /// Called when the lease has expired. No request may be sent to the endpoints of the list until the next
+    /// list is received.
     fn lease_expired(&self);
 }
--- a/crates/gateway/src/discovery/refresh_schedule.rs
+++ b/crates/gateway/src/discovery/refresh_schedule.rs
@@ -1,4 +1,5 @@
-//! When to call discovery next, and how long to wait for it, after what the calls so far have brought.
+//! Decides when to call discovery next and how long the call may take, based on the results of the calls so
+//! far.
 use super::backoff::Backoff;
 use super::error::DiscoveryError;
 use super::list_lease::ListLease;
@@ -6,51 +7,58 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Time reserved for a connection and a response before the list expires, where discovery is not overloaded.
+/// The time reserved for a connection and a response before the list expires, while discovery is not
+/// overloaded.
 pub(super) const RESPONSE_ALLOWANCE: Duration = Duration::from_millis(1250);
-/// The same while discovery is overloaded. It is less, so that watches wait for longer and make fewer
-/// calls, and covers what their responses wait in discovery's queue.
+/// The time reserved for a response before the list expires, while discovery is overloaded. It is shorter
+/// than [`RESPONSE_ALLOWANCE`], so that watches wait longer and make fewer calls, and it covers the time
+/// for which their responses are queued by discovery.
 const OVERLOADED_RESPONSE_ALLOWANCE: Duration = Duration::from_millis(1000);
-/// A response that is later than this was queued: discovery is overloaded.
+/// The delay of a response above which discovery counts as overloaded, because the call must have been
+/// queued.
 const OVERLOADED_DELAY: Duration = Duration::from_millis(250);
-/// The narrowest window of pauses after an interrupted watch. The window ends early enough for a response
-/// before the list expires, but the watches of all gateways may have been interrupted at once.
+/// The narrowest window of pauses after an interrupted watch. The window is narrowed so that a response can
+/// arrive before the list expires. It has this minimum because the watches of all gateways may have been
+/// interrupted at once.
 pub(super) const MIN_RETRY_WINDOW: Duration = Duration::from_millis(250);
-/// The widest window after a rejected call while the list may be used. A call that was rejected just before
-/// discovery returned, this pause and a response then end before a change must be acted on and the drain
-/// grace is over.
+/// The widest window of pauses after a rejected call while the list may be used. If a call is rejected just
+/// before discovery recovers, this pause and the next response end before the drain grace of a change is
+/// over.
 pub(super) const MAX_REJECTION_BACKOFF: Duration = Duration::from_millis(4250);
 
-/// Which call on a connection.
+/// The position of a call among the calls on its connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum CallPosition {
-    /// The first. All gateways of the fleet may make theirs at once.
+    /// The first call. All gateways of the fleet may make their first calls at once.
     First,
-    /// Any later one.
+    /// Any call after the first.
     Later,
 }
 
-/// The times of one call.
+/// The time limits of one call.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct CallTimes {
-    /// How long discovery may delay its response while nothing changes.
+    /// The time for which discovery may delay its response while the list does not change.
     pub(super) wait: Duration,
-    /// How long the response may take after that.
+    /// The timeout of the response, counted from the end of the wait.
     pub(super) response_timeout: Duration,
 }
 
-/// What the calls so far have shown of discovery, and the lease on the list.
+/// Schedules the calls to discovery, by the policy, the lease on the list and the results of earlier calls.
 pub(super) struct RefreshSchedule {
+    /// The times and timeouts of the discovery mode.
     policy: RefreshPolicy,
-    /// `None` where the list never expires.
+    /// The lease on the cached list, or `None` if lists never expire.
     lease: Option<ListLease>,
+    /// The backoff for pauses after failed calls.
     backoff: Backoff,
-    /// The last call was rejected, timed out without a response, or got it late.
+    /// Whether discovery counts as overloaded: the last list was late, or a call since then was rejected or
+    /// reached discovery without returning a list.
     is_overloaded: bool,
 }
 
 impl RefreshSchedule {
-    /// The schedule at the start of a process: the cached list counts as current.
+    /// Creates the schedule at the start of the process, when the cached list counts as current.
     pub(super) fn new(policy: RefreshPolicy, seed: u64, now: Instant) -> Self {
         RefreshSchedule {
             policy,
@@ -60,24 +68,24 @@
         }
     }
 
-    /// The policy that it goes by.
+    /// Returns the policy that the schedule was created with.
     pub(super) fn policy(&self) -> &RefreshPolicy {
         &self.policy
     }
 
-    /// When the list expires; `None` where it never does.
+    /// Returns when the list expires, or `None` if lists never expire.
     pub(super) fn list_expires_at(&self) -> Option<Instant> {
         self.lease.as_ref().map(ListLease::expires_at)
     }
 
-    /// The times of a call that begins at `now`.
+    /// Returns the time limits of a call that begins at `now`.
     pub(super) fn call_times(&self, position: CallPosition, now: Instant) -> CallTimes {
         let policy = &self.policy;
         let may_be_queued = position == CallPosition::First || self.is_overloaded;
         let response_timeout =
             if may_be_queued { policy.queued_response_timeout } else { policy.response_timeout };
-        // Longer waits are fewer calls. A gateway whose list expires meanwhile sends nothing until the
-        // response.
+        // Longer waits mean fewer calls. But if the list expires during the wait, the gateway sends nothing
+        // until it has the response.
         let allowance = if self.is_overloaded {
             OVERLOADED_RESPONSE_ALLOWANCE
         } else {
@@ -90,7 +98,8 @@
         CallTimes { wait, response_timeout }
     }
 
-    /// A list was received, even if without changes, `delay` after it was due.
+    /// Handles a received list, even one without changes. `delay` is the time that the response took beyond
+    /// the wait.
     pub(super) fn on_list(&mut self, delay: Duration, now: Instant) {
         if let Some(lease) = &mut self.lease {
             lease.renew(now);
@@ -99,7 +108,7 @@
         self.backoff.narrow();
     }
 
-    /// Discovery has another address since `now`.
+    /// Handles a change of discovery's address at `now`.
     pub(super) fn on_address_change(&mut self, now: Instant) {
         if let Some(lease) = &mut self.lease {
             lease.shorten_after_address_change(now);
@@ -108,12 +117,12 @@
         self.backoff.reset();
     }
 
-    /// A call has failed. Returns the pause before the next one.
+    /// Handles a failed call and returns the pause before the next call.
     pub(super) fn on_error(&mut self, error: &DiscoveryError, now: Instant) -> Duration {
-        let Some(lease) = &mut self.lease else { return self.pause_and_widen() };
+        let Some(lease) = &mut self.lease else { return self.draw_pause_and_widen() };
         match error {
-            // Calls that do not reach discovery cost it nothing. A wider window would only delay the first
-            // call after its return.
+            // Calls that do not reach discovery put no load on it. A wider window would only delay the first
+            // call after the outage.
             DiscoveryError::Unreachable { attempted_at, .. } => {
                 lease.renew_in_outage(*attempted_at, now);
                 self.backoff.draw_pause(self.backoff.initial_window())
@@ -124,8 +133,8 @@
                 let remaining = lease.remaining(now);
                 self.pause_after_rejection(remaining)
             }
-            // No response may mean an outage, after whose end the list is due at once. The response timeout
-            // bounds the rate of calls.
+            // A missing response may mean an outage, and after its end the list must be fetched without
+            // delay. The response timeout limits the rate of calls.
             DiscoveryError::NoList(_) => {
                 self.is_overloaded = true;
                 lease.record_reached_without_list();
@@ -138,18 +147,21 @@
         }
     }
 
-    fn pause_and_widen(&mut self) -> Duration {
+    /// Draws a pause from the current window, which is then widened for the next failure.
+    fn draw_pause_and_widen(&mut self) -> Duration {
         let window = self.backoff.window();
         self.backoff.widen();
         self.backoff.draw_pause(window)
     }
 
-    /// `remaining` is how long the list may still be used.
+    /// Returns the pause after a rejected call, and widens the window for the next one. `remaining` is the
+    /// time for which the list may still be used.
     fn pause_after_rejection(&mut self, remaining: Duration) -> Duration {
         let mut window = self.backoff.window();
         self.backoff.widen();
         if remaining.is_zero() {
-            // Nothing is sent by an expired list, so there is no deadline to meet.
+            // While the list is expired, nothing is sent to its endpoints, so the pause may exceed the
+            // maximum for a valid list.
             self.backoff.widen();
         } else {
             window = window.min(MAX_REJECTION_BACKOFF);
@@ -157,7 +169,8 @@
         self.backoff.draw_pause(window)
     }
 
-    /// `remaining` is how long the list may still be used.
+    /// Returns the pause after an interrupted watch. `remaining` is the time for which the list may still be
+    /// used.
     fn pause_after_interruption(&mut self, remaining: Duration) -> Duration {
         let mut window = self.backoff.window();
         if !remaining.is_zero() {
--- a/crates/gateway/src/discovery/tests/endpoint_list.rs
+++ b/crates/gateway/src/discovery/tests/endpoint_list.rs
@@ -1,11 +1,13 @@
-//! The endpoint list in discovery's JSON: each field, and records that cannot be read.
+//! The tests of parsing the endpoint list: each field, and records that are skipped.
 use crate::discovery::endpoint_list::{DiscoveredEndpoint, EndpointList};
 use irishinge_admission::{EndpointId, EndpointState, MachineKindIndex, ZoneIndex};
 use irishinge_settings::Names;
 use serde_json::{json, Value};
 
+/// The current time of the tests, in Unix milliseconds.
 const NOW_MS: f64 = 1_000_000.0;
 
+/// The names in the settings: two zones and two kinds of machines.
 fn names() -> Names {
     let names = |names: &[&str]| names.iter().map(ToString::to_string).collect();
     Names {
@@ -16,11 +18,12 @@
     }
 }
 
+/// Parses a complete list with these records.
 fn list(records: Value) -> EndpointList {
     serde_json::from_value(json!({"rev": 7, "all": true, "targets": records})).expect("a list")
 }
 
-/// A record with some fields set to other values.
+/// Returns a valid record in which the fields of `changes` have other values.
 fn record(changes: Value) -> Value {
     let mut record = json!({"uid": "u1", "endpoint": "127.0.0.1:80", "az": "b", "model": "n", "pod_group": 3,
         "state": "up", "capacity_hint": 1.0, "boot_ms": 5000.0});
@@ -30,13 +33,13 @@
     record
 }
 
-/// The endpoint of a list with this record only; `None` where the record is skipped.
+/// Returns the endpoint of a list with this record only, or `None` if the record is skipped.
 fn endpoint(record: Value) -> Option<DiscoveredEndpoint> {
     list(json!([record])).endpoints(&names(), NOW_MS).pop()
 }
 
 #[test]
-fn a_list_has_a_revision_and_is_complete_only_where_it_says_so() {
+fn list_is_complete_only_if_marked() {
     let complete = list(json!([]));
     assert!(complete.revision == 7 && complete.is_complete && complete.is_empty());
     let changes: EndpointList =
@@ -45,7 +48,7 @@
 }
 
 #[test]
-fn each_field_of_a_record_reaches_the_endpoint() {
+fn record_fields_are_copied_to_endpoint() {
     let endpoint = endpoint(record(json!({}))).expect("an endpoint");
     assert_eq!(endpoint.addr.to_string(), "127.0.0.1:80");
     let entry = endpoint.entry;
@@ -53,10 +56,10 @@
     assert_eq!((entry.state, entry.started_at_ms), (EndpointState::Ready, Some(5000.0)));
 }
 
-/// All gateways, of this version and of earlier ones, must agree on an endpoint's id: it is the FNV-1a hash
-/// of its uid.
+/// If gateways of different versions computed different ids, they would not recognize each other's endpoints.
+/// Expected: the id is the FNV-1a hash of the uid, as in earlier versions.
 #[test]
-fn the_id_is_the_fnv_1a_hash_of_the_uid() {
+fn endpoint_id_is_fnv_1a_hash_of_uid() {
     for (uid, id) in
         [("", 0xcbf2_9ce4_8422_2325), ("a", 0xaf63_dc4c_8601_ec8c), ("foobar", 0x8594_4171_f739_67e8)]
     {
@@ -66,7 +69,7 @@
 }
 
 #[test]
-fn each_state_has_its_word() {
+fn state_names_are_up_draining_and_removed() {
     let state = |word: &str| endpoint(record(json!({"state": word}))).map(|endpoint| endpoint.entry.state);
     assert_eq!(state("up"), Some(EndpointState::Ready));
     assert_eq!(state("draining"), Some(EndpointState::Draining));
@@ -74,10 +77,11 @@
     assert_eq!(state("riddle"), None);
 }
 
-/// A list has entries with a wrong address, no fields, or another form altogether. If one of them spoiled
-/// the list, the gateway would go on with an old one. Expected: these are skipped and the others applied.
+/// A list has records with an invalid address, with missing fields, and one that is no object. If one of
+/// them made the whole list unusable, the gateway would go on with an old list. Expected: these records are
+/// skipped and the others applied.
 #[test]
-fn records_that_cannot_be_read_are_skipped_and_the_others_applied() {
+fn malformed_records_are_skipped() {
     let records = json!([
         record(json!({"endpoint": "nowhere"})),
         "nonsense",
@@ -91,15 +95,15 @@
 }
 
 #[test]
-fn zones_and_kinds_that_the_settings_do_not_name_get_the_index_after_the_last_name() {
+fn unknown_zones_and_kinds_get_index_after_last_name() {
     let entry = endpoint(record(json!({"az": "x", "model": ""}))).expect("an endpoint").entry;
     assert_eq!((entry.zone, entry.kind), (ZoneIndex(2), MachineKindIndex(2)));
 }
 
-/// Discovery's clock may be ahead of the gateway's. With a start in the future, slow start would compute a
-/// negative capacity. Expected: a start is at most now, and unknown where it is no positive time.
+/// Discovery's clock may be ahead of the gateway's. If an endpoint had a start time in the future, slow start
+/// would compute a negative capacity. Expected: the start time is at most now, and unknown unless positive.
 #[test]
-fn a_start_is_unknown_unless_positive_and_never_in_the_future() {
+fn start_time_is_unknown_unless_positive_and_at_most_now() {
     let start = |boot_ms: f64| {
         endpoint(record(json!({"boot_ms": boot_ms}))).expect("an endpoint").entry.started_at_ms
     };
--- a/crates/gateway/src/discovery/tests/fleet_recovery.rs
+++ b/crates/gateway/src/discovery/tests/fleet_recovery.rs
@@ -1,7 +1,9 @@
-//! Simulations of a fleet whose discovery returns after an outage or is slow at the start.
-use super::{schedule_for_polled_lists, silent_call, silent_watch, unreachable, LEASE_DURATION};
+//! Simulations of a fleet whose discovery recovers from an outage or is slow while the fleet starts.
+use super::{
+    schedule_for_polled_lists, unanswered_first_call, unanswered_watch, unreachable, LEASE_DURATION,
+};
 use crate::discovery::error::DiscoveryError;
-use crate::discovery::list_lease::MAX_REJECTION_RENEWAL;
+use crate::discovery::list_lease::MAX_LEASE_WITH_REJECTIONS;
 use crate::discovery::refresh_policy::INITIAL_BACKOFF;
 use crate::discovery::refresh_schedule::{CallPosition, RefreshSchedule};
 use std::cmp::Reverse;
@@ -9,79 +11,97 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Seconds of work in discovery's queue beyond which a call is rejected or abandoned.
+/// The time in discovery's queue, in seconds, after which a call is rejected or abandoned.
 const MAX_QUEUED_S: f64 = 2.0;
-/// Seconds between two looks at how many gateways have a valid list.
-const OBSERVATION_PERIOD_S: f64 = 0.5;
-/// Seconds that a call and its response are on their way.
+/// The interval, in seconds, at which the fraction of gateways with a valid list is sampled.
+const SAMPLING_INTERVAL_S: f64 = 0.5;
+/// The time, in seconds, that a call and its response take on the network together.
 const NETWORK_DELAY_S: f64 = 0.01;
 
-/// What the simulated discovery does with calls beyond its capacity.
+/// The simulated discovery's handling of calls beyond its capacity.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Overload {
-    /// The queue holds 2 s of work. A call that finds it full is rejected at once, at no cost.
+    /// The queue holds 2 s of work. A call that finds it full is rejected immediately, at no cost.
     Rejects,
-    /// The same, but such a call gets no response.
-    IsSilent,
-    /// The queue holds 4 s of work. A call that has waited 2 s is rejected then, and still served.
-    WorksThrough,
+    /// The queue holds 2 s of work. A call that finds it full gets no response.
+    DoesNotRespond,
+    /// The queue holds 4 s of work. A call that has waited for 2 s is rejected, but its work is still done.
+    ServesAbandonedCalls,
 }
 
-/// What became of a fleet.
+/// The result of a simulation.
 #[derive(Debug, Default)]
 struct Recovery {
-    /// When the last gateway had its first list.
+    /// When the last gateway received its first list, in seconds after the recovery of discovery.
     last_first_list_s: f64,
-    /// Fraction of the gateways that had a list.
+    /// The fraction of the gateways that received a list.
     reached_fraction: f64,
-    /// Lists that discovery served in a second.
+    /// The lists that discovery served per second, on average.
     lists_per_second: f64,
-    /// Fraction of the served calls whose caller had abandoned them.
+    /// The fraction of the served calls whose caller had abandoned them or had been rejected.
     wasted_fraction: f64,
-    /// Calls that brought no list.
+    /// The number of calls that returned no list.
     failed_calls: usize,
-    /// Fraction of the fleet with a valid list, on the mean over time.
+    /// The fraction of the fleet with a valid list, averaged over time.
     valid_fraction: f64,
     /// The longest time from the last list that a gateway received to the end of its lease.
     max_list_age: Duration,
 }
 
-/// A call to come. The order is that of time, then of the gateway.
+/// A call that has not been made yet. Calls are ordered by time and then by gateway.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct PendingCall {
+    /// When the call is made, in microseconds after the recovery of discovery.
     at_us: u64,
+    /// The number of the calling gateway.
     gateway: usize,
-    /// It goes over a connection that has brought a list.
+    /// Whether the connection of the call has returned a list before.
     is_established: bool,
 }
 
-/// How a call ended: without an error it brought a list.
+/// The result of a call.
 struct CallEnd {
+    /// The error, or `None` if the call returned a list.
     error: Option<DiscoveryError>,
+    /// The duration of the call, in seconds.
     took_s: f64,
 }
 
-/// A fleet whose discovery, unreachable for long, returns at 0 with a fixed capacity. Each call takes a place
-/// in the queue. A watch is answered when its wait is over, counted from when its turn came; the next follows
-/// at once.
+/// A fleet whose discovery was unreachable for long and recovers at time 0 with a fixed capacity.
+///
+/// Each call takes a place in discovery's queue. A watch is answered when its wait is over, which is counted
+/// from when discovery has served the call, and the gateway makes its next call immediately.
 struct FleetSimulation {
+    /// The instant that times in seconds are converted with.
     base: Instant,
+    /// Discovery's capacity.
     calls_per_second: f64,
+    /// Discovery's handling of calls beyond its capacity.
     overload: Overload,
+    /// The duration of the simulation.
     duration_s: f64,
+    /// The schedule of each gateway.
     schedules: Vec<RefreshSchedule>,
+    /// When each gateway received its first list.
     first_list_s: Vec<Option<f64>>,
+    /// When each gateway received its last list.
     last_list_at: Vec<Instant>,
+    /// The next call of each gateway.
     pending: BinaryHeap<Reverse<PendingCall>>,
-    /// When discovery has worked through its queue.
+    /// When discovery will have served all queued calls.
     idle_at_s: f64,
-    observed_s: f64,
+    /// The time of the next sample of the fraction with a valid list.
+    sampled_until_s: f64,
+    /// The number of calls that returned a list.
     served: f64,
+    /// The number of calls that were served after they had been abandoned or rejected.
     wasted: f64,
+    /// The result so far.
     recovery: Recovery,
 }
 
 impl FleetSimulation {
+    /// Creates a fleet at the moment when discovery recovers.
     fn new(gateways: usize, calls_per_second: f64, overload: Overload, duration_s: f64) -> Self {
         let mut simulation = FleetSimulation {
             base: Instant::now(),
@@ -93,7 +113,7 @@
             last_list_at: Vec::new(),
             pending: BinaryHeap::new(),
             idle_at_s: 0.0,
-            observed_s: 0.0,
+            sampled_until_s: 0.0,
             served: 0.0,
             wasted: 0.0,
             recovery: Recovery::default(),
@@ -105,7 +125,7 @@
         simulation
     }
 
-    /// Adds a gateway, with its last call that failed in the outage and the first one after it.
+    /// Adds a gateway whose calls fail until the end of the outage, and its first call after the outage.
     fn add_gateway(&mut self, gateway: usize, gateways: usize, random: &mut fastrand::Rng) {
         let last_s = -INITIAL_BACKOFF.as_secs_f64() * random.f64();
         let mut schedule = schedule_for_polled_lists(gateways, gateway as u64, self.instant(last_s));
@@ -119,18 +139,21 @@
         self.schedules.push(schedule);
     }
 
+    /// Converts a time in seconds, at least -10, to an instant.
     fn instant(&self, at_s: f64) -> Instant {
         self.base + Duration::from_secs_f64(at_s + 10.0)
     }
 
+    /// Adds a call to the pending ones.
     fn push_call(&mut self, at_s: f64, gateway: usize, is_established: bool) {
         self.pending.push(Reverse(PendingCall { at_us: (at_s * 1e6) as u64, gateway, is_established }));
     }
 
+    /// Runs the simulation and returns its result.
     fn run(mut self) -> Recovery {
         while let Some(Reverse(call)) = self.pending.pop() {
             let now_s = call.at_us as f64 / 1e6;
-            self.observe_until(now_s);
+            self.sample_until(now_s);
             if now_s > self.duration_s {
                 break;
             }
@@ -139,16 +162,18 @@
         self.summarize()
     }
 
-    fn observe_until(&mut self, now_s: f64) {
-        while self.observed_s < now_s.min(self.duration_s) {
-            let at = self.instant(self.observed_s);
+    /// Samples the fraction of the fleet with a valid list at each interval before `now_s`.
+    fn sample_until(&mut self, now_s: f64) {
+        while self.sampled_until_s < now_s.min(self.duration_s) {
+            let at = self.instant(self.sampled_until_s);
             let valid = self.schedules.iter().filter(|s| s.list_expires_at() > Some(at)).count();
             self.recovery.valid_fraction +=
-                valid as f64 / self.schedules.len() as f64 * OBSERVATION_PERIOD_S / self.duration_s;
-            self.observed_s += OBSERVATION_PERIOD_S;
+                valid as f64 / self.schedules.len() as f64 * SAMPLING_INTERVAL_S / self.duration_s;
+            self.sampled_until_s += SAMPLING_INTERVAL_S;
         }
     }
 
+    /// Makes a call, passes its result to the gateway's schedule, and adds the gateway's next call.
     fn make_call(&mut self, call: &PendingCall, now_s: f64) {
         let gateway = call.gateway;
         let position = if call.is_established { CallPosition::Later } else { CallPosition::First };
@@ -177,32 +202,35 @@
         self.push_call(end_s + pause.as_secs_f64(), gateway, end.error.is_none());
     }
 
-    /// What discovery does with a call that arrives now.
+    /// Returns the result of a call that arrives at discovery at `now_s`.
     fn respond(&mut self, is_established: bool, now_s: f64, wait_s: f64, timeout_s: f64) -> CallEnd {
         let queued_s = f64::max(self.idle_at_s - now_s, 0.0);
         let max_queued_s =
-            if self.overload == Overload::WorksThrough { 2.0 * MAX_QUEUED_S } else { MAX_QUEUED_S };
+            if self.overload == Overload::ServesAbandonedCalls { 2.0 * MAX_QUEUED_S } else { MAX_QUEUED_S };
         if queued_s > max_queued_s {
             return match self.overload {
-                Overload::IsSilent if is_established => CallEnd::failed(silent_watch(), wait_s + timeout_s),
-                Overload::IsSilent => CallEnd::failed(silent_call(), wait_s + timeout_s),
+                Overload::DoesNotRespond if is_established => {
+                    CallEnd::failed(unanswered_watch(), wait_s + timeout_s)
+                }
+                Overload::DoesNotRespond => CallEnd::failed(unanswered_first_call(), wait_s + timeout_s),
                 _ => CallEnd::failed(DiscoveryError::Rejected, NETWORK_DELAY_S),
             };
         }
         self.idle_at_s = f64::max(self.idle_at_s, now_s) + 1.0 / self.calls_per_second;
-        let turn_s = self.idle_at_s - now_s;
+        let served_after_s = self.idle_at_s - now_s;
         if queued_s > MAX_QUEUED_S {
             self.wasted += 1.0;
             CallEnd::failed(DiscoveryError::Rejected, MAX_QUEUED_S)
-        } else if turn_s + NETWORK_DELAY_S > timeout_s {
+        } else if served_after_s + NETWORK_DELAY_S > timeout_s {
             self.wasted += 1.0;
-            CallEnd::failed(silent_watch(), wait_s + timeout_s)
+            CallEnd::failed(unanswered_watch(), wait_s + timeout_s)
         } else {
             self.served += 1.0;
-            CallEnd { error: None, took_s: turn_s + wait_s + NETWORK_DELAY_S }
+            CallEnd { error: None, took_s: served_after_s + wait_s + NETWORK_DELAY_S }
         }
     }
 
+    /// Computes the remaining fields of the result.
     fn summarize(self) -> Recovery {
         let mut recovery = self.recovery;
         let first_lists = self.first_list_s.iter();
@@ -216,65 +244,68 @@
 }
 
 impl CallEnd {
+    /// Returns the end of a call that failed after `took_s`.
     fn failed(error: DiscoveryError, took_s: f64) -> Self {
         CallEnd { error: Some(error), took_s }
     }
 }
 
-/// Discovery returns after a long outage with a fixed capacity, and the calls of all gateways arrive at
-/// once. Without jitter and a window that widens, the fleet would keep discovery's queue full with calls
-/// whose callers have timed out, and few gateways would ever get a list. Expected: each gateway gets a list
-/// as soon as capacity permits, almost all of discovery's work goes to lists that are received, and no
-/// gateway uses a list that is too old.
+/// Discovery recovers from a long outage with a fixed capacity, and the calls of all gateways arrive at once.
+/// Without jitter and a window that widens, the fleet would keep discovery's queue full with calls that have
+/// timed out at their callers, and few gateways would ever get a list. Expected: each gateway gets a list as
+/// soon as capacity permits, almost all of discovery's work goes to lists that are received, and no gateway
+/// uses a list that is too old.
 #[test]
-fn fleet_of_any_size_recovers_with_a_discovery_of_any_capacity() {
-    for overload in [Overload::Rejects, Overload::IsSilent, Overload::WorksThrough] {
+fn fleet_recovers_after_outage_at_any_size_and_capacity() {
+    for overload in [Overload::Rejects, Overload::DoesNotRespond, Overload::ServesAbandonedCalls] {
         for gateways in [1, 30, 100, 300, 5300] {
-            for per_second in [20.0, 50.0, 200.0, 2000.0] {
-                let turn_s = gateways as f64 / per_second;
-                let duration_s = f64::max(60.0, 4.0 * turn_s);
-                let recovery = FleetSimulation::new(gateways, per_second, overload, duration_s).run();
-                println!("{overload:?}, {gateways} gateways, {per_second} a second: {recovery:.2?}");
-                check_recovery(&recovery, overload, turn_s, per_second);
+            for calls_per_second in [20.0, 50.0, 200.0, 2000.0] {
+                let service_time_s = gateways as f64 / calls_per_second;
+                let duration_s = f64::max(60.0, 4.0 * service_time_s);
+                let recovery = FleetSimulation::new(gateways, calls_per_second, overload, duration_s).run();
+                println!("{overload:?}, {gateways} gateways, {calls_per_second} a second: {recovery:.2?}");
+                check_recovery(&recovery, overload, service_time_s, calls_per_second);
             }
         }
     }
 }
 
-/// `turn_s` is how long discovery takes to serve each gateway once.
-fn check_recovery(recovery: &Recovery, overload: Overload, turn_s: f64, per_second: f64) {
-    let max_list_age = if overload == Overload::IsSilent { LEASE_DURATION } else { MAX_REJECTION_RENEWAL };
+/// Checks the result of a simulation; `service_time_s` is the time in which discovery can serve each
+/// gateway once.
+fn check_recovery(recovery: &Recovery, overload: Overload, service_time_s: f64, calls_per_second: f64) {
+    let max_list_age =
+        if overload == Overload::DoesNotRespond { LEASE_DURATION } else { MAX_LEASE_WITH_REJECTIONS };
     let list_age = recovery.max_list_age;
-    assert!(list_age <= max_list_age, "nothing is sent by a list that is older: {list_age:?}");
-    if turn_s < 3.0 {
-        // All gateways together can be served in time, so that each is.
+    assert!(list_age <= max_list_age, "no list is used that is older than {max_list_age:?}: {list_age:?}");
+    if service_time_s < 3.0 {
+        // The capacity suffices to serve the whole fleet in time.
         let last = recovery.last_first_list_s;
-        assert!(last <= turn_s + 4.5, "the last one at {last} s");
+        assert!(last <= service_time_s + 4.5, "the last gateway had its first list at {last} s");
         assert!(recovery.valid_fraction > 0.98, "{}", recovery.valid_fraction);
-    } else if overload != Overload::WorksThrough {
-        // They cannot, and nearly all of discovery's time still goes to lists.
+    } else if overload != Overload::ServesAbandonedCalls {
+        // The capacity does not suffice, but nearly all of it is still used for lists that are received.
         assert!(
-            recovery.lists_per_second > 0.9 * per_second && recovery.wasted_fraction < 0.1,
+            recovery.lists_per_second > 0.9 * calls_per_second && recovery.wasted_fraction < 0.1,
             "{recovery:?}"
         );
-    } else if turn_s < 8.0 {
-        // Pauses stay short for as long as rejections may be an outage, which costs a third of it.
-        assert!(recovery.lists_per_second > 0.3 * per_second, "{recovery:?}");
+    } else if service_time_s < 8.0 {
+        // While rejections may mean an outage, pauses stay short, which costs a third of the capacity.
+        assert!(recovery.lists_per_second > 0.3 * calls_per_second, "{recovery:?}");
     } else {
-        // The windows end short of what so slow a discovery would need of so large a fleet.
-        assert!(recovery.lists_per_second > 0.05 * per_second, "{recovery:?}");
+        // The maximum window is too narrow for so slow a discovery and so large a fleet.
+        assert!(recovery.lists_per_second > 0.05 * calls_per_second, "{recovery:?}");
     }
 }
 
-/// When each gateway of a fleet that starts at once has its first response, in seconds, from a discovery that
-/// serves a call in `service_s` and still serves those that were abandoned after 2 s. `None`: not
-/// within 30 s.
-fn first_responses(gateways: usize, service_s: f64) -> Vec<Option<f64>> {
+/// Simulates a fleet whose gateways all start at once, and returns when each has its first response, in
+/// seconds, or `None` if it has none within 30 s. Discovery serves a call in `service_s`. Calls are abandoned
+/// after 2 s, but are still served.
+fn simulate_fleet_start(gateways: usize, service_s: f64) -> Vec<Option<f64>> {
     let start = Instant::now();
     let mut schedules: Vec<RefreshSchedule> =
         (0..gateways).map(|gateway| schedule_for_polled_lists(gateways, gateway as u64, start)).collect();
     let mut responses = vec![None; gateways];
-    // Calls to come: when, in microseconds, and whose.
+    // The pending calls: their times in microseconds, and the calling gateways.
     let mut calls: BinaryHeap<Reverse<(u64, usize)>> = (0..gateways).map(|g| Reverse((0, g))).collect();
     let mut idle_at_s = 0.0;
     while let Some(Reverse((at_us, gateway))) = calls.pop() {
@@ -295,12 +326,12 @@
     responses
 }
 
-/// A hundred gateways start at once and call a discovery that serves 20 calls a second and still serves
-/// abandoned ones. With equal pauses the same gateways would lose each time. Expected: every gateway has a
-/// list within 20 s.
+/// A hundred gateways start at once and call a discovery that serves 20 calls a second, including abandoned
+/// ones. With equal pauses, the same gateways would be too late each time. Expected: every gateway has a list
+/// within 20 s.
 #[test]
-fn hundred_gateways_that_start_at_once_all_get_a_list_from_a_slow_discovery() {
-    let responses = first_responses(100, 0.05);
+fn hundred_gateways_starting_at_once_all_get_list_within_20_s() {
+    let responses = simulate_fleet_start(100, 0.05);
     let last = responses.iter().map(|r| r.expect("a response within 30 s")).fold(0.0, f64::max);
-    assert!(last < 20.0, "the last one at {last} s");
+    assert!(last < 20.0, "the last gateway had its first list at {last} s");
 }
--- a/crates/gateway/src/discovery/tests/lease_expiry.rs
+++ b/crates/gateway/src/discovery/tests/lease_expiry.rs
@@ -1,4 +1,4 @@
-//! The report that the lease of the list has expired.
+//! The test of the report that the lease on the list has expired.
 use crate::discovery::lease_expiry::report_lease_expiry;
 use std::sync::atomic::{AtomicUsize, Ordering::Relaxed};
 use std::sync::Arc;
@@ -6,12 +6,12 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, sleep_until, Instant};
 
-/// A lease is renewed at the very moment of its expiry, then shortened, then left to expire. A report of a
-/// lease that was renewed in time would stop a healthy gateway; a missing one would let it send by a list
-/// that is too old. Expected, in simulated time: one report for each expiry, and none for a renewal in
-/// time.
+/// A lease is repeatedly renewed at the moment of its expiry, then shortened, then left to expire. If a lease
+/// that was renewed in time were reported as expired, a healthy gateway would stop sending. If an expiry were
+/// not reported, the gateway would send to endpoints of a list that is too old. Expected, in simulated time:
+/// one report for each expiry, and none after a renewal in time.
 #[tokio::test(start_paused = true)]
-async fn lease_expiry_is_reported_once_until_the_lease_is_renewed() {
+async fn lease_expiry_is_reported_once_until_renewal() {
     let second = Duration::from_secs(1);
     let mut until = Instant::now() + second;
     let (renew, expires_at) = watch::channel(until);
@@ -25,7 +25,7 @@
     }
     tokio::task::yield_now().await;
     assert_eq!(reported.load(Relaxed), 0);
-    // The lease is cut short.
+    // The lease is shortened.
     renew.send_replace(until - second / 2);
     sleep_until(until - second / 4).await;
     assert_eq!(reported.load(Relaxed), 1);
--- a/crates/gateway/src/discovery/tests/list_lease.rs
+++ b/crates/gateway/src/discovery/tests/list_lease.rs
@@ -1,10 +1,11 @@
-//! How long the endpoint list may be used in outages and after rejections.
+//! The tests of how long the endpoint list may be used in outages and after rejections.
 use super::{
-    policy, reset_watch, schedule_for_polled_lists, silent_call, silent_watch, unreachable, LEASE_DURATION,
+    broken_watch, policy, schedule_for_polled_lists, unanswered_first_call, unanswered_watch, unreachable,
+    LEASE_DURATION,
 };
 use crate::discovery::error::DiscoveryError;
 use crate::discovery::list_lease::{
-    CHANGE_KNOWN_AFTER, CHANGE_KNOWN_AFTER_ADDRESS_CHANGE, LEASE_MARGIN, MAX_REJECTION_RENEWAL,
+    LEASE_MARGIN, MAX_DELAY_AFTER_ADDRESS_CHANGE, MAX_LEASE_WITH_REJECTIONS, MAX_PROPAGATION_DELAY,
     REJECTION_RENEWAL,
 };
 use crate::discovery::refresh_policy::CONNECT_TIMEOUT;
@@ -13,18 +14,18 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Discovery's machine goes down: the open watch gets no response, then nothing is reached any more. No
-/// change is published meanwhile, and a gateway whose list expired would reject everything. Expected: the
-/// lease stays valid at every moment of the outage, whatever the size of the fleet.
+/// Discovery's machine goes down: the open watch gets no response, and every later attempt to connect
+/// fails. No change is published during the outage, and a gateway whose list expired would reject all
+/// requests. Expected: the lease is valid at every moment of the outage, for any size of the fleet.
 #[test]
-fn lease_stays_valid_through_an_outage_of_any_length() {
+fn lease_stays_valid_throughout_outage() {
     for gateways in [1, 300, 100_000] {
         let mut now = Instant::now();
         let mut schedule = schedule_for_polled_lists(gateways, 5, now);
-        // The open watch falls silent first, since the machine has gone.
+        // The open watch gets no response, because the machine is down.
         let CallTimes { wait, response_timeout } = schedule.call_times(CallPosition::Later, now);
         now += wait + response_timeout;
-        now += schedule.on_error(&silent_watch(), now);
+        now += schedule.on_error(&unanswered_watch(), now);
         for _ in 0..1000 {
             let attempted_at = now;
             now += CONNECT_TIMEOUT;
@@ -35,12 +36,12 @@
     }
 }
 
-/// A discovery that was reached may have published a change which the gateway did not get. If silence or a
-/// reset renewed the lease, the gateway could send to a draining endpoint for ever. Expected: only a list,
-/// a rejection, or an outage renews it, an expired lease only a list, and a new address shortens it. A
-/// pushed list has no lease.
+/// A discovery that was reached may have published a change that the gateway has not received. If a missing
+/// response or a lost connection renewed the lease, the gateway could send to a draining endpoint for ever.
+/// Expected: only a list, a rejection, or an outage in which no connection is established renews the lease.
+/// Only a list renews an expired lease, a new address shortens the lease, and a pushed list has none.
 #[test]
-fn lease_is_renewed_only_by_a_list_a_rejection_or_an_outage_in_which_nothing_is_reached() {
+fn lease_is_renewed_only_by_list_rejection_or_outage() {
     let start = Instant::now();
     let later = start + Duration::from_secs(1);
     let until = |errors: &[DiscoveryError], schedule: &mut RefreshSchedule| {
@@ -50,42 +51,46 @@
     let down = || unreachable(later);
     let fresh = || schedule_for_polled_lists(300, 5, start);
     assert_eq!(until(&[down()], &mut fresh()), later + LEASE_DURATION);
-    assert_eq!(until(&[reset_watch(), down()], &mut fresh()), later + LEASE_DURATION);
-    assert_eq!(until(&[silent_call()], &mut fresh()), start + LEASE_DURATION);
-    assert_eq!(until(&[silent_call(), down()], &mut fresh()), start + LEASE_DURATION);
+    assert_eq!(until(&[broken_watch(), down()], &mut fresh()), later + LEASE_DURATION);
+    assert_eq!(until(&[unanswered_first_call()], &mut fresh()), start + LEASE_DURATION);
+    assert_eq!(until(&[unanswered_first_call(), down()], &mut fresh()), start + LEASE_DURATION);
     assert_eq!(until(&[DiscoveryError::Rejected], &mut fresh()), later + REJECTION_RENEWAL);
     let mut schedule = fresh();
-    until(&[silent_call()], &mut schedule);
+    until(&[unanswered_first_call()], &mut schedule);
     schedule.on_list(Duration::ZERO, start);
-    assert_eq!(until(&[down()], &mut schedule), later + LEASE_DURATION, "a list makes up for it");
+    assert_eq!(
+        until(&[down()], &mut schedule),
+        later + LEASE_DURATION,
+        "a list permits renewal in an outage again"
+    );
     // An outage does not renew a lease that has expired.
     let mut schedule = schedule_for_polled_lists(300, 5, start - LEASE_DURATION);
     assert_eq!(until(&[down()], &mut schedule), start);
-    // At a new address the lease is shorter, and never longer than it was.
+    // A new address shortens the lease and never lengthens it.
     let mut schedule = fresh();
     schedule.on_address_change(later);
-    assert_eq!(schedule.list_expires_at(), Some(later + CHANGE_KNOWN_AFTER_ADDRESS_CHANGE - LEASE_MARGIN));
+    assert_eq!(schedule.list_expires_at(), Some(later + MAX_DELAY_AFTER_ADDRESS_CHANGE - LEASE_MARGIN));
     schedule.on_address_change(start + Duration::from_secs(4));
-    assert_eq!(schedule.list_expires_at(), Some(later + CHANGE_KNOWN_AFTER_ADDRESS_CHANGE - LEASE_MARGIN));
+    assert_eq!(schedule.list_expires_at(), Some(later + MAX_DELAY_AFTER_ADDRESS_CHANGE - LEASE_MARGIN));
     schedule.on_error(&DiscoveryError::Rejected, start + Duration::from_secs(4));
     assert_eq!(
         schedule.list_expires_at(),
-        Some(later + CHANGE_KNOWN_AFTER_ADDRESS_CHANGE - LEASE_MARGIN),
-        "rejections do not renew it either"
+        Some(later + MAX_DELAY_AFTER_ADDRESS_CHANGE - LEASE_MARGIN),
+        "rejections do not renew a shortened lease"
     );
     // A pushed list never expires.
     let mut schedule = RefreshSchedule::new(policy(DiscoveryMode::Pushed, 300, 2000.0), 5, start);
     schedule.on_address_change(start);
-    schedule.on_error(&silent_call(), later);
+    schedule.on_error(&unanswered_first_call(), later);
     assert_eq!(schedule.list_expires_at(), None);
 }
 
-/// In an outage of ten seconds a proxy rejects calls, at once or after 2 s. Expected: the list stays valid,
-/// calls stay frequent, and the first one after the outage is answered before a change must be acted on. In
-/// an outage without end the list must expire, since a gateway cannot know whether discovery is only
-/// overloaded and has changes.
+/// During an outage of ten seconds, a proxy rejects calls immediately or after 2 s. Expected: the list stays
+/// valid, and the pauses are short enough that the first call after the outage is answered before the drain
+/// grace of a change is over. If the rejections continue, the list must expire, because a gateway cannot know
+/// whether discovery is only overloaded and has changes.
 #[test]
-fn lease_is_renewed_by_rejections_for_as_long_as_an_outage_and_no_longer() {
+fn rejections_renew_lease_for_limited_time() {
     const MIN_GRACE: Duration = Duration::from_secs(2);
     const REJECTED_AFTER: [Duration; 2] = [Duration::from_millis(2), Duration::from_secs(2)];
     for (seed, rejected_after) in (0..200).flat_map(|seed| REJECTED_AFTER.map(|after| (seed, after))) {
@@ -93,7 +98,7 @@
         let mut schedule = schedule_for_polled_lists(300, seed, start);
         let wait = schedule.call_times(CallPosition::Later, start).wait;
         let back = start + wait + Duration::from_secs(10);
-        // The open watch is rejected first.
+        // The first rejection ends the open watch.
         let mut now = start + wait;
         now += schedule.on_error(&DiscoveryError::Rejected, now);
         while now < back {
@@ -102,15 +107,15 @@
             assert!(schedule.list_expires_at() > Some(now), "{:?}", now - start);
         }
         assert!(
-            now + RESPONSE_ALLOWANCE < back + CHANGE_KNOWN_AFTER + MIN_GRACE - LEASE_MARGIN,
-            "the list came {:?} after the return",
+            now + RESPONSE_ALLOWANCE < back + MAX_PROPAGATION_DELAY + MIN_GRACE - LEASE_MARGIN,
+            "the list was received {:?} after the end of the outage",
             now - back
         );
-        while now < start + 2 * MAX_REJECTION_RENEWAL {
+        while now < start + 2 * MAX_LEASE_WITH_REJECTIONS {
             now += rejected_after + schedule.on_error(&DiscoveryError::Rejected, now);
         }
         assert!(
-            schedule.list_expires_at() <= Some(start + MAX_REJECTION_RENEWAL),
+            schedule.list_expires_at() <= Some(start + MAX_LEASE_WITH_REJECTIONS),
             "{:?}",
             schedule.list_expires_at().map(|u| u - start)
         );
--- a/crates/gateway/src/discovery/tests/mod.rs
+++ b/crates/gateway/src/discovery/tests/mod.rs
@@ -1,4 +1,4 @@
-//! The tests of discovery, by concern, and what they have in common.
+//! The tests of discovery, one file for each concern, and their common helpers.
 mod endpoint_list;
 mod error;
 mod fleet_recovery;
@@ -9,7 +9,7 @@
 mod refresh_schedule;
 
 use super::error::{CallError, DiscoveryError};
-use super::list_lease::{CHANGE_KNOWN_AFTER, LEASE_MARGIN};
+use super::list_lease::{LEASE_MARGIN, MAX_PROPAGATION_DELAY};
 use super::refresh_policy::RefreshPolicy;
 use super::refresh_schedule::RefreshSchedule;
 use crate::http_connection::ExchangeError;
@@ -18,9 +18,11 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long a list may be used; reckoned here, so that a change of the lease alone fails the tests.
-const LEASE_DURATION: Duration = CHANGE_KNOWN_AFTER.saturating_sub(LEASE_MARGIN);
+/// The time for which a list may be used. It is computed here too, so that the tests fail if only the lease's
+/// own constant changes.
+const LEASE_DURATION: Duration = MAX_PROPAGATION_DELAY.saturating_sub(LEASE_MARGIN);
 
+/// Returns the policy for a discovery mode, with settings that only the drain grace changes.
 fn policy(mode: DiscoveryMode, gateways: usize, drain_grace_ms: f64) -> RefreshPolicy {
     let settings = SocketSettings {
         idle_connection_timeout_ms: 1000.0,
@@ -33,27 +35,28 @@
     RefreshPolicy::new(&settings, gateways)
 }
 
+/// Returns a new schedule for polled lists.
 fn schedule_for_polled_lists(gateways: usize, seed: u64, now: Instant) -> RefreshSchedule {
     RefreshSchedule::new(policy(DiscoveryMode::OnRequest, gateways, 2000.0), seed, now)
 }
 
-/// Discovery is down: an attempt to connect that began then has failed.
+/// Returns the error of an attempt to connect that began at `attempted_at` and was refused.
 fn unreachable(attempted_at: Instant) -> DiscoveryError {
     let cause = CallError::ConnectFailed(io::ErrorKind::ConnectionRefused.into());
     DiscoveryError::Unreachable { attempted_at, cause }
 }
 
-/// A first call got no response.
-fn silent_call() -> DiscoveryError {
+/// Returns the error of a first call that got no response.
+fn unanswered_first_call() -> DiscoveryError {
     DiscoveryError::NoList(CallError::ResponseTimedOut)
 }
 
-/// A watch got no response.
-fn silent_watch() -> DiscoveryError {
+/// Returns the error of a watch that got no response.
+fn unanswered_watch() -> DiscoveryError {
     DiscoveryError::WatchInterrupted(CallError::ResponseTimedOut)
 }
 
-/// The connection of a watch broke.
-fn reset_watch() -> DiscoveryError {
+/// Returns the error of a watch whose connection was lost.
+fn broken_watch() -> DiscoveryError {
     DiscoveryError::WatchInterrupted(CallError::ExchangeFailed(ExchangeError::ConnectionLost))
 }
--- a/crates/gateway/src/discovery/tests/refresh_schedule.rs
+++ b/crates/gateway/src/discovery/tests/refresh_schedule.rs
@@ -1,7 +1,10 @@
-//! The times of calls against the lease of the list, and the backoff window after rejections.
-use super::{reset_watch, schedule_for_polled_lists, silent_call, silent_watch, LEASE_DURATION};
+//! The tests of the times of calls, compared with the lease on the list, and of the backoff window after
+//! rejections.
+use super::{
+    broken_watch, schedule_for_polled_lists, unanswered_first_call, unanswered_watch, LEASE_DURATION,
+};
 use crate::discovery::error::DiscoveryError;
-use crate::discovery::list_lease::{CHANGE_KNOWN_AFTER, CHANGE_KNOWN_AFTER_ADDRESS_CHANGE, LEASE_MARGIN};
+use crate::discovery::list_lease::{LEASE_MARGIN, MAX_DELAY_AFTER_ADDRESS_CHANGE, MAX_PROPAGATION_DELAY};
 use crate::discovery::refresh_policy::{
     CONNECT_TIMEOUT, INITIAL_BACKOFF, MAX_BACKOFF_PER_GATEWAY, QUEUED_RESPONSE_TIMEOUT,
 };
@@ -11,11 +14,12 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A watch that has just been opened gets no response, or breaks at any moment. If its wait and the pause
-/// were longer, the list would expire although discovery is up. Expected: the response to the next call
-/// arrives before the lease expires, even after the longest pause, unless discovery is overloaded.
+/// A watch that has just been opened gets no response, or its connection is lost at any moment. If its wait
+/// or the pause were too long, the list would expire although discovery is up. Expected: unless discovery
+/// is overloaded, the response to the next call arrives before the lease expires, even after the longest
+/// pause.
 #[test]
-fn requested_list_is_refreshed_before_its_lease_expires() {
+fn polled_list_is_refreshed_before_lease_expires() {
     let start = Instant::now();
     let mut random = fastrand::Rng::with_seed(9);
     for gateways in [1, 30, 300, 5300, 100_000] {
@@ -24,19 +28,19 @@
             for position in [CallPosition::First, CallPosition::Later] {
                 let CallTimes { wait, response_timeout } = schedule.call_times(position, start);
                 assert!(wait >= Duration::from_millis(1500), "{position:?}: {wait:?}");
-                let noticed = start + wait + response_timeout;
-                let again = noticed + schedule.on_error(&silent_watch(), noticed);
+                let timed_out_at = start + wait + response_timeout;
+                let retried_at = timed_out_at + schedule.on_error(&unanswered_watch(), timed_out_at);
                 assert!(
-                    again + RESPONSE_ALLOWANCE <= start + LEASE_DURATION,
+                    retried_at + RESPONSE_ALLOWANCE <= start + LEASE_DURATION,
                     "{position:?}: {:?}",
-                    again - start
+                    retried_at - start
                 );
-                let broke = start + (wait + response_timeout).mul_f64(random.f64());
-                let again = broke + schedule.on_error(&reset_watch(), broke);
+                let broken_at = start + (wait + response_timeout).mul_f64(random.f64());
+                let retried_at = broken_at + schedule.on_error(&broken_watch(), broken_at);
                 assert!(
-                    again + RESPONSE_ALLOWANCE <= start + LEASE_DURATION,
+                    retried_at + RESPONSE_ALLOWANCE <= start + LEASE_DURATION,
                     "{position:?}: {:?}",
-                    again - start
+                    retried_at - start
                 );
             }
         }
@@ -47,33 +51,34 @@
     assert_eq!(wait, Duration::from_millis(3500));
     assert_eq!(
         wait + response_timeout + MIN_RETRY_WINDOW + RESPONSE_ALLOWANCE,
-        CHANGE_KNOWN_AFTER - LEASE_MARGIN
+        MAX_PROPAGATION_DELAY - LEASE_MARGIN
     );
-    // The worst case at discovery's return: a call began just before, and its connection never comes up.
-    assert!(CONNECT_TIMEOUT + INITIAL_BACKOFF + RESPONSE_ALLOWANCE <= CHANGE_KNOWN_AFTER - LEASE_MARGIN);
-    // After SIGHUP the first call is begun at once, and may be queued.
-    assert!(QUEUED_RESPONSE_TIMEOUT + RESPONSE_ALLOWANCE <= CHANGE_KNOWN_AFTER_ADDRESS_CHANGE - LEASE_MARGIN);
+    // The worst case after an outage: an attempt to connect began just before its end, and times out.
+    assert!(CONNECT_TIMEOUT + INITIAL_BACKOFF + RESPONSE_ALLOWANCE <= MAX_PROPAGATION_DELAY - LEASE_MARGIN);
+    // After SIGHUP has changed the address, the first call starts immediately and may be queued.
+    assert!(QUEUED_RESPONSE_TIMEOUT + RESPONSE_ALLOWANCE <= MAX_DELAY_AFTER_ADDRESS_CHANGE - LEASE_MARGIN);
 }
 
 /// Discovery rejects calls because it is overloaded. Pauses of a fixed length would keep it overloaded, and
-/// ones without a bound would miss its recovery. Expected: the window widens with rejections up to its
-/// bound and narrows with lists, silence leaves pauses short, and gateways with different seeds draw
-/// different pauses.
+/// unbounded pauses would delay the first call after its recovery. Expected: the window widens with
+/// rejections up to its bound and narrows with lists, pauses stay short after calls without a response, and
+/// gateways with different seeds draw different pauses.
 #[test]
-fn backoff_window_widens_with_rejections_up_to_its_bound_and_narrows_with_lists() {
-    // The list has expired: while it is valid, pauses are shorter.
+fn backoff_window_widens_on_rejections_and_narrows_on_lists() {
+    // An expired list is used, because pauses are shorter while the list is valid.
     let now = Instant::now() + LEASE_DURATION;
     let expired_schedule = |gateways, seed| schedule_for_polled_lists(gateways, seed, now - LEASE_DURATION);
     let mut schedule = expired_schedule(100, 7);
-    let most = MAX_BACKOFF_PER_GATEWAY * 100;
+    let max_pause = MAX_BACKOFF_PER_GATEWAY * 100;
     let pauses: Vec<Duration> = (0..200).map(|_| schedule.on_error(&DiscoveryError::Rejected, now)).collect();
     assert!(pauses[0] <= INITIAL_BACKOFF);
-    assert!(pauses.iter().all(|p| *p <= most));
-    assert!(pauses.iter().any(|p| *p > most / 2), "the window has grown");
-    let silent = |schedule: &mut RefreshSchedule| schedule.on_error(&silent_call(), now);
+    assert!(pauses.iter().all(|p| *p <= max_pause));
+    assert!(pauses.iter().any(|p| *p > max_pause / 2), "the window has grown");
+    let pause_without_response =
+        |schedule: &mut RefreshSchedule| schedule.on_error(&unanswered_first_call(), now);
     assert!(
-        (0..200).all(|_| silent(&mut schedule) <= INITIAL_BACKOFF),
-        "the end of an outage must not be missed"
+        (0..200).all(|_| pause_without_response(&mut schedule) <= INITIAL_BACKOFF),
+        "pauses without a response stay short, so that the end of an outage is noticed"
     );
     (0..20).for_each(|_| schedule.on_list(Duration::ZERO, now));
     assert!(schedule.on_error(&DiscoveryError::Rejected, now) <= INITIAL_BACKOFF);
--- a/crates/gateway/src/discovery/watch.rs
+++ b/crates/gateway/src/discovery/watch.rs
@@ -1,5 +1,5 @@
-//! The watch that keeps the endpoint list current by long polling: one call after another over one
-//! connection, to each of which discovery responds when something changes or the call's wait is over.
+//! The watch that keeps the endpoint list current by long polling. It makes one call after another over one
+//! connection, and discovery responds to each call when the list changes or the call's wait is over.
 use super::endpoint_list::EndpointList;
 use super::error::{CallError, DiscoveryError};
 use super::lease_expiry::report_lease_expiry;
@@ -22,16 +22,16 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout, timeout_at, Instant};
 
-/// The maximum size of a list, in bytes.
+/// The maximum size of a response with a list, in bytes.
 const MAX_LIST_BYTES: usize = 4 << 20;
 
 /// Keeps the endpoint list current and never returns. `addr` is discovery's address, which a reload may
 /// change.
 ///
-/// Where lists are polled, the watch starts from `cached_revision`, so that discovery writes the changes
-/// only. It restarts with the complete list after an outage, at a new address and, where lists are pushed,
-/// on each connection. A polled list is on a lease: when that runs out, nothing may be sent until discovery
-/// has responded.
+/// If lists are polled, the watch starts from `cached_revision`, so that discovery writes only the changes.
+/// It requests the complete list after an outage, at a new address and, if lists are pushed, on each new
+/// connection. A polled list has a lease: when the lease expires, nothing may be sent to the endpoints until
+/// discovery has returned a list.
 pub(crate) async fn watch_endpoint_list<O: EndpointListObserver + Clone + 'static>(
     observer: O,
     mut addr: watch::Receiver<SocketAddr>,
@@ -40,23 +40,24 @@
     seed: u64,
 ) {
     let schedule = RefreshSchedule::new(policy, seed, Instant::now());
-    let (lease_end, lease_ends) = watch::channel(Instant::now());
+    let (expires_at_sender, expires_at_receiver) = watch::channel(Instant::now());
     let revision = ListRevision(cached_revision);
-    let mut list_watch = EndpointListWatch { observer, revision, schedule, lease_end, is_healthy: true };
+    let mut list_watch =
+        EndpointListWatch { observer, revision, schedule, expires_at_sender, is_healthy: true };
     list_watch.publish_lease();
     if policy.lease_duration.is_some() {
         let observer = list_watch.observer.clone();
-        // The task ends with the watch, which owns the sender of the lease.
-        spawn_local(report_lease_expiry(lease_ends, move || on_lease_expired(&observer)));
+        // The task ends with the watch, which owns the sender of the expiry time.
+        spawn_local(report_lease_expiry(expires_at_receiver, move || on_lease_expired(&observer)));
     }
     loop {
-        let current = *addr.borrow_and_update();
-        // A new address ends a call and a pause alike, because the old discovery may never respond again.
-        // What is lost with them: the connection, and a list that was only partly read. The new address
-        // starts with the complete list, and each change of the lease is published before the next wait, so
-        // neither is missed.
+        let current_addr = *addr.borrow_and_update();
+        // A new address interrupts a call or a pause, because the old discovery may never respond again. The
+        // cancelled future loses only the connection and a list that was partly read. That does no harm: at
+        // the new address the complete list is requested first, and each change of the lease is published
+        // before the next await.
         let address_changed = tokio::select! {
-            () = list_watch.follow_until_error(current) => false,
+            () = list_watch.watch_until_error(current_addr) => false,
             Ok(()) = addr.changed() => true,
         };
         if address_changed {
@@ -65,6 +66,7 @@
     }
 }
 
+/// Logs that the lease has expired and notifies the observer.
 fn on_lease_expired(observer: &impl EndpointListObserver) {
     tracing::error!(
         target: target::DISCOVERY,
@@ -73,36 +75,39 @@
     observer.lease_expired();
 }
 
-/// The state of the watch.
+/// The state of the watch, which is kept across connections and addresses.
 struct EndpointListWatch<O> {
+    /// The receiver of lists and of changes of the lease.
     observer: O,
     /// The revision of the cached list.
     revision: ListRevision,
+    /// The schedule of calls, which owns the lease.
     schedule: RefreshSchedule,
-    /// When the lease runs out, for the task that reports it.
-    lease_end: watch::Sender<Instant>,
-    /// The last call brought a list. Only the first failure after a list is logged.
+    /// Passes the time when the lease expires to the task that reports the expiry.
+    expires_at_sender: watch::Sender<Instant>,
+    /// Whether the last call returned a list. Only the first failure after a list is logged.
     is_healthy: bool,
 }
 
-/// A list and its delay.
+/// A list that discovery returned, and the delay of the response.
 struct ListResponse {
+    /// The complete list or the changes.
     list: EndpointList,
-    /// The time it took beyond the wait that was requested.
+    /// The time that the response took beyond the requested wait.
     delay: Duration,
 }
 
 impl<O: EndpointListObserver> EndpointListWatch<O> {
-    /// Follows discovery at one address until that fails, then pauses.
-    async fn follow_until_error(&mut self, addr: SocketAddr) {
-        let Err::<Infallible, DiscoveryError>(error) = self.follow(addr).await;
+    /// Watches the list at one address until a call fails, then pauses.
+    async fn watch_until_error(&mut self, addr: SocketAddr) {
+        let Err::<Infallible, DiscoveryError>(error) = self.watch_over_one_connection(addr).await;
         self.revision.reset_after(&error);
         if std::mem::take(&mut self.is_healthy) {
             tracing::warn!(
                 target: target::DISCOVERY,
                 discovery = %addr,
                 reason = %ErrorChain(&error),
-                "discovery failed; the cached endpoint list stays in use"
+                "call to discovery failed; the cached endpoint list stays in use"
             );
         }
         let pause = self.schedule.on_error(&error, Instant::now());
@@ -110,51 +115,59 @@
         sleep(pause).await;
     }
 
+    /// Restarts with the complete list and a shortened lease after discovery's address has changed.
     fn on_address_change(&mut self) {
         self.revision.reset();
         self.schedule.on_address_change(Instant::now());
         self.publish_lease();
     }
 
-    /// Publishes until when the list may be used.
+    /// Publishes the time when the lease expires, if lists have a lease.
     fn publish_lease(&self) {
         let Some(expires_at) = self.schedule.list_expires_at() else { return };
         self.observer.lease_updated(expires_at);
-        self.lease_end.send_if_modified(|known| std::mem::replace(known, expires_at) != expires_at);
+        self.expires_at_sender
+            .send_if_modified(|published| std::mem::replace(published, expires_at) != expires_at);
     }
 
-    /// Calls discovery at one address over one connection until that fails.
-    async fn follow(&mut self, addr: SocketAddr) -> Result<Infallible, DiscoveryError> {
+    /// Connects to discovery and makes one call after another over that connection, until a call fails.
+    async fn watch_over_one_connection(&mut self, addr: SocketAddr) -> Result<Infallible, DiscoveryError> {
         let complete_list_first = self.schedule.policy().complete_list_first;
         if complete_list_first {
             self.revision.reset();
         }
-        let started = Instant::now();
-        let mut connection = self.connect(addr, started).await?;
-        // Where lists are pushed, the connection and the first call over it have one timeout together.
-        let called = if complete_list_first { started } else { Instant::now() };
-        // A first call that fails shows that something was reached, which an interrupted watch does not.
-        let first = self.call(&mut connection, addr, CallPosition::First, called).await;
-        let mut response = first.map_err(|error| match error {
+        let started_at = Instant::now();
+        let mut connection = self.connect(addr, started_at).await?;
+        // If lists are pushed, one timeout covers the connection attempt and the first call together.
+        let called_at = if complete_list_first { started_at } else { Instant::now() };
+        // The connection has just been established, so a first call that fails shows that discovery was
+        // reached. An interrupted watch does not show that.
+        let first_response = self.call(&mut connection, addr, CallPosition::First, called_at).await;
+        let mut response = first_response.map_err(|error| match error {
             DiscoveryError::WatchInterrupted(cause) => DiscoveryError::NoList(cause),
             other => other,
         })?;
         loop {
-            self.accept(response, addr)?;
+            self.handle_list(response, addr)?;
             response = self.call(&mut connection, addr, CallPosition::Later, Instant::now()).await?;
         }
     }
 
-    async fn connect(&self, addr: SocketAddr, started: Instant) -> Result<HttpConnection, DiscoveryError> {
-        let unreachable = |cause| DiscoveryError::Unreachable { attempted_at: started, cause };
+    /// Establishes a connection to discovery. `started_at` is the current time, for the error.
+    async fn connect(&self, addr: SocketAddr, started_at: Instant) -> Result<HttpConnection, DiscoveryError> {
+        let unreachable = |cause| DiscoveryError::Unreachable { attempted_at: started_at, cause };
         let connected = timeout(self.schedule.policy().connect_timeout, HttpConnection::connect(addr)).await;
         connected
             .map_err(|_| unreachable(CallError::ConnectTimedOut))?
             .map_err(|error| unreachable(CallError::ConnectFailed(error)))
     }
 
-    /// Renews the lease by a list and passes the list to the observer.
-    fn accept(&mut self, response: ListResponse, addr: SocketAddr) -> Result<(), DiscoveryError> {
+    /// Renews the lease and passes the received list to the observer.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the list is older than the cached one.
+    fn handle_list(&mut self, response: ListResponse, addr: SocketAddr) -> Result<(), DiscoveryError> {
         let ListResponse { list, delay } = response;
         self.revision.advance(list.revision)?;
         self.schedule.on_list(delay, Instant::now());
@@ -171,29 +184,30 @@
         Ok(())
     }
 
-    /// Makes one call, for the changes since the cached revision or for the complete list. Its timeout runs
-    /// from `started`.
+    /// Makes one call, which requests the changes since the cached revision or the complete list. The timeout
+    /// of the call is counted from `started_at`.
     async fn call(
         &self,
         connection: &mut HttpConnection,
         addr: SocketAddr,
         position: CallPosition,
-        started: Instant,
+        started_at: Instant,
     ) -> Result<ListResponse, DiscoveryError> {
-        let times = self.schedule.call_times(position, started);
+        let times = self.schedule.call_times(position, started_at);
         let ListCall { path, wait } = self.revision.next_call(times.wait);
         let request = Request::get(path).header(HOST, addr.to_string()).body(Full::new(Bytes::new()));
         let request = request.map_err(|error| DiscoveryError::WatchInterrupted(error.into()))?;
-        let deadline = started + wait + times.response_timeout;
+        let deadline = started_at + wait + times.response_timeout;
         let response = timeout_at(deadline, connection.exchange(request, MAX_LIST_BYTES)).await;
         let response = response
             .map_err(|_| DiscoveryError::WatchInterrupted(CallError::ResponseTimedOut))?
             .map_err(|error| DiscoveryError::WatchInterrupted(error.into()))?;
         let list = parse_list(&response)?;
-        Ok(ListResponse { list, delay: started.elapsed().saturating_sub(wait) })
+        Ok(ListResponse { list, delay: started_at.elapsed().saturating_sub(wait) })
     }
 }
 
+/// Returns the list from a response, or the error that its status or body stands for.
 fn parse_list(response: &Response<Bytes>) -> Result<EndpointList, DiscoveryError> {
     match response.status() {
         StatusCode::OK => {}
