--- a/crates/gateway/src/clock/tests.rs
+++ b/crates/gateway/src/clock/tests.rs
@@ -1,10 +1,10 @@
 //! The tests of the conversion between times and milliseconds.
 use super::*;
 
-/// Settings and library give times as floating-point numbers. A negative one or NaN would panic in the
-/// conversion. Expected: zero for those, and the same time both ways for others.
+/// The settings and the admission library give times as floating-point numbers, and the conversion of a
+/// negative number or NaN would panic. Expected: these become zero, and other times are converted exactly.
 #[test]
-fn converts_both_ways_and_tolerates_figures_that_are_no_time() {
+fn milliseconds_convert_both_ways_and_invalid_values_become_zero() {
     let clock = Clock::start();
     let now = clock.now_ms();
     assert!(clock.now_ms() >= now);
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -1,4 +1,5 @@
-//! The configuration: the JSON file that `LB_CONFIG` names, read at startup and on SIGHUP.
+//! Loads the configuration, the JSON file that the environment variable `LB_CONFIG` names. It is read at
+//! startup and on SIGHUP.
 use crate::discovery::EndpointList;
 use irishinge_admission::{Settings, SettingsError};
 use irishinge_settings::{
@@ -13,36 +14,38 @@
 
 /// A validated configuration.
 pub(crate) struct Config {
-    /// The address that clients connect to.
+    /// The address on which the gateway accepts clients' connections.
     pub listen: SocketAddr,
     /// Discovery's address.
     pub discovery: SocketAddr,
-    /// The quota counter's address, if the fleet has one.
+    /// The quota counter's address, or `None` if the fleet has no quota counter.
     pub counter: Option<SocketAddr>,
-    /// The seed of random numbers.
+    /// The seed of the gateway's random numbers.
     pub seed: u64,
-    /// File descriptors that the process may have open.
+    /// The maximum number of file descriptors that the process may have open.
     pub descriptor_limit: usize,
-    /// The address that receives peers' messages, or `None` if there are no peers.
+    /// The address on which the gateway receives peers' messages, or `None` if it exchanges none.
     pub peer_listen: Option<SocketAddr>,
-    /// The address of each gateway, by its number.
+    /// The address for messages of each gateway of the fleet, indexed by the gateway's number.
     pub peers: Vec<SocketAddr>,
-    /// The endpoint list that was cached before a restart.
+    /// The endpoint list that was cached before a restart, if there is one.
     pub cached_list: Option<EndpointList>,
-    /// The decision library's settings.
+    /// The settings of the admission library.
     pub settings: Settings,
-    /// The names behind the settings' indexes.
+    /// The names of the classes, plans, zones and machine kinds that the settings refer to by index.
     pub names: Names,
     /// The settings of the network code.
     pub socket_settings: SocketSettings,
 }
 
+/// The configuration file's content. The fields that [`Config`] has too are documented there.
 #[derive(Deserialize)]
-struct File {
+struct ConfigFile {
     listen: SocketAddr,
     discovery: SocketAddr,
     #[serde(default)]
     counter: Option<SocketAddr>,
+    /// The seed as a hexadecimal number of at most 64 bits.
     seed: String,
     limits: Limits,
     peer_listen: Option<SocketAddr>,
@@ -50,62 +53,65 @@
     peers: Vec<SocketAddr>,
     #[serde(rename = "known")]
     cached_list: Option<EndpointList>,
+    /// The settings of the admission library and of the network code.
     settings: SettingsDocument,
 }
 
+/// The limits on the process's resources.
 #[derive(Deserialize)]
 struct Limits {
+    /// The maximum number of open file descriptors.
     #[serde(rename = "sockets")]
     descriptors: usize,
 }
 
-/// The least number of file descriptors: with fewer there would be too few connections for clients and
-/// endpoints.
+/// The minimum of `limits.sockets`, in file descriptors. A lower limit would leave too few connections for
+/// clients and endpoints.
 const MIN_DESCRIPTORS: usize = 64;
 
-/// Why the configuration could not be loaded.
+/// The reason for which the configuration could not be loaded.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ConfigError {
-    /// The environment variable that names the file is missing or not UTF-8.
+    /// The environment variable `LB_CONFIG` is not set or not UTF-8.
     #[error("LB_CONFIG does not name the configuration file")]
     NoPath(#[source] env::VarError),
     /// The file could not be read.
-    #[error("cannot read the configuration {path}")]
+    #[error("cannot read the configuration file {path}")]
     Unreadable {
-        /// The file.
+        /// The path of the file.
         path: String,
-        /// Why.
+        /// The operating system's error.
         source: io::Error,
     },
-    /// The file's content cannot be used.
-    #[error("cannot use the configuration {path}")]
+    /// The file's content is invalid.
+    #[error("invalid configuration file {path}")]
     Invalid {
-        /// The file.
+        /// The path of the file.
         path: String,
-        /// What in it is wrong.
+        /// The first thing that is invalid in the file.
         source: InvalidConfig,
     },
 }
 
-/// What is wrong with a configuration's content.
+/// The reason for which a configuration file's content is invalid.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum InvalidConfig {
-    /// It is not JSON, or a field is missing or has the wrong type.
+    /// The content is not JSON, or a field is missing or has the wrong type.
     #[error(transparent)]
-    Form(#[from] serde_json::Error),
+    Malformed(#[from] serde_json::Error),
     /// `seed` is not a hexadecimal number.
-    #[error("seed is not a hexadecimal number of 64 bits")]
-    Seed(#[source] ParseIntError),
-    /// `settings` says something that the gateway cannot act on.
-    #[error("settings")]
+    #[error("seed is not a hexadecimal number of at most 64 bits")]
+    InvalidSeed(#[source] ParseIntError),
+    /// A value in `settings` is unknown or out of range.
+    #[error("invalid settings")]
     Settings(#[from] SettingsDocumentError),
-    /// The decision library rejected the settings.
-    #[error("settings")]
+    /// The admission library rejected the settings.
+    #[error("invalid settings")]
     RejectedSettings(#[from] SettingsError),
-    /// `limits.sockets` is too low.
+    /// `limits.sockets` is below [`MIN_DESCRIPTORS`].
     #[error("limits.sockets is {0}, but must be at least {MIN_DESCRIPTORS}")]
     TooFewDescriptors(usize),
-    /// `peers` does not list every gateway of the fleet.
+    /// The number of addresses in `peers` differs from the number of gateways in the settings.
     #[error("peers has {peers} addresses, but settings.balancers is {gateways}")]
     PeerCount {
         /// The number of addresses in `peers`.
@@ -120,7 +126,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if the file is not named, cannot be read, or is invalid.
+    /// Fails if `LB_CONFIG` does not name a file, or the file cannot be read or is invalid.
     pub(crate) fn load() -> Result<Self, ConfigError> {
         let path = env::var("LB_CONFIG").map_err(ConfigError::NoPath)?;
         match fs::read(&path) {
@@ -129,9 +135,10 @@
         }
     }
 
+    /// Parses and validates the content of a configuration file.
     fn parse(text: &[u8]) -> Result<Self, InvalidConfig> {
-        let file: File = serde_json::from_slice(text)?;
-        let seed = u64::from_str_radix(&file.seed, 16).map_err(InvalidConfig::Seed)?;
+        let file: ConfigFile = serde_json::from_slice(text)?;
+        let seed = u64::from_str_radix(&file.seed, 16).map_err(InvalidConfig::InvalidSeed)?;
         let socket_settings = file.settings.socket_settings()?;
         let TranslatedSettings { settings, names } = file.settings.translate()?;
         settings.check()?;
--- a/crates/gateway/src/error_chain.rs
+++ b/crates/gateway/src/error_chain.rs
@@ -1,4 +1,4 @@
-//! Formats an error and its causes as one line for the operator.
+//! Formats an error and its sources as one line for the operator.
 use std::error::Error;
 use std::fmt;
 
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -1,6 +1,6 @@
-//! irishinge: an API gateway. It accepts clients' requests over HTTP/1.1 and sends them to the endpoints that
-//! discovery publishes. The decision library (`irishinge-admission`) decides whether, when and where each
-//! request is sent.
+//! irishinge is an API gateway. It accepts clients' requests over HTTP/1.1 and sends them to the endpoints
+//! that discovery publishes. The admission library (`irishinge-admission`) decides whether, when and to
+//! which endpoint each request is sent.
 //!
 //! The process reloads its configuration on SIGHUP and shuts down on SIGTERM. `docs/LOGS.md` lists its log
 //! lines.
@@ -34,31 +34,33 @@
     match run_on_one_thread() {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            // Always one plain line, also if the log could not be set up.
+            // One plain line and no log line, because the log subscriber may be what could not be installed.
             eprintln!("irishinge: {}", ErrorChain(&error));
             ExitCode::FAILURE
         }
     }
 }
 
+/// Runs the gateway on a runtime of one thread until it has shut down.
 fn run_on_one_thread() -> Result<(), StartupError> {
     logging::init()?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(StartupError::Runtime)?;
-    // Declared after the runtime, so that the tasks are dropped before it.
+    // Declared after the runtime, so that the tasks are dropped before the runtime.
     let tasks = LocalSet::new();
     tasks.block_on(&runtime, run())
 }
 
+/// Starts the gateway, and shuts it down on SIGTERM.
 async fn run() -> Result<(), StartupError> {
-    // Installed first: an unhandled signal would end the process at once.
-    let hangup = signal(SignalKind::hangup()).map_err(StartupError::Signals)?;
-    let mut terminate = signal(SignalKind::terminate()).map_err(StartupError::Signals)?;
+    // The handlers are installed first, because a signal without a handler would end the process.
+    let sighup = signal(SignalKind::hangup()).map_err(StartupError::Signals)?;
+    let mut sigterm = signal(SignalKind::terminate()).map_err(StartupError::Signals)?;
 
     let gateway = startup::start(Config::load()?).await?;
-    spawn_local(reload::reload_on_hangup(hangup, gateway.discovery_addr, gateway.dispatcher));
+    spawn_local(reload::reload_on_sighup(sighup, gateway.discovery_addr, gateway.dispatcher));
 
-    terminate.recv().await;
+    sigterm.recv().await;
     gateway.shutdown.run().await;
     Ok(())
 }
--- a/crates/gateway/src/reload.rs
+++ b/crates/gateway/src/reload.rs
@@ -1,4 +1,4 @@
-//! Reloads the configuration while the process runs.
+//! Reloads the configuration on SIGHUP.
 use crate::config::Config;
 use crate::dispatcher::Dispatcher;
 use crate::error_chain::ErrorChain;
@@ -8,18 +8,18 @@
 use tokio::signal::unix::Signal;
 use tokio::sync::watch;
 
-/// Reads the configuration again on each SIGHUP.
+/// Reads the configuration file again on each SIGHUP, and applies the addresses of discovery and of the quota
+/// counter. All other settings take effect only at the next start.
 ///
-/// Only the addresses of discovery and of the quota counter can change while the process runs. If the file
-/// cannot be used, the previous configuration stays in force.
-pub(crate) async fn reload_on_hangup(
-    mut hangup: Signal,
+/// If the file cannot be read or is invalid, the previous configuration stays in force.
+pub(crate) async fn reload_on_sighup(
+    mut sighup: Signal,
     discovery_addr: watch::Sender<SocketAddr>,
     dispatcher: Rc<Dispatcher>,
 ) {
-    // Signals that arrive while a file is loaded are merged into one, which is enough: the file is read
-    // again each time.
-    while hangup.recv().await.is_some() {
+    // Signals that arrive while the file is loaded are merged into one. That is enough, because the file is
+    // then read once more.
+    while sighup.recv().await.is_some() {
         match Config::load() {
             Ok(config) => {
                 tracing::info!(
--- a/crates/gateway/src/startup.rs
+++ b/crates/gateway/src/startup.rs
@@ -20,53 +20,53 @@
 use tokio::task::spawn_local;
 use tokio::time::{interval, MissedTickBehavior};
 
-/// Why the process cannot start.
+/// The reason for which the process cannot start.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum StartupError {
-    /// A log subscriber was already installed.
-    #[error("cannot set up the log")]
+    /// A log subscriber is already installed.
+    #[error("cannot install the log subscriber")]
     Logging(#[from] tracing::subscriber::SetGlobalDefaultError),
-    /// The operating system denied the runtime a resource.
-    #[error("cannot start the runtime")]
+    /// The operating system denied the asynchronous runtime a resource.
+    #[error("cannot start the asynchronous runtime")]
     Runtime(#[source] io::Error),
-    /// A handler for SIGHUP or SIGTERM could not be installed.
-    #[error("cannot handle signals")]
+    /// The handler of SIGHUP or of SIGTERM could not be installed.
+    #[error("cannot install the handlers of SIGHUP and SIGTERM")]
     Signals(#[source] io::Error),
     /// The configuration could not be loaded.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// The decision library rejected the settings.
-    #[error("cannot use the settings")]
+    /// The admission library rejected the settings.
+    #[error("invalid settings")]
     Settings(#[from] SettingsError),
-    /// The address for peers' messages could not be bound.
+    /// The address on which peers' messages are received could not be bound.
     #[error(transparent)]
     Peers(#[from] BindError),
-    /// The address for clients could not be bound.
+    /// The address on which clients connect could not be bound.
     #[error("cannot listen for clients on {addr}")]
     Listen {
-        /// The address.
+        /// The address, `listen` in the configuration.
         addr: SocketAddr,
-        /// Why.
+        /// The operating system's error.
         source: io::Error,
     },
 }
 
-/// Handles to a running gateway, for reload and shutdown.
+/// The parts of a running gateway that reload and shutdown need.
 pub(crate) struct RunningGateway {
-    /// Changes discovery's address.
+    /// Passes discovery's address to the watch of the endpoint list.
     pub discovery_addr: watch::Sender<SocketAddr>,
-    /// Changes the quota counter's address.
+    /// The dispatcher, which can change the quota counter's address.
     pub dispatcher: Rc<Dispatcher>,
-    /// Shuts the gateway down.
+    /// The components that the shutdown ends.
     pub shutdown: Shutdown,
 }
 
-/// Starts the gateway. Its tasks run on the current `LocalSet` and accept connections as soon as the caller
-/// awaits.
+/// Starts the gateway. Its tasks are spawned on the current `LocalSet` and run, so that connections are
+/// accepted, as soon as the caller awaits.
 ///
 /// # Errors
 ///
-/// Fails if the decision library rejects the settings or an address cannot be bound.
+/// Fails if the admission library rejects the settings or an address cannot be bound.
 pub(crate) async fn start(config: Config) -> Result<RunningGateway, StartupError> {
     let settings = config.settings;
     let socket_settings = config.socket_settings;
@@ -83,7 +83,7 @@
     let cached_revision = restore_cached_list(&dispatcher, config.cached_list);
 
     let listener = listen(config.listen, &peers).await?;
-    let times = ShutdownTimes::new(&settings);
+    let shutdown_times = ShutdownTimes::new(&settings);
     let refresh_policy = RefreshPolicy::new(&socket_settings, settings.gateways);
     let (discovery_addr, watched_addr) = watch::channel(config.discovery);
     let downstream_settings = DownstreamSettings {
@@ -93,29 +93,31 @@
     };
     let downstream = DownstreamServer::new(dispatcher.clone(), downstream_settings);
 
-    // These tasks run until the process ends: `main` drops the `LocalSet` that owns them before the
-    // runtime. The shutdown aborts only the one that accepts connections.
+    // These tasks run until the process ends, when `main` drops the `LocalSet` that owns them, before it
+    // drops the runtime. The shutdown aborts only the task that accepts connections.
     spawn_local(dispatcher.clone().run_timers());
     let observer = dispatcher.clone();
     spawn_local(watch_endpoint_list(observer, watched_addr, cached_revision, refresh_policy, config.seed));
     spawn_local(receive_from_peers(peers, dispatcher.clone()));
     spawn_local(close_stale_connections(dispatcher.clone()));
     let accepting = spawn_local(downstream.clone().accept(listener.clone()));
-    let shutdown = Shutdown { downstream, dispatcher: dispatcher.clone(), listener, accepting, times };
+    let shutdown =
+        Shutdown { downstream, dispatcher: dispatcher.clone(), listener, accepting, times: shutdown_times };
     Ok(RunningGateway { discovery_addr, dispatcher, shutdown })
 }
 
-/// Applies the endpoint list that was cached before a restart, and returns the revision that discovery
-/// continues from: `None` fetches the complete list.
+/// Applies the endpoint list that was cached before a restart. Returns the revision from which the watch
+/// requests changes, or `None` if it is to request the complete list.
 fn restore_cached_list(dispatcher: &Rc<Dispatcher>, cached: Option<EndpointList>) -> Option<u64> {
     let cached = cached?;
-    // To continue from an empty list would save discovery no work.
+    // The changes to an empty list are the complete list, so requesting only changes would save discovery
+    // no work.
     let revision = (!cached.is_empty()).then_some(cached.revision);
     dispatcher.list_received(ListKind::Cached, cached);
     revision
 }
 
-/// Binds the clients' address and logs the addresses that the gateway listens on.
+/// Binds the address on which clients connect, and logs the addresses that the gateway listens on.
 async fn listen(addr: SocketAddr, peers: &Peers) -> Result<Rc<TcpListener>, StartupError> {
     let error = |source| StartupError::Listen { addr, source };
     let listener = TcpListener::bind(addr).await.map_err(error)?;
@@ -127,6 +129,7 @@
     Ok(Rc::new(listener))
 }
 
+/// Passes peers' messages to the dispatcher. Returns only if the gateway has no socket for peers.
 async fn receive_from_peers(peers: Rc<Peers>, dispatcher: Rc<Dispatcher>) {
     peers.receive(dispatcher).await;
 }
