--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -1,4 +1,5 @@
-//! Messages between gateways, one to a UDP datagram. Delivery is not guaranteed.
+//! Sends and receives the messages between gateways, one message per UDP datagram. Delivery is not
+//! guaranteed.
 use crate::logging::target;
 use irishinge_admission::GatewayIndex;
 use std::cell::RefCell;
@@ -8,29 +9,32 @@
 use tokio::net::UdpSocket;
 use tokio::time::{sleep, Instant};
 
-/// The maximum size of a datagram, in bytes.
+/// The maximum size of a datagram that is sent or accepted, in bytes.
 const MAX_DATAGRAM_BYTES: usize = 256;
-/// The pause after a failed receive, so that a persistent failure does not spin.
+/// The pause after a failed receive, so that a persistent failure does not make the receive loop spin.
 const RECEIVE_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// A token bucket for the messages that this gateway sends to all of its peers together.
+/// A token bucket that limits the messages which this gateway sends to all of its peers together.
 ///
 /// If no gateway sends more messages than one gateway accepts, it is unlikely that any gateway receives
-/// more than it accepts. Equal limits for each peer would not work: in a large fleet a gateway sends many
-/// messages to the few peers that own its customers' quotas, and none to the others.
+/// more than it accepts. Dividing the limit equally among the peers would not work: in a large fleet, a
+/// gateway sends many messages to the few peers that own its customers' quotas, and none to the others.
 struct SendRateLimit {
+    /// The rate at which tokens are refilled, in messages per second.
     per_second: f64,
+    /// The tokens at the last refill. Each message takes one.
     tokens: f64,
+    /// The time of the last refill.
     refilled_at: Instant,
 }
 
 impl SendRateLimit {
-    /// Creates a full bucket, which holds the messages of one second and at least one message.
+    /// Creates a full bucket. Its capacity is the messages of one second, but at least one message.
     fn full(per_second: f64, now: Instant) -> Self {
         SendRateLimit { per_second, tokens: per_second.max(1.0), refilled_at: now }
     }
 
-    /// Takes a token for one message and returns whether there was one.
+    /// Takes the token for one message, and returns false if none is left.
     fn try_take(&mut self, now: Instant) -> bool {
         let seconds = now.saturating_duration_since(self.refilled_at).as_secs_f64();
         self.tokens = (self.tokens + self.per_second * seconds).min(self.per_second.max(1.0));
@@ -43,34 +47,37 @@
     }
 }
 
-/// The address for peers' messages could not be bound.
+/// The error if the address on which peers' messages are received cannot be bound.
 #[derive(Debug, thiserror::Error)]
 #[error("cannot listen for peers on {addr}")]
 pub(crate) struct BindError {
+    /// The address, `peer_listen` in the configuration.
     addr: SocketAddr,
+    /// The operating system's error.
     source: io::Error,
 }
 
-/// Handles the messages of peers.
+/// Handles the messages that are received from peers.
 pub(crate) trait PeerMessageHandler {
-    /// Handles a message from the gateway with the number `from`.
+    /// Handles a message with the text `body` from the gateway with the number `from`.
     fn on_peer_message(&self, from: GatewayIndex, body: String);
 }
 
-/// The socket to the other gateways of the fleet.
+/// The socket for the messages between this gateway and the others of the fleet.
 pub(crate) struct Peers {
-    /// `None` if this gateway exchanges no messages.
+    /// The socket, or `None` if this gateway exchanges no messages.
     socket: Option<UdpSocket>,
-    /// Indexed by the gateway's number.
+    /// The address of each gateway of the fleet, indexed by the gateway's number.
     addrs: Vec<SocketAddr>,
     /// This gateway's number.
     own_index: GatewayIndex,
+    /// The limit on the messages to all peers together.
     send_rate_limit: RefCell<SendRateLimit>,
 }
 
 impl Peers {
-    /// Binds the socket to `listen`, if given. `accepted_per_second` is the number of messages that a gateway
-    /// accepts.
+    /// Binds the socket to `listen` if that is an address. `addrs` has the address of each gateway, and
+    /// `accepted_per_second` is the number of messages that a gateway accepts per second.
     ///
     /// # Errors
     ///
@@ -89,12 +96,13 @@
         Ok(Peers { socket, addrs, own_index, send_rate_limit })
     }
 
-    /// The address that receives messages, or `None` if there is no socket.
+    /// Returns the address on which messages are received, or `None` if there is no socket.
     pub(crate) fn local_addr(&self) -> Option<SocketAddr> {
         self.socket.as_ref()?.local_addr().ok()
     }
 
-    /// Sends a message to the peer with the number `to`.
+    /// Sends a message to the peer with the number `to`. A message that cannot be sent is logged and dropped,
+    /// and one to a number without an address is dropped.
     pub(crate) fn send(&self, to: GatewayIndex, body: &str) {
         let Some(socket) = &self.socket else {
             return tracing::warn!(
@@ -116,6 +124,7 @@
         }
     }
 
+    /// Sends a message to `addr` unless the send rate limit is reached.
     fn send_to(&self, socket: &UdpSocket, peer: usize, addr: SocketAddr, body: &str) {
         if !self.send_rate_limit.borrow_mut().try_take(Instant::now()) {
             return tracing::warn!(
@@ -130,8 +139,8 @@
         }
     }
 
-    /// Passes peers' messages to `handler`. Datagrams from other senders and invalid ones are ignored. Never
-    /// returns, except where there is no socket.
+    /// Passes peers' messages to `handler`. Datagrams that are invalid or not from a peer are logged and
+    /// ignored. Returns only if there is no socket.
     pub(crate) async fn receive(&self, handler: impl PeerMessageHandler) {
         let Some(socket) = &self.socket else { return };
         let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
@@ -139,8 +148,8 @@
             match socket.recv_from(&mut buffer).await {
                 Ok((length, sender)) => self.on_datagram(&buffer[..length], sender, &handler),
                 Err(error) => {
-                    // The kernel reports a message to a peer that is down as an error of the next receive.
-                    // Without the pause, a lasting error would be retried without end.
+                    // If a peer is down, the kernel reports a message to it as an error of the next receive.
+                    // Without the pause, a persistent error would be retried in a busy loop.
                     tracing::warn!(target: target::PEERS, %error, "cannot receive from peers");
                     sleep(RECEIVE_RETRY_DELAY).await;
                 }
@@ -148,6 +157,7 @@
         }
     }
 
+    /// Passes a datagram to `handler` if it is a valid message from a peer, or else logs it.
     fn on_datagram(&self, datagram: &[u8], sender: SocketAddr, handler: &impl PeerMessageHandler) {
         let from = self
             .addrs
@@ -155,7 +165,7 @@
             .position(|addr| *addr == sender)
             .map(GatewayIndex)
             .filter(|peer| *peer != self.own_index);
-        match read_message(from, datagram) {
+        match parse_datagram(from, datagram) {
             Ok((from, body)) => handler.on_peer_message(from, body.to_string()),
             Err(reason) => {
                 let bytes = datagram.len();
@@ -165,34 +175,36 @@
     }
 }
 
-/// Why a datagram is ignored. A message that was cut off or comes from elsewhere could make quotas wrong.
+/// The reason for which a datagram is ignored. If a message that is truncated or not from a peer were
+/// applied, quotas could become wrong.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-enum IgnoredDatagram {
-    /// Its sender's address is not that of another gateway of the fleet.
+enum DatagramError {
+    /// The sender's address is not that of another gateway of the fleet.
     #[error("not from a configured peer")]
     UnknownSender,
-    /// It is longer than a message may be.
-    #[error("too long")]
+    /// The datagram is longer than a message may be.
+    #[error("longer than {MAX_DATAGRAM_BYTES} bytes")]
     TooLong,
-    /// It is not UTF-8.
-    #[error("not text")]
+    /// The datagram is not UTF-8.
+    #[error("not UTF-8")]
     NotText,
 }
 
-/// The sender and the text of a datagram. `from` is the peer that has the sender's address.
+/// Returns the sender and the text of a datagram. `from` is the peer with the sender's address, if there is
+/// one.
 ///
 /// # Errors
 ///
-/// Fails with the first reason for which it is ignored.
-fn read_message(
+/// Fails with the first reason for which the datagram is ignored.
+fn parse_datagram(
     from: Option<GatewayIndex>,
     datagram: &[u8],
-) -> Result<(GatewayIndex, &str), IgnoredDatagram> {
-    let from = from.ok_or(IgnoredDatagram::UnknownSender)?;
+) -> Result<(GatewayIndex, &str), DatagramError> {
+    let from = from.ok_or(DatagramError::UnknownSender)?;
     if datagram.len() > MAX_DATAGRAM_BYTES {
-        return Err(IgnoredDatagram::TooLong);
+        return Err(DatagramError::TooLong);
     }
-    let body = std::str::from_utf8(datagram).map_err(|_| IgnoredDatagram::NotText)?;
+    let body = std::str::from_utf8(datagram).map_err(|_| DatagramError::NotText)?;
     Ok((from, body))
 }
 
--- a/crates/gateway/src/peers/tests.rs
+++ b/crates/gateway/src/peers/tests.rs
@@ -1,34 +1,36 @@
-//! The tests of the messages between gateways: the limit on sending, and several messages to one peer.
+//! The tests of the messages between gateways: the send rate limit, sending to one peer, and datagrams that
+//! are ignored.
 use super::*;
 use irishinge_admission::GatewayIndex;
 
-/// A gateway that sent more than one gateway accepts could overload a peer, which would drop quota
-/// messages. Expected: the full limit of a second at once, to one peer or to all, and no credit beyond that
-/// after a pause.
+/// If a gateway sent more messages than one gateway accepts, it could overload a peer, which would drop
+/// quota messages. Expected: the messages of one second can be sent at once, to one peer or to all, and a
+/// longer pause earns no more tokens than that.
 #[test]
-fn one_peer_may_be_sent_the_full_rate_limit_and_no_more() {
+fn send_rate_limit_holds_one_second_of_messages() {
     let start = Instant::now();
     let mut limit = SendRateLimit::full(40.0, start);
-    // The messages of a second at once, all to one peer.
+    // The messages of one second are sent at once.
     assert_eq!((0..100).filter(|_| limit.try_take(start)).count(), 40);
     let later = start + Duration::from_millis(500);
     assert_eq!((0..100).filter(|_| limit.try_take(later)).count(), 20);
-    // An hour without a message saves up no more than the messages of one second.
+    // An hour without a message earns no more than the tokens of one second.
     let much_later = start + Duration::from_secs(3600);
     assert_eq!((0..100).filter(|_| limit.try_take(much_later)).count(), 40);
 }
 
-/// In a large fleet a gateway sends many messages to the few peers that own its customers' quotas. A limit
-/// for each peer would drop most of them. Expected: ten in a row reach one peer.
+/// In a large fleet, a gateway sends many messages to the few peers that own its customers' quotas. If the
+/// limit were divided among the peers, most of these messages would be dropped. Expected: ten in a row
+/// reach one peer.
 #[tokio::test]
-async fn ten_messages_in_a_row_reach_one_of_a_hundred_peers() {
+async fn one_of_a_hundred_peers_receives_ten_messages_in_a_row() {
     let loopback = SocketAddr::from(([127, 0, 0, 1], 0));
     let receiver = std::net::UdpSocket::bind(loopback).expect("a socket");
-    receiver.set_read_timeout(Some(Duration::from_secs(10))).expect("a time-out");
+    receiver.set_read_timeout(Some(Duration::from_secs(10))).expect("a timeout");
     let addrs = vec![receiver.local_addr().expect("an address"); 100];
     let peers = Peers::bind(Some(loopback), addrs, GatewayIndex(0), 40.0).await.expect("a socket");
-    // The runtime must have polled a new socket before anything can be sent over it.
-    peers.socket.as_ref().expect("a socket").writable().await.expect("a sound socket");
+    // `try_send_to` works only after the runtime has polled the new socket.
+    peers.socket.as_ref().expect("a socket").writable().await.expect("a writable socket");
     for number in 0..10 {
         peers.send(GatewayIndex(1), &format!("message {number}"));
     }
@@ -39,11 +41,11 @@
     }
 }
 
-/// Datagrams may come from anyone, and a message that is longer than the buffer arrives cut off. Applied,
-/// it could make quotas wrong. Expected: only text of at most 256 bytes from a configured peer is a
-/// message.
+/// Datagrams may come from any sender, and a message that is longer than the buffer arrives truncated. If
+/// such a datagram were applied, quotas could become wrong. Expected: only UTF-8 text of at most 256 bytes
+/// from a configured peer is accepted.
 #[test]
-fn only_a_short_text_from_a_configured_peer_is_a_message() {
+fn only_short_text_from_configured_peer_is_accepted() {
     let peer = Some(GatewayIndex(3));
     let longest = [b'x'; MAX_DATAGRAM_BYTES];
     let too_long = [b'x'; MAX_DATAGRAM_BYTES + 1];
@@ -52,11 +54,11 @@
         (peer, &b"hi 7"[..], Ok((GatewayIndex(3), "hi 7"))),
         (peer, b"", Ok((GatewayIndex(3), ""))),
         (peer, &longest, Ok((GatewayIndex(3), text))),
-        (None, b"hi 7", Err(IgnoredDatagram::UnknownSender)),
-        (peer, &too_long, Err(IgnoredDatagram::TooLong)),
-        (peer, b"\xff\xfe", Err(IgnoredDatagram::NotText)),
+        (None, b"hi 7", Err(DatagramError::UnknownSender)),
+        (peer, &too_long, Err(DatagramError::TooLong)),
+        (peer, b"\xff\xfe", Err(DatagramError::NotText)),
     ];
     for (from, datagram, expected) in cases {
-        assert_eq!(read_message(from, datagram), expected, "{from:?} {datagram:?}");
+        assert_eq!(parse_datagram(from, datagram), expected, "{from:?} {datagram:?}");
     }
 }
--- a/crates/gateway/src/quota_counter.rs
+++ b/crates/gateway/src/quota_counter.rs
@@ -1,5 +1,5 @@
-//! The client of the quota counter, the service that counts the units used at all gateways. It opens
-//! a few connections, each with one call at a time.
+//! The client of the quota counter, the service that counts the units used at all gateways. The client opens
+//! a few connections, each of which carries one call at a time.
 use crate::clock::duration_from_ms;
 use crate::connection_budget::{ConnectionBudget, PooledConnection};
 use crate::http_connection::HttpConnection;
@@ -14,23 +14,29 @@
 use std::time::Duration;
 use tokio::time::{timeout_at, Instant};
 
-/// The maximum number of connections, which the descriptor budget reserves.
+/// The maximum number of connections to the quota counter, for which the descriptor budget reserves
+/// descriptors.
 pub(crate) const MAX_CONNECTIONS: usize = 8;
-/// Idle connections are closed after this time: the counter itself may close them after 10 s or less.
+/// The time after which idle connections are closed. It is short because the quota counter itself may close
+/// them after 10 s or less.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(3);
-/// The maximum size of a response, which is one number.
+/// The maximum size of a response's body, in bytes. The body is one number.
 const MAX_BODY_BYTES: usize = 256;
 
-/// The client of the quota counter, if the fleet has one.
+/// The client of the quota counter. Without an address, it rejects all calls.
 pub(crate) struct QuotaCounter {
+    /// The quota counter's address, or `None` if the fleet has no quota counter.
     addr: Cell<Option<SocketAddr>>,
+    /// The timeout of a call, including the time to establish a connection.
     call_timeout: Duration,
+    /// The limit on open connections.
     budget: ConnectionBudget,
+    /// The open connections that carry no call.
     idle: RefCell<IdleConnections>,
 }
 
 impl QuotaCounter {
-    /// Creates a client without connections, whose calls time out after `timeout_ms`.
+    /// Creates a client that has no connections yet, and whose calls time out after `timeout_ms`.
     pub(crate) fn new(addr: Option<SocketAddr>, timeout_ms: f64) -> Self {
         QuotaCounter {
             addr: Cell::new(addr),
@@ -40,19 +46,21 @@
         }
     }
 
-    /// Sends calls to this address from now on. Calls in flight are not affected.
+    /// Changes the address for future calls. Calls in flight are not affected; idle connections to the
+    /// previous address are closed.
     pub(crate) fn set_addr(&self, addr: Option<SocketAddr>) {
         if self.addr.replace(addr) != addr {
             self.idle.borrow_mut().close_all();
         }
     }
 
-    /// Closes connections that have been idle for too long or that the counter has closed.
+    /// Closes idle connections that have timed out or that the quota counter has closed.
     pub(crate) fn close_stale_connections(&self) {
         self.idle.borrow_mut().close_stale(HttpConnection::is_usable);
     }
 
-    /// Adds `amount` to the total called `name`. A new total expires `ttl_ms` after its first call.
+    /// Adds `amount` to the total with the name `name` and returns the outcome. A total expires `ttl_ms` after
+    /// the call that created it.
     pub(crate) async fn add(&self, name: u64, amount: f64, ttl_ms: f64) -> CounterOutcome {
         let deadline = Instant::now() + self.call_timeout;
         let Some(addr) = self.addr.get() else { return CounterOutcome::Rejected };
@@ -66,16 +74,16 @@
             return outcome_without_response(write_status.any_written());
         };
         let outcome = response_outcome(response.status(), response.body());
-        // What follows a response that cannot be understood may be the rest of it, and would be read as the
-        // response to the next call. So such a connection is closed.
+        // After a response that cannot be interpreted, the connection is closed. Otherwise, bytes that still
+        // follow could be read as the response to the next call.
         if !matches!(outcome, CounterOutcome::Unanswered) {
             self.release(addr, pooled);
         }
         outcome
     }
 
-    /// Returns an idle connection or else a new one, or `None` if none comes up by `deadline` or too many are
-    /// open.
+    /// Returns an idle connection, or a new one if none is idle. Returns `None` if the new one is not
+    /// established by `deadline` or too many connections are open.
     async fn acquire(&self, addr: SocketAddr, deadline: Instant) -> Option<PooledConnection> {
         if let Some(pooled) = self.take_idle() {
             return Some(pooled);
@@ -84,11 +92,14 @@
         PooledConnection::connect(addr, permit, deadline).await
     }
 
+    /// Takes the most recently used idle connection that is still usable.
     fn take_idle(&self) -> Option<PooledConnection> {
         let allows_reuse = |_since| true;
         self.idle.borrow_mut().take(allows_reuse, HttpConnection::is_usable)
     }
 
+    /// Keeps a connection for the next call if it is usable and the address has not changed, or else closes
+    /// it.
     fn release(&self, addr: SocketAddr, mut pooled: PooledConnection) {
         if self.addr.get() == Some(addr) && pooled.connection.is_usable() {
             self.idle.borrow_mut().put(pooled);
@@ -96,8 +107,8 @@
     }
 }
 
-/// The outcome of a call that was answered with this status and body. A total that cannot be read leaves
-/// open what the counter has; a status by which it rejects says that nothing was added.
+/// Returns the outcome of a call from the status and body of its response. If the total cannot be parsed,
+/// it is unknown; if the status means that the call was rejected, nothing was added to the total.
 fn response_outcome(status: StatusCode, body: &[u8]) -> CounterOutcome {
     let text = std::str::from_utf8(body).ok();
     let total = text.and_then(|text| text.trim().parse::<f64>().ok()).filter(|total| total.is_finite());
@@ -112,11 +123,11 @@
     }
 }
 
-/// The outcome of a call that brought no response. `any_written`: at least one byte of the request was
-/// written.
+/// Returns the outcome of a call that got no response. `any_written` says whether at least one byte of the
+/// request was written.
 ///
-/// One byte is enough for the counter to have received the request, since the kernel may have sent the
-/// rest. If this counted as rejected, units that were added would count as free.
+/// If one byte was written, the quota counter may have received the whole request, because the kernel may
+/// have sent the rest. If such a call counted as rejected, units that were added would count as free.
 fn outcome_without_response(any_written: bool) -> CounterOutcome {
     if any_written {
         CounterOutcome::Unanswered
--- a/crates/gateway/src/quota_counter/tests.rs
+++ b/crates/gateway/src/quota_counter/tests.rs
@@ -1,8 +1,8 @@
-//! What a call to the counter came to, by its response or the lack of one.
+//! The tests of the outcomes of calls to the quota counter, with and without a response.
 use super::*;
 
 #[test]
-fn a_total_counts_only_with_status_200_and_a_number() {
+fn total_requires_status_200_and_a_number() {
     let cases: [(u16, &[u8], CounterOutcome); 11] = [
         (200, b"38", CounterOutcome::Total(38.0)),
         (200, b" 38.5\n", CounterOutcome::Total(38.5)),
@@ -22,10 +22,10 @@
     }
 }
 
-/// A call breaks off before its response. The counter may have added its amount if any of it was written,
-/// and then the units must not count as free.
+/// A call ends without a response. If any byte of the request was written, the quota counter may have added
+/// the amount. If the call then counted as rejected, units that were added would count as free.
 #[test]
-fn a_call_without_a_response_was_rejected_only_if_nothing_of_it_was_written() {
+fn call_without_response_is_rejected_only_if_nothing_was_written() {
     assert_eq!(outcome_without_response(false), CounterOutcome::Rejected);
     assert_eq!(outcome_without_response(true), CounterOutcome::Unanswered);
 }
