--- a/crates/gateway/src/discovery/tests/list_lease.rs
+++ b/crates/gateway/src/discovery/tests/list_lease.rs
@@ -44,30 +44,30 @@
 fn lease_is_renewed_only_by_list_rejection_or_outage() {
     let start = Instant::now();
     let later = start + Duration::from_secs(1);
-    let until = |errors: &[DiscoveryError], schedule: &mut RefreshSchedule| {
+    let expiry_after = |errors: &[DiscoveryError], schedule: &mut RefreshSchedule| {
         errors.iter().for_each(|error| _ = schedule.on_error(error, later));
         schedule.list_expires_at().expect("a lease")
     };
     let down = || unreachable(later);
-    let fresh = || schedule_for_polled_lists(300, 5, start);
-    assert_eq!(until(&[down()], &mut fresh()), later + LEASE_DURATION);
-    assert_eq!(until(&[broken_watch(), down()], &mut fresh()), later + LEASE_DURATION);
-    assert_eq!(until(&[unanswered_first_call()], &mut fresh()), start + LEASE_DURATION);
-    assert_eq!(until(&[unanswered_first_call(), down()], &mut fresh()), start + LEASE_DURATION);
-    assert_eq!(until(&[DiscoveryError::Rejected], &mut fresh()), later + REJECTION_RENEWAL);
-    let mut schedule = fresh();
-    until(&[unanswered_first_call()], &mut schedule);
+    let new_schedule = || schedule_for_polled_lists(300, 5, start);
+    assert_eq!(expiry_after(&[down()], &mut new_schedule()), later + LEASE_DURATION);
+    assert_eq!(expiry_after(&[broken_watch(), down()], &mut new_schedule()), later + LEASE_DURATION);
+    assert_eq!(expiry_after(&[unanswered_first_call()], &mut new_schedule()), start + LEASE_DURATION);
+    assert_eq!(expiry_after(&[unanswered_first_call(), down()], &mut new_schedule()), start + LEASE_DURATION);
+    assert_eq!(expiry_after(&[DiscoveryError::Rejected], &mut new_schedule()), later + REJECTION_RENEWAL);
+    let mut schedule = new_schedule();
+    expiry_after(&[unanswered_first_call()], &mut schedule);
     schedule.on_list(Duration::ZERO, start);
     assert_eq!(
-        until(&[down()], &mut schedule),
+        expiry_after(&[down()], &mut schedule),
         later + LEASE_DURATION,
         "a list permits renewal in an outage again"
     );
     // An outage does not renew a lease that has expired.
     let mut schedule = schedule_for_polled_lists(300, 5, start - LEASE_DURATION);
-    assert_eq!(until(&[down()], &mut schedule), start);
+    assert_eq!(expiry_after(&[down()], &mut schedule), start);
     // A new address shortens the lease and never lengthens it.
-    let mut schedule = fresh();
+    let mut schedule = new_schedule();
     schedule.on_address_change(later);
     assert_eq!(schedule.list_expires_at(), Some(later + MAX_DELAY_AFTER_ADDRESS_CHANGE - LEASE_MARGIN));
     schedule.on_address_change(start + Duration::from_secs(4));
@@ -91,25 +91,27 @@
 /// whether discovery is only overloaded and has changes.
 #[test]
 fn rejections_renew_lease_for_limited_time() {
+    /// The drain grace within which the gateway must have the list after the change counts as known.
     const MIN_GRACE: Duration = Duration::from_secs(2);
+    /// How long the proxy takes to reject a call.
     const REJECTED_AFTER: [Duration; 2] = [Duration::from_millis(2), Duration::from_secs(2)];
     for (seed, rejected_after) in (0..200).flat_map(|seed| REJECTED_AFTER.map(|after| (seed, after))) {
         let start = Instant::now();
         let mut schedule = schedule_for_polled_lists(300, seed, start);
         let wait = schedule.call_times(CallPosition::Later, start).wait;
-        let back = start + wait + Duration::from_secs(10);
+        let recovered_at = start + wait + Duration::from_secs(10);
         // The first rejection ends the open watch.
         let mut now = start + wait;
         now += schedule.on_error(&DiscoveryError::Rejected, now);
-        while now < back {
+        while now < recovered_at {
             now += rejected_after;
             now += schedule.on_error(&DiscoveryError::Rejected, now);
             assert!(schedule.list_expires_at() > Some(now), "{:?}", now - start);
         }
         assert!(
-            now + RESPONSE_ALLOWANCE < back + MAX_PROPAGATION_DELAY + MIN_GRACE - LEASE_MARGIN,
+            now + RESPONSE_ALLOWANCE < recovered_at + MAX_PROPAGATION_DELAY + MIN_GRACE - LEASE_MARGIN,
             "the list was received {:?} after the end of the outage",
-            now - back
+            now - recovered_at
         );
         while now < start + 2 * MAX_LEASE_WITH_REJECTIONS {
             now += rejected_after + schedule.on_error(&DiscoveryError::Rejected, now);
