--- a/crates/gateway/src/http_connection/idle_check.rs
+++ b/crates/gateway/src/http_connection/idle_check.rs
@@ -7,7 +7,7 @@
     /// It can carry another request.
     Usable,
     /// Bytes arrived that belong to no request. They would be taken for the response to the next one.
-    SurplusReceived,
+    UnexpectedBytes,
     /// The far end has closed it, or it broke. A request written to it would be lost, and may have been
     /// processed.
     Ended,
@@ -18,7 +18,7 @@
     /// read some; `unread`: the result of a peek at one byte of the socket.
     pub(super) fn new(is_ready: bool, has_read_bytes: bool, unread: &io::Result<usize>) -> Self {
         if has_read_bytes || matches!(unread, Ok(1)) {
-            IdleCheck::SurplusReceived
+            IdleCheck::UnexpectedBytes
         } else if is_ready && matches!(unread, Err(error) if error.kind() == io::ErrorKind::WouldBlock) {
             IdleCheck::Usable
         } else {
--- a/crates/gateway/src/http_connection/tests.rs
+++ b/crates/gateway/src/http_connection/tests.rs
@@ -13,10 +13,10 @@
         (false, false, nothing(), IdleCheck::Ended),
         (true, false, Ok(0), IdleCheck::Ended),
         (true, false, Err(Error::from(ErrorKind::ConnectionReset)), IdleCheck::Ended),
-        (true, false, Ok(1), IdleCheck::SurplusReceived),
-        (false, false, Ok(1), IdleCheck::SurplusReceived),
-        (true, true, nothing(), IdleCheck::SurplusReceived),
-        (false, true, Ok(0), IdleCheck::SurplusReceived),
+        (true, false, Ok(1), IdleCheck::UnexpectedBytes),
+        (false, false, Ok(1), IdleCheck::UnexpectedBytes),
+        (true, true, nothing(), IdleCheck::UnexpectedBytes),
+        (false, true, Ok(0), IdleCheck::UnexpectedBytes),
     ];
     for (is_ready, has_read_bytes, unread, expected) in cases {
         let check = IdleCheck::new(is_ready, has_read_bytes, &unread);
--- a/crates/gateway/src/upstream/pool.rs
+++ b/crates/gateway/src/upstream/pool.rs
@@ -127,7 +127,7 @@
     /// the delay.
     pub(super) fn is_usable(&self, connection: &mut HttpConnection) -> bool {
         let check = connection.check_idle();
-        if check == IdleCheck::SurplusReceived {
+        if check == IdleCheck::UnexpectedBytes {
             self.reuse_delay.begin(Instant::now());
         }
         check == IdleCheck::Usable
