--- a/crates/gateway/src/idle_connections.rs
+++ b/crates/gateway/src/idle_connections.rs
@@ -28,7 +28,7 @@
     }
 
     /// Since when the longest idle connection has been idle.
-    pub(crate) fn oldest_since(&self) -> Option<Instant> {
+    pub(crate) fn longest_idle_since(&self) -> Option<Instant> {
         self.connections.first().map(|idle| idle.since)
     }
 
--- a/crates/gateway/src/idle_connections/tests.rs
+++ b/crates/gateway/src/idle_connections/tests.rs
@@ -49,7 +49,7 @@
 async fn connection_that_may_not_be_reused_yet_stays_idle() {
     let mut idle = IdleConnections::new(TIMEOUT);
     let mut far_ends = put_connections(&mut idle, 2).await;
-    let oldest = idle.oldest_since().expect("a connection");
+    let oldest = idle.longest_idle_since().expect("a connection");
     drop(idle.take(|since| since <= oldest, HttpConnection::is_usable).expect("a connection"));
     assert!(is_closed(&mut far_ends[0]));
     assert!(idle.take(|since| since <= oldest, HttpConnection::is_usable).is_none());
--- a/crates/gateway/src/upstream/pool.rs
+++ b/crates/gateway/src/upstream/pool.rs
@@ -150,7 +150,7 @@
         if self.budget.is_exhausted() {
             let mut endpoints = self.endpoints.borrow_mut();
             let with_idle = endpoints.values_mut().filter(|endpoint| !endpoint.idle.is_empty());
-            let oldest = with_idle.min_by_key(|endpoint| endpoint.idle.oldest_since())?;
+            let oldest = with_idle.min_by_key(|endpoint| endpoint.idle.longest_idle_since())?;
             oldest.idle.close_oldest();
         }
         self.budget.try_acquire()
