--- a/crates/gateway/src/idle_connections.rs
+++ b/crates/gateway/src/idle_connections.rs
@@ -59,7 +59,7 @@
     }
 
     /// Closes the longest idle connection, if there is one.
-    pub(crate) fn close_oldest(&mut self) {
+    pub(crate) fn close_longest_idle(&mut self) {
         if !self.connections.is_empty() {
             self.connections.remove(0);
         }
--- a/crates/gateway/src/idle_connections/tests.rs
+++ b/crates/gateway/src/idle_connections/tests.rs
@@ -91,7 +91,7 @@
 async fn the_longest_idle_connection_is_closed_first() {
     let mut idle = IdleConnections::new(TIMEOUT);
     let mut far_ends = put_connections(&mut idle, 2).await;
-    idle.close_oldest();
+    idle.close_longest_idle();
     assert!(is_closed(&mut far_ends[0]));
     drop(idle.take(|_| true, HttpConnection::is_usable).expect("the other one"));
     assert!(is_closed(&mut far_ends[1]));
--- a/crates/gateway/src/upstream/pool.rs
+++ b/crates/gateway/src/upstream/pool.rs
@@ -151,7 +151,7 @@
             let mut endpoints = self.endpoints.borrow_mut();
             let with_idle = endpoints.values_mut().filter(|endpoint| !endpoint.idle.is_empty());
             let oldest = with_idle.min_by_key(|endpoint| endpoint.idle.longest_idle_since())?;
-            oldest.idle.close_oldest();
+            oldest.idle.close_longest_idle();
         }
         self.budget.try_acquire()
     }
