--- a/crates/gateway/src/shutdown.rs
+++ b/crates/gateway/src/shutdown.rs
@@ -53,7 +53,7 @@
     /// Closed when new connections are no longer accepted.
     pub listener: Rc<TcpListener>,
     /// The task that accepts connections, which holds the listener too.
-    pub accepting: JoinHandle<()>,
+    pub accept_task: JoinHandle<()>,
     /// When each step happens.
     pub times: ShutdownTimes,
 }
@@ -64,7 +64,7 @@
         let start = Instant::now();
         self.downstream.drain();
         sleep(self.times.stop_accepting).await;
-        self.accepting.abort();
+        self.accept_task.abort();
         drop(self.listener);
         self.downstream.drain_all();
         let all_ended = timeout_at(start + self.times.respond_to_all, self.downstream.all_ended()).await;
--- a/crates/gateway/src/startup.rs
+++ b/crates/gateway/src/startup.rs
@@ -100,8 +100,8 @@
     spawn_local(watch_endpoint_list(observer, watched_addr, cached_revision, refresh_policy, config.seed));
     spawn_local(receive_from_peers(peers, dispatcher.clone()));
     spawn_local(close_stale_connections(dispatcher.clone()));
-    let accepting = spawn_local(downstream.clone().accept(listener.clone()));
-    let shutdown = Shutdown { downstream, dispatcher: dispatcher.clone(), listener, accepting, times };
+    let accept_task = spawn_local(downstream.clone().accept(listener.clone()));
+    let shutdown = Shutdown { downstream, dispatcher: dispatcher.clone(), listener, accept_task, times };
     Ok(RunningGateway { discovery_addr, dispatcher, shutdown })
 }
 
