--- a/crates/gateway/src/downstream/tests/mod.rs
+++ b/crates/gateway/src/downstream/tests/mod.rs
@@ -1,5 +1,5 @@
 //! The tests of the downstream server, by concern, and what they have in common.
-mod client_departure;
+mod client_disconnect;
 mod connection_limit;
 mod eviction;
 mod eviction_order;
