--- a/crates/gateway/src/connection_budget/tests.rs
+++ b/crates/gateway/src/connection_budget/tests.rs
@@ -4,7 +4,7 @@
 /// A permit that is not returned would lower the limit for good, and one too many would exceed the
 /// process's descriptors. Expected: permits up to the limit, and a new one for each that is dropped.
 #[test]
-fn permits_are_given_up_to_the_limit_and_given_back_when_dropped() {
+fn permits_are_limited_and_returned_on_drop() {
     let budget = ConnectionBudget::new(2);
     let first = budget.try_acquire();
     let second = budget.try_acquire();
--- a/crates/gateway/src/descriptor_budget/tests.rs
+++ b/crates/gateway/src/descriptor_budget/tests.rs
@@ -5,7 +5,7 @@
 /// limit, an accept or connect would fail at full load. Expected: the sum is the limit, with a minimum for
 /// endpoints.
 #[test]
-fn the_budgets_add_up_to_the_limit_and_reserve_a_minimum_for_endpoints() {
+fn budgets_add_up_to_the_limit_with_a_minimum_for_endpoints() {
     assert_eq!(RESERVED.total(), 32);
     for limit in [64, 1024] {
         let budget = DescriptorBudget::new(limit);
--- a/crates/gateway/src/downstream/connection.rs
+++ b/crates/gateway/src/downstream/connection.rs
@@ -1,5 +1,5 @@
 //! One client's connection: its stage, and how a disconnect of its client is noticed.
-use super::flood::{self, Discarded};
+use super::flood::{self, DiscardResult};
 use super::shared_stream::SharedStream;
 use std::cell::{Cell, RefCell};
 use std::future::{pending, poll_fn, Future};
@@ -33,7 +33,7 @@
     /// A request is in progress, or the connection closes after its response.
     Active,
     /// Evicted before any complete request arrived, or its client has disconnected.
-    Discarded,
+    Aborted,
 }
 
 /// What becomes of the requests of a connection.
@@ -104,7 +104,7 @@
     }
 
     /// Enters a stage.
-    pub(super) fn enter(&self, stage: ConnectionStage) {
+    pub(super) fn enter_stage(&self, stage: ConnectionStage) {
         self.stage.set(stage);
         self.stage_since.set(Instant::now());
     }
@@ -117,9 +117,9 @@
     /// it reports later is noticed by [`client_disconnected`](Self::client_disconnected).
     pub(super) async fn begin_request(&self) {
         if self.has_client_disconnected() {
-            self.abandon().await;
+            self.abort().await;
         }
-        self.enter(ConnectionStage::Active);
+        self.enter_stage(ConnectionStage::Active);
     }
 
     /// Has the connection's task close once the request in progress has its response.
@@ -136,15 +136,15 @@
     /// reading a request at this moment, and then still responds to it.
     pub(super) fn evict(&self) {
         self.stage.set(match self.stage.get() {
-            ConnectionStage::AwaitingFirstRequest => ConnectionStage::Discarded,
+            ConnectionStage::AwaitingFirstRequest => ConnectionStage::Aborted,
             _ => ConnectionStage::Active,
         });
         self.request_close();
     }
 
     /// Ends the connection of a client that has disconnected, and with it the future that awaits this.
-    pub(super) async fn abandon(&self) -> ! {
-        self.stage.set(ConnectionStage::Discarded);
+    pub(super) async fn abort(&self) -> ! {
+        self.stage.set(ConnectionStage::Aborted);
         self.request_close();
         pending().await
     }
@@ -179,9 +179,9 @@
             }
             let discarded = flood::discard(&self.stream.borrow());
             match discarded {
-                Discarded::MoreUnread => sleep(DISCARD_INTERVAL).await,
-                Discarded::NoneUnread => {}
-                Discarded::ClientDisconnected => return,
+                DiscardResult::MoreUnread => sleep(DISCARD_INTERVAL).await,
+                DiscardResult::NoneUnread => {}
+                DiscardResult::ClientDisconnected => return,
             }
         }
     }
--- a/crates/gateway/src/downstream/connection_limit.rs
+++ b/crates/gateway/src/downstream/connection_limit.rs
@@ -16,7 +16,7 @@
 
 /// What becomes of a new connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Placement {
+pub(super) enum AcceptDecision {
     /// Its requests are served.
     Serve,
     /// Its requests are served if a connection closes first, as the evicted one is about to. Else it is
@@ -41,12 +41,12 @@
 
     /// What becomes of a new connection while `open` are open, not counting it. `eviction` is the result of
     /// the eviction, where one was needed. An evicted connection counts as open until its task has run.
-    pub(super) fn place(&self, open: usize, eviction: Option<Eviction>) -> Placement {
+    pub(super) fn decide(&self, open: usize, eviction: Option<Eviction>) -> AcceptDecision {
         match (eviction, self.has_capacity(open)) {
-            (None | Some(Eviction::Evicted), true) => Placement::Serve,
-            (None | Some(Eviction::Evicted), false) => Placement::ServeAfterClose,
-            (Some(Eviction::AllActive), true) => Placement::Reject,
-            (Some(Eviction::AllActive), false) => Placement::Close,
+            (None | Some(Eviction::Evicted), true) => AcceptDecision::Serve,
+            (None | Some(Eviction::Evicted), false) => AcceptDecision::ServeAfterClose,
+            (Some(Eviction::AllActive), true) => AcceptDecision::Reject,
+            (Some(Eviction::AllActive), false) => AcceptDecision::Close,
         }
     }
 }
--- a/crates/gateway/src/downstream/connection_table.rs
+++ b/crates/gateway/src/downstream/connection_table.rs
@@ -16,7 +16,7 @@
 pub(super) struct ConnectionTable {
     connections: RefCell<BTreeMap<ConnectionId, Rc<Connection>>>,
     next_id: Cell<u64>,
-    connection_ended: Notify,
+    connection_closed: Notify,
 }
 
 /// Whether a connection could be evicted for another.
@@ -45,7 +45,7 @@
     /// Removes a connection that has ended.
     pub(super) fn remove(&self, id: ConnectionId) {
         self.connections.borrow_mut().remove(&id);
-        self.connection_ended.notify_one();
+        self.connection_closed.notify_one();
     }
 
     /// Has the connections that have had a request close after the response to the one in progress.
@@ -64,9 +64,9 @@
     ///
     /// Cancel safe: the table is looked at before each wait, so that a connection that ended meanwhile
     /// counts.
-    pub(super) async fn all_ended(&self) {
+    pub(super) async fn all_closed(&self) {
         while !self.connections.borrow().is_empty() {
-            self.connection_ended.notified().await;
+            self.connection_closed.notified().await;
         }
     }
 
--- a/crates/gateway/src/downstream/eviction_order.rs
+++ b/crates/gateway/src/downstream/eviction_order.rs
@@ -25,7 +25,7 @@
         let min_time = match stage {
             ConnectionStage::AwaitingFirstRequest => MIN_SILENCE,
             ConnectionStage::Idle => MIN_IDLE,
-            ConnectionStage::Active | ConnectionStage::Discarded => return None,
+            ConnectionStage::Active | ConnectionStage::Aborted => return None,
         };
         let is_recent = time_in_stage < min_time;
         Some(EvictionRank { is_recent, stage, time_in_stage: Reverse(time_in_stage) })
--- a/crates/gateway/src/downstream/flood.rs
+++ b/crates/gateway/src/downstream/flood.rs
@@ -17,7 +17,7 @@
 
 /// The result of a round of discarding.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Discarded {
+pub(super) enum DiscardResult {
     /// The round is over, and more may be unread.
     MoreUnread,
     /// Nothing is unread at present.
@@ -33,16 +33,16 @@
 }
 
 /// Discards unread bytes, up to one round of them.
-pub(super) fn discard(stream: &TcpStream) -> Discarded {
+pub(super) fn discard(stream: &TcpStream) -> DiscardResult {
     let mut buffer = vec![MaybeUninit::uninit(); MIN_FLOOD_BYTES];
     for _ in 0..READS_PER_ROUND {
         // Read through the runtime: only so does it learn that the socket is empty, and report what arrives
         // next.
         match stream.try_io(Interest::READABLE, || SockRef::from(stream).recv(&mut buffer)) {
             Ok(1..) => {}
-            Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Discarded::NoneUnread,
-            Ok(0) | Err(_) => return Discarded::ClientDisconnected,
+            Err(error) if error.kind() == io::ErrorKind::WouldBlock => return DiscardResult::NoneUnread,
+            Ok(0) | Err(_) => return DiscardResult::ClientDisconnected,
         }
     }
-    Discarded::MoreUnread
+    DiscardResult::MoreUnread
 }
--- a/crates/gateway/src/downstream/handler.rs
+++ b/crates/gateway/src/downstream/handler.rs
@@ -62,7 +62,7 @@
         if closes {
             response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
-        connection.enter(if closes { ConnectionStage::Active } else { ConnectionStage::Idle });
+        connection.enter_stage(if closes { ConnectionStage::Active } else { ConnectionStage::Idle });
         Ok(response)
     }
 
@@ -121,7 +121,7 @@
         // receive it.
         let response = tokio::select! {
             response = response => response,
-            () = connection.client_disconnected() => connection.abandon().await,
+            () = connection.client_disconnected() => connection.abort().await,
         };
         cancellation.disarm();
         response.unwrap_or(FinalResponse::Failed)
--- a/crates/gateway/src/downstream/listener.rs
+++ b/crates/gateway/src/downstream/listener.rs
@@ -1,6 +1,6 @@
 //! Accepts clients' connections, within a limit.
 use super::connection::ConnectionRole;
-use super::connection_limit::Placement;
+use super::connection_limit::AcceptDecision;
 use super::server::DownstreamServer;
 use crate::logging::target;
 use std::rc::Rc;
@@ -43,17 +43,17 @@
         let limit = self.connection_limit();
         let open = self.connections().len();
         let eviction = limit.needs_eviction(open).then(|| self.connections().evict_one());
-        match limit.place(open, eviction) {
-            Placement::Serve => self.serve(stream, ConnectionRole::Serving),
-            Placement::ServeAfterClose => {
+        match limit.decide(open, eviction) {
+            AcceptDecision::Serve => self.serve(stream, ConnectionRole::Serving),
+            AcceptDecision::ServeAfterClose => {
                 // The evicted connection closes when its task runs, unless it still has a body to read.
                 yield_now().await;
                 if limit.has_capacity(self.connections().len()) {
                     self.serve(stream, ConnectionRole::Serving);
                 }
             }
-            Placement::Reject => self.serve(stream, ConnectionRole::Rejecting),
-            Placement::Close => {}
+            AcceptDecision::Reject => self.serve(stream, ConnectionRole::Rejecting),
+            AcceptDecision::Close => {}
         }
     }
 }
--- a/crates/gateway/src/downstream/request_rules.rs
+++ b/crates/gateway/src/downstream/request_rules.rs
@@ -24,7 +24,7 @@
 pub(super) fn body_deadline(input: &BodyDeadlineInput) -> Instant {
     let deadline = match input.stage {
         ConnectionStage::AwaitingFirstRequest => input.first_request_deadline,
-        ConnectionStage::Idle | ConnectionStage::Active | ConnectionStage::Discarded => {
+        ConnectionStage::Idle | ConnectionStage::Active | ConnectionStage::Aborted => {
             input.received_at + BODY_TIMEOUT
         }
     };
--- a/crates/gateway/src/downstream/server.rs
+++ b/crates/gateway/src/downstream/server.rs
@@ -66,8 +66,8 @@
     }
 
     /// Waits until no connection is open.
-    pub(crate) async fn all_ended(&self) {
-        self.connections.all_ended().await;
+    pub(crate) async fn all_closed(&self) {
+        self.connections.all_closed().await;
     }
 
     /// Serves a connection in a task of its own.
@@ -99,7 +99,7 @@
             .auto_date_header(false)
             .serve_connection(TokioIo::new(connection.shared_stream()), service);
         let mut driver = pin!(driver);
-        let mut first_request_due = pin!(sleep_until(connection.first_request_deadline()));
+        let mut first_request_timeout = pin!(sleep_until(connection.first_request_deadline()));
         loop {
             // Nothing is lost on cancellation: all three futures are polled again in the next round. A
             // request to close that arrives between rounds is stored by its `Notify`.
@@ -108,10 +108,10 @@
                 // response to that.
                 _ = driver.as_mut() => return,
                 () = connection.close_requested() => match connection.stage() {
-                    ConnectionStage::Discarded => return,
+                    ConnectionStage::Aborted => return,
                     _ => driver.as_mut().graceful_shutdown(),
                 },
-                () = first_request_due.as_mut(), if !first_request_due.is_elapsed() => {
+                () = first_request_timeout.as_mut(), if !first_request_timeout.is_elapsed() => {
                     // Without this a client that never completes a request would occupy a connection: hyper's
                     // timeout is for the head alone, and longer than clients are promised.
                     if connection.stage() == ConnectionStage::AwaitingFirstRequest {
--- a/crates/gateway/src/downstream/tests/client_disconnect.rs
+++ b/crates/gateway/src/downstream/tests/client_disconnect.rs
@@ -29,9 +29,9 @@
 
 /// How long it takes, in simulated time, to notice that a client disconnects. It had written `before` when
 /// the wait for it began, and then wrote `behind` bytes.
-async fn noticed_after(disconnect: Disconnect, before: &[u8], behind: usize) -> Duration {
+async fn time_to_notice(disconnect: Disconnect, written_before: &[u8], written_after: usize) -> Duration {
     let (connection, mut client) = active_connection().await;
-    client.write_all(before).expect("the socket takes it");
+    client.write_all(written_before).expect("the socket takes it");
     let mut disconnected = pin!(connection.client_disconnected());
     for _ in 0..10 {
         assert!(
@@ -42,7 +42,7 @@
     }
     // What does not fit the two sockets is not written.
     client.set_nonblocking(true).expect("a socket");
-    let mut rest = behind;
+    let mut rest = written_after;
     while let Some(n) = client.write(&vec![b'x'; rest.min(MIN_FLOOD_BYTES)]).ok().filter(|n| *n > 0) {
         rest -= n;
     }
@@ -56,10 +56,14 @@
 /// simulated time: the gateway notices at once, by the socket, with or without a few unread bytes before
 /// the close.
 #[tokio::test(start_paused = true)]
-async fn disconnect_is_noticed_by_the_socket_and_not_by_a_timer() {
+async fn disconnect_is_noticed_at_once() {
     for (name, disconnect) in WAYS_TO_DISCONNECT {
-        assert_eq!(noticed_after(disconnect, b"", 0).await, Duration::ZERO, "{name}");
-        assert_eq!(noticed_after(disconnect, b"", 10).await, Duration::ZERO, "{name}, its last bytes unread");
+        assert_eq!(time_to_notice(disconnect, b"", 0).await, Duration::ZERO, "{name}");
+        assert_eq!(
+            time_to_notice(disconnect, b"", 10).await,
+            Duration::ZERO,
+            "{name}, its last bytes unread"
+        );
     }
 }
 
@@ -70,7 +74,7 @@
 async fn disconnect_behind_unread_bytes_is_noticed_within_50_ms() {
     for (name, disconnect) in WAYS_TO_DISCONNECT {
         for behind in [0, 10, MIN_FLOOD_BYTES / 2, 2 * MIN_FLOOD_BYTES, 16 << 20] {
-            let time = noticed_after(disconnect, b"GET /", behind).await;
+            let time = time_to_notice(disconnect, b"GET /", behind).await;
             assert!(time <= Duration::from_millis(50), "{name} behind {behind} bytes: {time:?}");
         }
     }
--- a/crates/gateway/src/downstream/tests/connection_limit.rs
+++ b/crates/gateway/src/downstream/tests/connection_limit.rs
@@ -1,29 +1,29 @@
 //! What becomes of a new connection, branch by branch.
-use crate::downstream::connection_limit::{ConnectionLimit, Placement};
+use crate::downstream::connection_limit::{AcceptDecision, ConnectionLimit};
 use crate::downstream::connection_table::Eviction;
 
 const LIMIT: ConnectionLimit = ConnectionLimit { max_serving: 10, max_rejecting: 2 };
 
 #[test]
-fn a_connection_is_evicted_from_the_limit_on() {
+fn eviction_is_needed_from_the_limit_on() {
     for (open, is_needed) in [(0, false), (9, false), (10, true), (11, true), (12, true)] {
         assert_eq!(LIMIT.needs_eviction(open), is_needed, "{open} open");
     }
 }
 
 #[test]
-fn a_new_connection_is_placed_by_the_open_ones_and_the_eviction() {
+fn decision_on_new_connection_follows_open_count_and_eviction() {
     let cases = [
-        (0, None, Placement::Serve),
-        (9, None, Placement::Serve),
-        (10, Some(Eviction::Evicted), Placement::Serve),
-        (11, Some(Eviction::Evicted), Placement::Serve),
-        (12, Some(Eviction::Evicted), Placement::ServeAfterClose),
-        (10, Some(Eviction::AllActive), Placement::Reject),
-        (11, Some(Eviction::AllActive), Placement::Reject),
-        (12, Some(Eviction::AllActive), Placement::Close),
+        (0, None, AcceptDecision::Serve),
+        (9, None, AcceptDecision::Serve),
+        (10, Some(Eviction::Evicted), AcceptDecision::Serve),
+        (11, Some(Eviction::Evicted), AcceptDecision::Serve),
+        (12, Some(Eviction::Evicted), AcceptDecision::ServeAfterClose),
+        (10, Some(Eviction::AllActive), AcceptDecision::Reject),
+        (11, Some(Eviction::AllActive), AcceptDecision::Reject),
+        (12, Some(Eviction::AllActive), AcceptDecision::Close),
     ];
-    for (open, eviction, placement) in cases {
-        assert_eq!(LIMIT.place(open, eviction), placement, "{open} open, {eviction:?}");
+    for (open, eviction, expected) in cases {
+        assert_eq!(LIMIT.decide(open, eviction), expected, "{open} open, {eviction:?}");
     }
 }
--- a/crates/gateway/src/downstream/tests/eviction.rs
+++ b/crates/gateway/src/downstream/tests/eviction.rs
@@ -19,7 +19,7 @@
     async fn add(&mut self, stage: ConnectionStage) -> Rc<Connection> {
         let (stream, client) = socket_pair().await;
         let connection = Rc::new(Connection::new(stream, ConnectionRole::Serving));
-        connection.enter(stage);
+        connection.enter_stage(stage);
         self.table.insert(connection.clone());
         self.clients.push(client);
         connection
@@ -30,7 +30,7 @@
 /// A usual client writes at once, so the silent one costs least. Expected: the oldest silent connection is
 /// evicted.
 #[tokio::test(start_paused = true)]
-async fn silent_new_connection_is_evicted_before_one_that_is_idle_for_long() {
+async fn silent_connection_is_evicted_before_long_idle_one() {
     let mut fixture = Fixture::default();
     let idle = fixture.add(ConnectionStage::Idle).await;
     advance(Duration::from_secs(3)).await;
@@ -39,7 +39,7 @@
     let later = fixture.add(ConnectionStage::AwaitingFirstRequest).await;
     advance(Duration::from_millis(15)).await;
     assert_eq!(fixture.table.evict_one(), Eviction::Evicted);
-    assert_eq!(silent.stage(), ConnectionStage::Discarded);
+    assert_eq!(silent.stage(), ConnectionStage::Aborted);
     assert_eq!(idle.stage(), ConnectionStage::Idle);
     assert_eq!(later.stage(), ConnectionStage::AwaitingFirstRequest);
 }
@@ -48,7 +48,7 @@
 /// its way. Evicting the new one would lose that request. Expected: the idle one is evicted, and still
 /// responds to a request that it is reading.
 #[tokio::test(start_paused = true)]
-async fn connection_that_is_idle_for_long_is_evicted_before_one_that_has_just_connected() {
+async fn long_idle_connection_is_evicted_before_new_one() {
     let mut fixture = Fixture::default();
     let idle = fixture.add(ConnectionStage::Idle).await;
     advance(Duration::from_millis(1990)).await;
@@ -63,7 +63,7 @@
 /// to be used again soon. Expected: connections without a request are evicted first, the oldest of them
 /// before the others.
 #[tokio::test(start_paused = true)]
-async fn without_silent_or_long_idle_ones_the_oldest_new_connection_is_evicted_first() {
+async fn oldest_new_connection_is_evicted_before_recently_idle_one() {
     let mut fixture = Fixture::default();
     let idle = fixture.add(ConnectionStage::Idle).await;
     advance(Duration::from_millis(1900)).await;
@@ -72,7 +72,7 @@
     let newer = fixture.add(ConnectionStage::AwaitingFirstRequest).await;
     for evicted in [older, newer] {
         assert_eq!(fixture.table.evict_one(), Eviction::Evicted);
-        assert_eq!(evicted.stage(), ConnectionStage::Discarded);
+        assert_eq!(evicted.stage(), ConnectionStage::Aborted);
         assert_eq!(idle.stage(), ConnectionStage::Idle);
     }
     assert_eq!(fixture.table.evict_one(), Eviction::Evicted);
@@ -82,10 +82,10 @@
 /// At the limit, every connection carries a request or closes already. Evicting one would leave its client
 /// without a response. Expected: none is evicted.
 #[tokio::test(start_paused = true)]
-async fn connection_with_a_request_is_never_evicted() {
+async fn active_connection_is_never_evicted() {
     let mut fixture = Fixture::default();
     let active = fixture.add(ConnectionStage::Active).await;
-    fixture.add(ConnectionStage::Discarded).await;
+    fixture.add(ConnectionStage::Aborted).await;
     advance(Duration::from_secs(10)).await;
     assert_eq!(fixture.table.evict_one(), Eviction::AllActive);
     assert_eq!(active.stage(), ConnectionStage::Active);
--- a/crates/gateway/src/downstream/tests/eviction_order.rs
+++ b/crates/gateway/src/downstream/tests/eviction_order.rs
@@ -1,12 +1,12 @@
 //! The order of eviction, connection by connection.
-use crate::downstream::connection::ConnectionStage::{self, Active, AwaitingFirstRequest, Discarded, Idle};
+use crate::downstream::connection::ConnectionStage::{self, Aborted, Active, AwaitingFirstRequest, Idle};
 use crate::downstream::eviction_order::{EvictionRank, MIN_IDLE, MIN_SILENCE};
 use std::time::Duration;
 
 const MS: Duration = Duration::from_millis(1);
 
 #[test]
-fn connections_are_ranked_by_whether_they_are_recent_then_by_stage_then_by_time() {
+fn rank_follows_recency_then_stage_then_time() {
     let in_order = [
         (AwaitingFirstRequest, MIN_IDLE),
         (AwaitingFirstRequest, MIN_SILENCE),
@@ -24,8 +24,8 @@
 }
 
 #[test]
-fn connections_with_a_request_and_closing_ones_have_no_rank() {
-    for stage in [Active, Discarded] {
+fn active_and_aborted_connections_have_no_rank() {
+    for stage in [Active, Aborted] {
         assert_eq!(EvictionRank::new(stage, Duration::from_secs(60)), None, "{stage:?}");
     }
 }
--- a/crates/gateway/src/downstream/tests/metering.rs
+++ b/crates/gateway/src/downstream/tests/metering.rs
@@ -3,7 +3,7 @@
 use crate::downstream::metering::Metering;
 
 #[test]
-fn fields_may_come_in_any_order_and_unknown_ones_are_skipped() {
+fn fields_are_accepted_in_any_order_and_unknown_ones_skipped() {
     let metering = Some(Metering { units: 2.5, gateway_count: 3, first_gateway: 1 });
     for text in
         ["units=2.5,spread=3,first=1", "first=1, spread=3 ,units=2.5", "x=,x=9,units=2.5,spread=3,first=1"]
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn figures_are_bounded_by_the_settings() {
+fn values_outside_the_settings_range_are_errors() {
     let is_valid = |units: &str, spread: usize, first: usize| {
         Metering::parse(&format!("units={units},spread={spread},first={first}"), &settings()).is_some()
     };
--- a/crates/gateway/src/downstream/tests/request_parsing.rs
+++ b/crates/gateway/src/downstream/tests/request_parsing.rs
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn each_header_reaches_its_field() {
+fn each_header_is_parsed_into_its_field() {
     let request = parse(&head("read")).expect("a well-formed request");
     assert_eq!((request.id, request.customer), (RequestId(0xaf), CustomerId(0x1_ffff_ffff)));
     assert_eq!((request.class, request.plan), (ClassIndex(0), PlanIndex(1)));
@@ -60,13 +60,13 @@
 }
 
 #[test]
-fn time_left_is_bounded_by_the_deadline_of_the_class() {
+fn time_left_is_at_most_the_deadline_of_the_class() {
     let request = parse(&head_with("read", "x-budget", Some("1e3"))).expect("a well-formed request");
     assert_eq!(request.time_left_ms, 2000.0);
 }
 
 #[test]
-fn path_names_a_customer() {
+fn path_without_a_valid_customer_is_an_error() {
     for (path, error) in [
         ("/", RequestError::UnknownPath),
         ("/other/00000000b4d65521", RequestError::UnknownPath),
@@ -110,7 +110,7 @@
 /// A header that decides what a request is arrives twice. The gateway and the endpoint could each go by
 /// another value. Expected: an error for each of these headers.
 #[test]
-fn headers_that_say_what_a_request_is_must_not_be_repeated() {
+fn repeated_single_value_header_is_an_error() {
     for name in
         ["host", "x-call-id", "x-call-class", "x-contract", "x-budget", "x-metering", "idempotency-key"]
     {
@@ -124,7 +124,7 @@
 /// A class that may be retried must not change anything, so its method is GET, and the others' is POST.
 /// Expected: any other method is an error.
 #[test]
-fn method_is_that_of_the_class() {
+fn method_that_does_not_match_the_class_is_an_error() {
     for (class, method) in [("read", Method::POST), ("post", Method::GET), ("once", Method::PUT)] {
         let mut head = head(class);
         head.method = method;
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn upstream_request_has_what_endpoints_need_and_requires_a_host() {
+fn upstream_request_requires_host_and_call_id() {
     let request = upstream_request(head("post"), Bytes::from_static(b"body")).expect("a request");
     assert_eq!((request.method, request.uri.to_string().as_str()), (Method::POST, PATH));
     assert_eq!(request.host, "origin.svc");
--- a/crates/gateway/src/downstream/tests/request_rules.rs
+++ b/crates/gateway/src/downstream/tests/request_rules.rs
@@ -7,7 +7,7 @@
 use tokio::time::Instant;
 
 #[test]
-fn a_body_is_due_by_the_first_requests_deadline_or_its_timeout_and_never_after_its_client_stops_waiting() {
+fn body_deadline_follows_the_stage_and_never_exceeds_the_time_left() {
     let received_at = Instant::now();
     let first_request_deadline = received_at + Duration::from_millis(700);
     let after_ms = |ms| received_at + Duration::from_millis(ms);
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_connection_closes_for_the_first_reason_that_holds() {
+fn close_reason_is_the_first_that_applies() {
     let open = CloseInput {
         is_invalid: false,
         role: ConnectionRole::Serving,
--- a/crates/gateway/src/http_connection/idle_check.rs
+++ b/crates/gateway/src/http_connection/idle_check.rs
@@ -10,7 +10,7 @@
     UnexpectedBytes,
     /// The far end has closed it, or it broke. A request written to it would be lost, and may have been
     /// processed.
-    Ended,
+    Closed,
 }
 
 impl IdleCheck {
@@ -22,7 +22,7 @@
         } else if is_ready && matches!(unread, Err(error) if error.kind() == io::ErrorKind::WouldBlock) {
             IdleCheck::Usable
         } else {
-            IdleCheck::Ended
+            IdleCheck::Closed
         }
     }
 }
--- a/crates/gateway/src/http_connection/mod.rs
+++ b/crates/gateway/src/http_connection/mod.rs
@@ -131,7 +131,7 @@
         let mut watchdog = ResponseWatchdog::default();
         poll_fn(|cx| {
             if let Poll::Ready(response) = response.as_mut().poll(cx) {
-                return Poll::Ready(response.ok_or_else(|| failure(state)));
+                return Poll::Ready(response.ok_or_else(|| exchange_error(state)));
             }
             // The driver writes the queued request, and reads a response that the second poll below picks up.
             // Once it has ended, it must not be polled again.
@@ -139,10 +139,10 @@
                 driver_ended = driver.as_mut().poll(cx).is_ready();
             }
             if let Poll::Ready(response) = response.as_mut().poll(cx) {
-                return Poll::Ready(response.ok_or_else(|| failure(state)));
+                return Poll::Ready(response.ok_or_else(|| exchange_error(state)));
             }
             if driver_ended {
-                return Poll::Ready(Err(failure(state)));
+                return Poll::Ready(Err(exchange_error(state)));
             }
             watchdog.poll(cx, state).map(Err)
         })
@@ -164,8 +164,8 @@
     Some(Response::from_parts(head, body.to_bytes()))
 }
 
-fn failure(state: &ExchangeState) -> ExchangeError {
-    match state.connection_ended.get() {
+fn exchange_error(state: &ExchangeState) -> ExchangeError {
+    match state.connection_lost.get() {
         true => ExchangeError::ConnectionLost,
         false => ExchangeError::InvalidResponse,
     }
--- a/crates/gateway/src/http_connection/observed_stream.rs
+++ b/crates/gateway/src/http_connection/observed_stream.rs
@@ -17,7 +17,7 @@
     /// Whether any byte of the response has arrived.
     pub(super) response_begun: Cell<bool>,
     /// Whether the far end has closed the connection, or it broke.
-    pub(super) connection_ended: Cell<bool>,
+    pub(super) connection_lost: Cell<bool>,
     /// The number of interim responses that arrived. It is in an `Arc` because hyper's callback must be
     /// `Send` and `Sync`.
     pub(super) interim_responses: Arc<AtomicU32>,
@@ -52,7 +52,7 @@
     fn record_write(&self, result: &Poll<io::Result<usize>>) {
         match result {
             Poll::Ready(Ok(written)) if *written > 0 => self.state.request_begun.set(true),
-            Poll::Ready(Err(_)) => self.state.connection_ended.set(true),
+            Poll::Ready(Err(_)) => self.state.connection_lost.set(true),
             _ => {}
         }
     }
@@ -64,7 +64,7 @@
         let result = self.with_stream(|s| s.poll_read(cx, buf));
         match &result {
             Poll::Ready(Ok(())) if buf.filled().len() > before => self.state.response_begun.set(true),
-            Poll::Ready(_) => self.state.connection_ended.set(true),
+            Poll::Ready(_) => self.state.connection_lost.set(true),
             Poll::Pending => {}
         }
         result
--- a/crates/gateway/src/http_connection/tests.rs
+++ b/crates/gateway/src/http_connection/tests.rs
@@ -6,13 +6,13 @@
 /// request or gives it a response that is not its own. Expected: it is usable only if it is ready and
 /// nothing is there to read.
 #[test]
-fn a_connection_is_usable_only_if_it_is_ready_and_has_nothing_to_read() {
+fn connection_is_usable_only_if_ready_without_unread_bytes() {
     let nothing = || -> Result<usize> { Err(ErrorKind::WouldBlock.into()) };
     let cases = [
         (true, false, nothing(), IdleCheck::Usable),
-        (false, false, nothing(), IdleCheck::Ended),
-        (true, false, Ok(0), IdleCheck::Ended),
-        (true, false, Err(Error::from(ErrorKind::ConnectionReset)), IdleCheck::Ended),
+        (false, false, nothing(), IdleCheck::Closed),
+        (true, false, Ok(0), IdleCheck::Closed),
+        (true, false, Err(Error::from(ErrorKind::ConnectionReset)), IdleCheck::Closed),
         (true, false, Ok(1), IdleCheck::UnexpectedBytes),
         (false, false, Ok(1), IdleCheck::UnexpectedBytes),
         (true, true, nothing(), IdleCheck::UnexpectedBytes),
--- a/crates/gateway/src/idle_connections.rs
+++ b/crates/gateway/src/idle_connections.rs
@@ -6,7 +6,7 @@
 
 struct IdleConnection {
     pooled: PooledConnection,
-    since: Instant,
+    idle_since: Instant,
 }
 
 /// The idle connections to one server. None is reused that has been idle for the timeout or longer.
@@ -29,12 +29,12 @@
 
     /// Since when the longest idle connection has been idle.
     pub(crate) fn longest_idle_since(&self) -> Option<Instant> {
-        self.connections.first().map(|idle| idle.since)
+        self.connections.first().map(|idle| idle.idle_since)
     }
 
     /// Adds a connection that has just become idle.
     pub(crate) fn put(&mut self, pooled: PooledConnection) {
-        self.connections.push(IdleConnection { pooled, since: Instant::now() });
+        self.connections.push(IdleConnection { pooled, idle_since: Instant::now() });
     }
 
     /// Takes the most recently used of the connections that `allows_reuse`, given since when they have been
@@ -45,7 +45,7 @@
         is_usable: impl Fn(&mut HttpConnection) -> bool,
     ) -> Option<PooledConnection> {
         loop {
-            let position = self.connections.iter().rposition(|idle| allows_reuse(idle.since))?;
+            let position = self.connections.iter().rposition(|idle| allows_reuse(idle.idle_since))?;
             let mut idle = self.connections.remove(position);
             if is_fresh(&mut idle, self.timeout, &is_usable) {
                 return Some(idle.pooled);
@@ -76,7 +76,7 @@
     timeout: Duration,
     is_usable: impl Fn(&mut HttpConnection) -> bool,
 ) -> bool {
-    idle.since.elapsed() < timeout && is_usable(&mut idle.pooled.connection)
+    idle.idle_since.elapsed() < timeout && is_usable(&mut idle.pooled.connection)
 }
 
 #[cfg(test)]
--- a/crates/gateway/src/idle_connections/tests.rs
+++ b/crates/gateway/src/idle_connections/tests.rs
@@ -13,32 +13,32 @@
     let budget = ConnectionBudget::new(count);
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let addr = listener.local_addr().expect("bound");
-    let mut far_ends = Vec::new();
+    let mut server_streams = Vec::new();
     for _ in 0..count {
         let permit = budget.try_acquire().expect("a permit");
         let connecting = PooledConnection::connect(addr, permit, Instant::now() + TIMEOUT);
         let (connection, accepted) = tokio::join!(connecting, listener.accept());
         idle.put(connection.expect("a connection"));
-        let far_end = accepted.expect("a connection").0.into_std().expect("a socket");
-        far_end.set_nonblocking(false).expect("a socket");
-        far_end.set_read_timeout(Some(Duration::from_secs(1))).expect("a socket");
-        far_ends.push(far_end);
+        let server_stream = accepted.expect("a connection").0.into_std().expect("a socket");
+        server_stream.set_nonblocking(false).expect("a socket");
+        server_stream.set_read_timeout(Some(Duration::from_secs(1))).expect("a socket");
+        server_streams.push(server_stream);
         sleep(Duration::from_millis(2)).await;
     }
-    far_ends
+    server_streams
 }
 
-fn is_closed(far_end: &mut TcpStream) -> bool {
-    matches!(far_end.read(&mut [0; 16]), Ok(0))
+fn is_closed(server_stream: &mut TcpStream) -> bool {
+    matches!(server_stream.read(&mut [0; 16]), Ok(0))
 }
 
 #[tokio::test]
 async fn most_recently_used_connection_is_taken_first() {
     let mut idle = IdleConnections::new(TIMEOUT);
-    let far_ends = put_connections(&mut idle, 3).await;
-    for mut far_end in far_ends.into_iter().rev() {
+    let server_streams = put_connections(&mut idle, 3).await;
+    for mut server_stream in server_streams.into_iter().rev() {
         drop(idle.take(|_| true, HttpConnection::is_usable).expect("a connection"));
-        assert!(is_closed(&mut far_end));
+        assert!(is_closed(&mut server_stream));
     }
     assert!(idle.take(|_| true, HttpConnection::is_usable).is_none());
 }
@@ -48,10 +48,10 @@
 #[tokio::test]
 async fn connection_that_may_not_be_reused_yet_stays_idle() {
     let mut idle = IdleConnections::new(TIMEOUT);
-    let mut far_ends = put_connections(&mut idle, 2).await;
+    let mut server_streams = put_connections(&mut idle, 2).await;
     let oldest = idle.longest_idle_since().expect("a connection");
     drop(idle.take(|since| since <= oldest, HttpConnection::is_usable).expect("a connection"));
-    assert!(is_closed(&mut far_ends[0]));
+    assert!(is_closed(&mut server_streams[0]));
     assert!(idle.take(|since| since <= oldest, HttpConnection::is_usable).is_none());
     assert!(idle.take(|_| true, HttpConnection::is_usable).is_some(), "the other one stays idle");
 }
@@ -59,23 +59,23 @@
 /// A connection is idle for so long that its endpoint may be closing it. A request written then would be
 /// lost. Expected: it is closed and not taken.
 #[tokio::test]
-async fn connection_that_is_idle_for_too_long_is_closed_and_not_taken() {
+async fn connection_past_the_idle_timeout_is_closed_and_not_taken() {
     let mut idle = IdleConnections::new(Duration::from_millis(1));
-    let mut far_ends = put_connections(&mut idle, 2).await;
+    let mut server_streams = put_connections(&mut idle, 2).await;
     assert!(idle.take(|_| true, HttpConnection::is_usable).is_none());
     assert!(idle.is_empty());
-    assert!(is_closed(&mut far_ends[0]) && is_closed(&mut far_ends[1]));
+    assert!(is_closed(&mut server_streams[0]) && is_closed(&mut server_streams[1]));
 }
 
 /// The far end closes an idle connection. A request written to it would be lost, and its descriptor would
 /// stay open. Expected: it is closed once the close has arrived, and not before.
 #[tokio::test]
-async fn connection_that_the_far_end_has_closed_is_stale() {
+async fn connection_closed_by_the_server_is_stale() {
     let mut idle = IdleConnections::new(TIMEOUT);
-    let far_ends = put_connections(&mut idle, 1).await;
+    let server_streams = put_connections(&mut idle, 1).await;
     idle.close_stale(HttpConnection::is_usable);
     assert!(!idle.is_empty(), "it is still open");
-    drop(far_ends);
+    drop(server_streams);
     // The close may take a moment to arrive.
     for _ in 0..1000 {
         idle.close_stale(HttpConnection::is_usable);
@@ -88,11 +88,11 @@
 }
 
 #[tokio::test]
-async fn the_longest_idle_connection_is_closed_first() {
+async fn longest_idle_connection_is_closed_first() {
     let mut idle = IdleConnections::new(TIMEOUT);
-    let mut far_ends = put_connections(&mut idle, 2).await;
+    let mut server_streams = put_connections(&mut idle, 2).await;
     idle.close_longest_idle();
-    assert!(is_closed(&mut far_ends[0]));
+    assert!(is_closed(&mut server_streams[0]));
     drop(idle.take(|_| true, HttpConnection::is_usable).expect("the other one"));
-    assert!(is_closed(&mut far_ends[1]));
+    assert!(is_closed(&mut server_streams[1]));
 }
--- a/crates/gateway/src/logging/tests.rs
+++ b/crates/gateway/src/logging/tests.rs
@@ -5,9 +5,9 @@
 
 /// A writer that records what is written.
 #[derive(Clone, Default)]
-struct Recorded(Arc<Mutex<Vec<u8>>>);
+struct RecordingWriter(Arc<Mutex<Vec<u8>>>);
 
-impl io::Write for Recorded {
+impl io::Write for RecordingWriter {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         self.0.lock().expect("a lock").extend_from_slice(bytes);
         Ok(bytes.len())
@@ -18,16 +18,16 @@
     }
 }
 
-impl Recorded {
+impl RecordingWriter {
     fn text(&self) -> String {
         String::from_utf8(self.0.lock().expect("a lock").clone()).expect("text")
     }
 }
 
 /// Counts how often it is formatted.
-struct Counted<'a>(&'a Cell<u32>);
+struct FormatCounter<'a>(&'a Cell<u32>);
 
-impl fmt::Display for Counted<'_> {
+impl fmt::Display for FormatCounter<'_> {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.0.set(self.0.get() + 1);
         formatter.write_str("counted")
@@ -35,8 +35,8 @@
 }
 
 #[test]
-fn a_line_names_level_target_message_and_fields() {
-    let recorded = Recorded::default();
+fn line_has_level_target_message_and_fields() {
+    let recorded = RecordingWriter::default();
     let writer = recorded.clone();
     tracing::subscriber::with_default(limited_subscriber(move || writer.clone()), || {
         tracing::warn!(target: target::PEERS, peer = 3, reason = %"too long", "message not sent");
@@ -54,11 +54,11 @@
 /// and cost time. Expected: lines over the limit are dropped before they are formatted.
 #[test]
 fn lines_over_the_limit_are_dropped_without_being_formatted() {
-    let recorded = Recorded::default();
+    let recorded = RecordingWriter::default();
     let (writer, formatted) = (recorded.clone(), Cell::new(0));
     tracing::subscriber::with_default(limited_subscriber(move || writer.clone()), || {
         for _ in 0..MAX_LINES_PER_SECOND + 90 {
-            tracing::warn!(field = %Counted(&formatted), "line {}", Counted(&formatted));
+            tracing::warn!(field = %FormatCounter(&formatted), "line {}", FormatCounter(&formatted));
         }
     });
     let lines = recorded.text().lines().count() as u32;
@@ -72,8 +72,8 @@
 /// Lines were dropped over the limit. An operator who was not shown that would believe the log to be
 /// complete. Expected: the next line is preceded by their number.
 #[test]
-fn the_next_line_is_preceded_by_the_number_dropped() {
-    let recorded = Recorded::default();
+fn next_line_is_preceded_by_the_number_dropped() {
+    let recorded = RecordingWriter::default();
     let limit = Arc::new(Mutex::new(LineLimit::new(Instant::now())));
     let writer = recorded.clone();
     let layer = tracing_subscriber::fmt::layer()
@@ -105,20 +105,20 @@
 }
 
 /// The level, target and message of each log statement below a directory.
-fn logged_below(directory: &Path, found: &mut Vec<(String, String, String)>) {
+fn collect_log_statements(directory: &Path, found: &mut Vec<(String, String, String)>) {
     for entry in std::fs::read_dir(directory).expect("a directory") {
         let path = entry.expect("an entry").path();
         if path.is_dir() {
-            logged_below(&path, found);
+            collect_log_statements(&path, found);
         } else if !path.ends_with("logging/tests.rs") {
             let text = std::fs::read_to_string(&path).expect("a source file");
-            found.extend(text.split("tracing::").skip(1).filter_map(statement));
+            found.extend(text.split("tracing::").skip(1).filter_map(parse_log_statement));
         }
     }
 }
 
 /// Reads `warn!(target: target::NAME, fields, "message")`; none where it is no log statement.
-fn statement(text: &str) -> Option<(String, String, String)> {
+fn parse_log_statement(text: &str) -> Option<(String, String, String)> {
     let (level, rest) = text.split_once("!(")?;
     let level = ["error", "warn", "info"].into_iter().find(|known| *known == level)?.to_uppercase();
     let (arguments, _) = rest.split_once(");").unwrap_or((rest, ""));
@@ -133,12 +133,12 @@
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
     let table = std::fs::read_to_string(root.join("../../docs/LOGS.md")).expect("docs/LOGS.md");
     let mut found = Vec::new();
-    logged_below(&root.join("src"), &mut found);
+    collect_log_statements(&root.join("src"), &mut found);
     (table, found)
 }
 
 /// How the row of a statement begins in the documentation's table.
-fn row_beginning((level, target, message): &(String, String, String)) -> String {
+fn row_prefix((level, target, message): &(String, String, String)) -> String {
     let text = message.split('{').next().expect("a beginning").trim_end();
     format!("| {level} | {target} | {text}")
 }
@@ -147,7 +147,7 @@
 fn every_log_statement_has_a_line_in_the_documentation() {
     let (table, found) = documentation_and_statements();
     assert!(found.len() >= 17, "{found:?}");
-    for row in found.iter().map(row_beginning) {
+    for row in found.iter().map(row_prefix) {
         assert!(table.contains(&row), "docs/LOGS.md has no line {row}");
     }
 }
@@ -156,7 +156,7 @@
 #[test]
 fn every_line_of_the_documentation_has_a_log_statement() {
     let (table, found) = documentation_and_statements();
-    let beginnings: Vec<String> = found.iter().map(row_beginning).collect();
+    let beginnings: Vec<String> = found.iter().map(row_prefix).collect();
     let is_log_line = |row: &&str| ["| ERROR |", "| WARN |", "| INFO |"].iter().any(|b| row.starts_with(b));
     for row in table.lines().filter(is_log_line).filter(|row| !row.starts_with("| WARN | logging |")) {
         assert!(beginnings.iter().any(|beginning| row.starts_with(beginning)), "nothing writes {row}");
--- a/crates/gateway/src/shutdown.rs
+++ b/crates/gateway/src/shutdown.rs
@@ -11,9 +11,9 @@
 
 /// How long new connections are accepted after SIGTERM. Clients keep connecting for up to 0.4 s. A request
 /// that arrives on such a connection more than 0.7 s after SIGTERM may be cut off by SIGKILL.
-const ACCEPT_FOR: Duration = Duration::from_millis(600);
+const ACCEPT_DURATION: Duration = Duration::from_millis(600);
 /// SIGKILL arrives no sooner than this after the longest deadline of any class.
-const KILL_AFTER_DEADLINE: Duration = Duration::from_millis(700);
+const KILL_DELAY_AFTER_DEADLINE: Duration = Duration::from_millis(700);
 /// Longer deadlines count as this long.
 const MAX_DEADLINE: Duration = Duration::from_millis(3000);
 /// How long before SIGKILL all requests that are still active are answered.
@@ -35,9 +35,9 @@
     /// Computes the times from the deadlines of the request classes.
     pub(crate) fn new(settings: &Settings) -> Self {
         let longest_ms = settings.classes.iter().map(|class| class.deadline_ms).fold(0.0, f64::max);
-        let kill = duration_from_ms(longest_ms).min(MAX_DEADLINE) + KILL_AFTER_DEADLINE;
+        let kill = duration_from_ms(longest_ms).min(MAX_DEADLINE) + KILL_DELAY_AFTER_DEADLINE;
         ShutdownTimes {
-            stop_accepting: ACCEPT_FOR,
+            stop_accepting: ACCEPT_DURATION,
             respond_to_all: kill - RESPOND_BEFORE_KILL,
             finish: kill - FINISH_BEFORE_KILL,
         }
@@ -67,11 +67,11 @@
         self.accept_task.abort();
         drop(self.listener);
         self.downstream.drain_all();
-        let all_ended = timeout_at(start + self.times.respond_to_all, self.downstream.all_ended()).await;
-        if all_ended.is_err() {
+        let all_closed = timeout_at(start + self.times.respond_to_all, self.downstream.all_closed()).await;
+        if all_closed.is_err() {
             self.dispatcher.respond_to_all();
             // Past this time SIGKILL would cut off what is not written, so an expired timeout is no error.
-            let _ = timeout_at(start + self.times.finish, self.downstream.all_ended()).await;
+            let _ = timeout_at(start + self.times.finish, self.downstream.all_closed()).await;
         }
     }
 }
--- a/crates/gateway/src/shutdown/tests.rs
+++ b/crates/gateway/src/shutdown/tests.rs
@@ -17,7 +17,7 @@
         let settings = Settings { classes: deadlines.iter().map(class).collect(), ..Settings::default() };
         let times = ShutdownTimes::new(&settings);
         let kill = Duration::from_millis(kill_ms);
-        assert_eq!(times.stop_accepting, ACCEPT_FOR);
+        assert_eq!(times.stop_accepting, ACCEPT_DURATION);
         assert!(times.stop_accepting <= times.respond_to_all, "{deadlines:?}");
         assert!(times.respond_to_all < times.finish && times.finish < kill, "{deadlines:?}");
         assert!(kill - times.respond_to_all <= Duration::from_millis(300), "{deadlines:?}");
