--- a/crates/gateway/src/downstream/connection.rs
+++ b/crates/gateway/src/downstream/connection.rs
@@ -1,4 +1,4 @@
-//! One client's connection: its stage, and how a disconnect of its client is noticed.
+//! A client's connection: its stage, and the detection that its client has disconnected.
 use super::flood::{self, DiscardResult};
 use super::shared_stream::SharedStream;
 use std::cell::{Cell, RefCell};
@@ -12,53 +12,61 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep, Instant};
 
-/// How long a new connection's first request, head and body, may take to arrive. Clients are promised a
-/// response or a close within 3 s of connecting.
+/// How long the first request of a new connection, head and body, may take to arrive. Clients are promised
+/// a response or a close within 3 s of connecting.
 const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(2500);
-/// How often unread bytes after a request in progress are checked for a flood. Only then is a timer needed:
-/// while bytes are unread, the socket stays readable and reports no further ones. Without unread bytes it
-/// reports a disconnect by itself.
+/// How often the unread bytes after a request in progress are checked for a flood. The timer is needed
+/// because a socket with unread bytes stays readable, so that readiness does not report the bytes that follow
+/// them. Without unread bytes no timer is needed, because readiness reports a disconnect.
 const FLOOD_CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// The pause between two rounds of discarding. It is short so that a disconnect behind full buffers at both
-/// ends is noticed soon, and long enough for other connections to be served.
+/// The pause between two rounds of discarding. It is short enough to notice soon a disconnect that is queued
+/// behind full buffers at both ends, and long enough for other connections to be served.
 const DISCARD_INTERVAL: Duration = Duration::from_millis(5);
 
-/// The stage of a connection. The order is the one in which connections are evicted.
+/// The stage of a connection. The variants are in the order in which connections are evicted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum ConnectionStage {
     /// No complete request has arrived yet.
     AwaitingFirstRequest,
-    /// Between requests.
+    /// The previous request has its response, and the next one has not completely arrived.
     Idle,
-    /// A request is in progress, or the connection closes after its response.
+    /// A request is in progress, or the connection is closing after its last response.
     Active,
-    /// Evicted before any complete request arrived, or its client has disconnected.
+    /// The connection closes without a response, because it was evicted before a complete request arrived or
+    /// because its client has disconnected.
     Aborted,
 }
 
-/// What becomes of the requests of a connection.
+/// Whether the requests on a connection are served.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ConnectionRole {
-    /// They are served.
+    /// The requests are served.
     Serving,
-    /// They are rejected: the connection is beyond the limit.
+    /// The requests are rejected, because the connection was accepted beyond the limit.
     Rejecting,
 }
 
-/// One connection. hyper reads and writes its stream; this side inspects the socket.
+/// A client's connection. hyper reads and writes its stream; this type inspects the socket.
 pub(super) struct Connection {
+    /// The current stage.
     stage: Cell<ConnectionStage>,
+    /// When [`enter_stage`](Self::enter_stage) was last called, or when the connection was accepted. Eviction
+    /// and abort do not change it.
     stage_since: Cell<Instant>,
+    /// When the connection was accepted.
     accepted_at: Instant,
+    /// Notifies the connection's task that the connection must close.
     close_requested: Notify,
+    /// Whether the requests on the connection are served.
     role: ConnectionRole,
+    /// The socket, which hyper uses too.
     stream: Rc<RefCell<TcpStream>>,
-    /// Its client has sent a flood of bytes after a request, which were discarded.
+    /// Whether the client has sent a flood of bytes after a request. They are discarded.
     is_flooded: Cell<bool>,
 }
 
 impl Connection {
-    /// Creates a connection that was accepted just now.
+    /// Creates a connection whose `stream` has just been accepted.
     pub(super) fn new(stream: TcpStream, role: ConnectionRole) -> Self {
         let now = Instant::now();
         Connection {
@@ -72,49 +80,51 @@
         }
     }
 
-    /// The handle on the stream for hyper.
+    /// Returns the handle through which hyper reads and writes the stream.
     pub(super) fn shared_stream(&self) -> SharedStream {
         SharedStream::new(self.stream.clone())
     }
 
-    /// The connection's stage.
+    /// Returns the current stage.
     pub(super) fn stage(&self) -> ConnectionStage {
         self.stage.get()
     }
 
-    /// When it entered this stage.
+    /// Returns when the connection entered its stage.
     pub(super) fn stage_since(&self) -> Instant {
         self.stage_since.get()
     }
 
-    /// What becomes of its requests.
+    /// Returns whether the requests on the connection are served.
     pub(super) fn role(&self) -> ConnectionRole {
         self.role
     }
 
-    /// Whether its client has sent a flood of bytes. The connection then closes after its response, because
-    /// a next request may have been discarded.
+    /// Returns whether the client has sent a flood of bytes. If it has, the connection closes after the
+    /// response, because a further request may have been discarded with those bytes.
     pub(super) fn is_flooded(&self) -> bool {
         self.is_flooded.get()
     }
 
-    /// When the first request must be complete.
+    /// Returns when the first request must be complete.
     pub(super) fn first_request_deadline(&self) -> Instant {
         self.accepted_at + FIRST_REQUEST_TIMEOUT
     }
 
-    /// Enters a stage.
+    /// Enters `stage` now.
     pub(super) fn enter_stage(&self, stage: ConnectionStage) {
         self.stage.set(stage);
         self.stage_since.set(Instant::now());
     }
 
-    /// Begins a request that is complete. Never returns if the client has disconnected.
+    /// Enters [`ConnectionStage::Active`] for a request that has completely arrived. If the client has
+    /// disconnected, aborts the connection instead and never returns.
     ///
-    /// Without this check a request could be sent to an endpoint after its client disconnected, which may
-    /// have happened long before the request was read: what is dispatched may be sent at once. The check
-    /// holds because the runtime reports a closed read side separately from unread bytes; a disconnect that
-    /// it reports later is noticed by [`client_disconnected`](Self::client_disconnected).
+    /// Without this check, a request could be sent to an endpoint after its client disconnected: the client
+    /// may have done so long before the request was read, and a dispatched request may be sent at once. The
+    /// check works while bytes are unread, because the runtime reports a closed read side separately from
+    /// them. A disconnect that it reports later is noticed by
+    /// [`client_disconnected`](Self::client_disconnected).
     pub(super) async fn begin_request(&self) {
         if self.has_client_disconnected() {
             self.abort().await;
@@ -122,18 +132,20 @@
         self.enter_stage(ConnectionStage::Active);
     }
 
-    /// Has the connection's task close once the request in progress has its response.
+    /// Requests the connection's task to close the connection, after the response if a request is in
+    /// progress.
     pub(super) fn request_close(&self) {
         self.close_requested.notify_one();
     }
 
-    /// Waits until a close is requested. Cancel safe: a request that nobody waits for is stored.
+    /// Waits until a close is requested. This method is cancel safe: a close that is requested while no task
+    /// waits is stored.
     pub(super) async fn close_requested(&self) {
         self.close_requested.notified().await;
     }
 
-    /// Closes the connection, which carries no request, in favour of another. One that is idle may be
-    /// reading a request at this moment, and then still responds to it.
+    /// Evicts the connection, which has no request in progress. An idle connection may be reading a request
+    /// at this moment; it then responds to that request before it closes.
     pub(super) fn evict(&self) {
         self.stage.set(match self.stage.get() {
             ConnectionStage::AwaitingFirstRequest => ConnectionStage::Aborted,
@@ -142,14 +154,16 @@
         self.request_close();
     }
 
-    /// Ends the connection of a client that has disconnected, and with it the future that awaits this.
+    /// Aborts the connection because its client has disconnected. Never returns: when the connection's task
+    /// ends, it drops the future that awaits this method.
     pub(super) async fn abort(&self) -> ! {
         self.stage.set(ConnectionStage::Aborted);
         self.request_close();
         pending().await
     }
 
-    /// Whether the client has closed its side or reset the connection, even behind unread bytes.
+    /// Returns whether the client has closed its side or reset the connection, even if bytes that it sent
+    /// before are still unread.
     fn has_client_disconnected(&self) -> bool {
         let stream = self.stream.borrow();
         let mut ready = pin!(stream.ready(Interest::READABLE));
@@ -157,15 +171,15 @@
         matches!(ready, Poll::Ready(Ok(ready)) if ready.is_read_closed())
     }
 
-    /// Waits until the client disconnects while its request is in progress. hyper notices that only where
-    /// nothing follows the request, since it reads no further.
+    /// Waits until the client disconnects while its request is in progress. hyper notices a disconnect only
+    /// if no bytes follow the request, because it reads no further than that request.
     ///
-    /// Cancel safe: bytes that were discarded are lost either way, and the connection then closes after its
-    /// response.
+    /// This method is cancel safe: bytes that it has discarded are not needed, because the connection then
+    /// closes after its response.
     pub(super) async fn client_disconnected(&self) {
         loop {
-            // hyper waits for the socket too, and a socket stores one waker only. Both waits are in the
-            // same task, so whichever waker was stored last wakes both.
+            // hyper waits for the same socket, which stores only one waker. Both waits are in the same task,
+            // so the waker that was stored last wakes both.
             let readable = poll_fn(|cx| self.stream.borrow().poll_read_ready(cx)).await;
             if readable.is_err() || self.has_client_disconnected() {
                 return;
--- a/crates/gateway/src/downstream/connection_limit.rs
+++ b/crates/gateway/src/downstream/connection_limit.rs
@@ -1,8 +1,8 @@
-//! What becomes of a new connection, by how many are open.
+//! The decision whether a new connection is served, rejected or closed, by the number of open connections.
 use super::connection_table::Eviction;
 
 /// The maximum number of connections that are accepted beyond the limit, only to reject the requests on
-/// them, so that their clients get a response.
+/// them, so that their clients receive a response.
 pub(crate) const MAX_REJECTING_CONNECTIONS: usize = 8;
 
 /// The limits on open connections.
@@ -14,33 +14,34 @@
     pub(super) max_rejecting: usize,
 }
 
-/// What becomes of a new connection.
+/// Whether a new connection is served, rejected or closed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum AcceptDecision {
-    /// Its requests are served.
+    /// The requests on the connection are served.
     Serve,
-    /// Its requests are served if a connection closes first, as the evicted one is about to. Else it is
-    /// closed.
+    /// The requests on the connection are served if another connection closes first, as the evicted one is
+    /// about to. Otherwise the new connection is closed.
     ServeAfterClose,
-    /// Its requests are rejected.
+    /// The requests on the connection are rejected.
     Reject,
-    /// It is closed.
+    /// The connection is closed.
     Close,
 }
 
 impl ConnectionLimit {
-    /// Whether a connection must be evicted for a new one while `open` are open.
+    /// Returns whether a connection must be evicted for a new one while `open` connections are open.
     pub(super) fn needs_eviction(&self, open: usize) -> bool {
         open >= self.max_serving
     }
 
-    /// Whether a new connection may be opened while `open` are open, be it to reject its requests.
+    /// Returns whether a new connection, even one whose requests are rejected, may be accepted while `open`
+    /// connections are open.
     pub(super) fn has_capacity(&self, open: usize) -> bool {
         open < self.max_serving + self.max_rejecting
     }
 
-    /// What becomes of a new connection while `open` are open, not counting it. `eviction` is the result of
-    /// the eviction, where one was needed. An evicted connection counts as open until its task has run.
+    /// Decides on a new connection while `open` others are open. `eviction` is the result of the eviction, or
+    /// `None` if none was needed. An evicted connection counts as open until its task has run.
     pub(super) fn decide(&self, open: usize, eviction: Option<Eviction>) -> AcceptDecision {
         match (eviction, self.has_capacity(open)) {
             (None | Some(Eviction::Evicted), true) => AcceptDecision::Serve,
--- a/crates/gateway/src/downstream/connection_table.rs
+++ b/crates/gateway/src/downstream/connection_table.rs
@@ -1,4 +1,4 @@
-//! The open connections of clients, and which of them is evicted for a new one.
+//! The table of clients' open connections, from which one is evicted for a new one.
 use super::connection::{Connection, ConnectionStage};
 use super::eviction_order::EvictionRank;
 use std::cell::{Cell, RefCell};
@@ -7,34 +7,37 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// A connection's number, in the order of their accepts.
+/// Identifies a connection. Ids increase in the order in which connections are accepted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct ConnectionId(u64);
 
-/// All open connections.
+/// A table of all open connections.
 #[derive(Default)]
 pub(super) struct ConnectionTable {
+    /// The open connections, in the order in which they were accepted.
     connections: RefCell<BTreeMap<ConnectionId, Rc<Connection>>>,
+    /// The id of the next connection.
     next_id: Cell<u64>,
+    /// Notified whenever a connection is removed.
     connection_closed: Notify,
 }
 
-/// Whether a connection could be evicted for another.
+/// Whether a connection could be evicted for a new one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Eviction {
-    /// One was notified to close.
+    /// A connection was notified to close.
     Evicted,
-    /// All carry requests.
+    /// No connection can be evicted: each has a request in progress or is closing already.
     AllActive,
 }
 
 impl ConnectionTable {
-    /// How many connections are open.
+    /// Returns the number of open connections.
     pub(super) fn len(&self) -> usize {
         self.connections.borrow().len()
     }
 
-    /// Adds a connection.
+    /// Adds a connection and returns its id.
     pub(super) fn insert(&self, connection: Rc<Connection>) -> ConnectionId {
         let id = ConnectionId(self.next_id.get());
         self.next_id.set(id.0 + 1);
@@ -42,35 +45,36 @@
         id
     }
 
-    /// Removes a connection that has ended.
+    /// Removes a connection that has closed.
     pub(super) fn remove(&self, id: ConnectionId) {
         self.connections.borrow_mut().remove(&id);
         self.connection_closed.notify_one();
     }
 
-    /// Has the connections that have had a request close after the response to the one in progress.
+    /// Requests the close of each connection that has had a request, after the response if a request is in
+    /// progress.
     pub(super) fn request_close_of_used(&self) {
         let connections = self.connections.borrow();
         let used = connections.values().filter(|c| c.stage() != ConnectionStage::AwaitingFirstRequest);
         used.for_each(|connection| connection.request_close());
     }
 
-    /// Has all connections close after the response to the request in progress.
+    /// Requests the close of all connections, after the response if a request is in progress.
     pub(super) fn request_close_of_all(&self) {
         self.connections.borrow().values().for_each(|connection| connection.request_close());
     }
 
     /// Waits until no connection is open. Only one task may wait at a time.
     ///
-    /// Cancel safe: the table is looked at before each wait, so that a connection that ended meanwhile
-    /// counts.
+    /// This method is cancel safe: it inspects the table before each wait, so that it cannot miss a
+    /// connection that has closed in the meantime.
     pub(super) async fn all_closed(&self) {
         while !self.connections.borrow().is_empty() {
             self.connection_closed.notified().await;
         }
     }
 
-    /// Evicts the connection that is the first in the eviction order, if any carries no request.
+    /// Evicts the connection that is first in the eviction order, if any connection can be evicted.
     pub(super) fn evict_one(&self) -> Eviction {
         let connections = self.connections.borrow();
         let now = Instant::now();
--- a/crates/gateway/src/downstream/handler.rs
+++ b/crates/gateway/src/downstream/handler.rs
@@ -1,4 +1,4 @@
-//! Handles a request from its head to its response.
+//! The handler of requests, which takes a request from its head to its response.
 use super::connection::{Connection, ConnectionRole, ConnectionStage};
 use super::request_body::read_body;
 use super::request_error::RequestError;
@@ -24,27 +24,30 @@
 
 /// Handles the requests of all connections.
 pub(super) struct RequestHandler {
+    /// The dispatcher, which sends valid requests to endpoints or rejects them.
     dispatcher: Rc<Dispatcher>,
+    /// The admission library's settings.
     settings: Settings,
-    /// The longest `Retry-After`, in milliseconds; `None` where responses carry no such header.
+    /// The longest `Retry-After`, in milliseconds; `None` if responses do not carry the header.
     max_retry_after_ms: Option<f64>,
+    /// Whether the gateway is draining: each response then closes its connection.
     is_draining: Cell<bool>,
 }
 
 impl RequestHandler {
-    /// Creates a handler that has requests dispatched by `dispatcher`.
+    /// Creates a handler that passes valid requests to `dispatcher`.
     pub(super) fn new(dispatcher: Rc<Dispatcher>, settings: DownstreamSettings) -> Self {
         let DownstreamSettings { admission, sends_retry_after, .. } = settings;
         let max_retry_after_ms = sends_retry_after.then_some(admission.max_retry_after_ms);
         RequestHandler { dispatcher, settings: admission, max_retry_after_ms, is_draining: Cell::new(false) }
     }
 
-    /// From now on each response closes its connection, and health checks fail.
+    /// Starts draining: from now on each response closes its connection, and health checks fail.
     pub(super) fn start_draining(&self) {
         self.is_draining.set(true);
     }
 
-    /// Handles one request, and decides whether its connection stays open.
+    /// Handles one request, and decides whether its connection stays open after the response.
     pub(super) async fn respond(
         &self,
         connection: &Connection,
@@ -66,7 +69,7 @@
         Ok(response)
     }
 
-    /// Handles a request in its steps: head, body, dispatch, response.
+    /// Parses the head of a request, reads its body, dispatches it and waits for its response.
     async fn handle(
         &self,
         request: hyper::Request<Incoming>,
@@ -102,12 +105,12 @@
         Ok(final_response(response, self.max_retry_after_ms))
     }
 
-    /// Whether a load balancer should send requests here.
+    /// Returns whether a load balancer should send requests to this gateway.
     fn is_healthy(&self) -> bool {
         self.dispatcher.has_ready_endpoint() && !self.is_draining.get()
     }
 
-    /// Waits for the response to a request that was dispatched, or for its client to disconnect.
+    /// Waits for the response to a dispatched request. Never returns if the client disconnects first.
     async fn wait_for_response(
         &self,
         id: RequestId,
@@ -115,10 +118,10 @@
         connection: &Connection,
     ) -> FinalResponse {
         // hyper drops this future when the client closes the connection. Without the notification on drop,
-        // the dispatcher would start further attempts for nobody.
+        // the dispatcher would start further attempts although no client waits for the response.
         let mut cancellation = CancelOnDrop { dispatcher: &self.dispatcher, request: Some(id) };
-        // If the client disconnects first, a response that arrives at the same moment is lost: nobody can
-        // receive it.
+        // A response that arrives at the same moment as a disconnect may be dropped: the client can no
+        // longer receive it.
         let response = tokio::select! {
             response = response => response,
             () = connection.client_disconnected() => connection.abort().await,
@@ -128,15 +131,17 @@
     }
 }
 
-/// Notifies the dispatcher that the client has disconnected, if dropped before there is a response. hyper
-/// drops the future of a request whose client closes the connection, and nothing else would report that.
+/// A guard that notifies the dispatcher of a client's disconnect if it is dropped before there is a response.
+/// hyper drops the future of a request when the client closes the connection, and nothing else reports that.
 struct CancelOnDrop<'a> {
+    /// The dispatcher to notify.
     dispatcher: &'a Rc<Dispatcher>,
-    /// `None` once there is a response.
+    /// The request in progress; `None` once it has a response.
     request: Option<RequestId>,
 }
 
 impl CancelOnDrop<'_> {
+    /// Prevents the notification, because the request has its response.
     fn disarm(&mut self) {
         self.request = None;
     }
--- a/crates/gateway/src/downstream/listener.rs
+++ b/crates/gateway/src/downstream/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts clients' connections, within a limit.
+//! Accepts clients' connections, up to a limit.
 use super::connection::ConnectionRole;
 use super::connection_limit::AcceptDecision;
 use super::server::DownstreamServer;
@@ -9,11 +9,12 @@
 use tokio::task::yield_now;
 use tokio::time::sleep;
 
-/// The pause after a failed accept, which would fail again at once while there is no free descriptor.
+/// The pause after a failed accept. Without it, the next accept would fail at once for as long as no file
+/// descriptor is free.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
 impl DownstreamServer {
-    /// Accepts connections and never returns.
+    /// Accepts connections from `listener`. Never returns.
     pub(crate) async fn accept(self: Rc<Self>, listener: Rc<TcpListener>) {
         loop {
             match listener.accept().await {
@@ -22,23 +23,24 @@
                     tracing::warn!(
                         target: target::DOWNSTREAM,
                         %error,
-                        "cannot accept a connection; an idle one is closed to free a descriptor"
+                        "cannot accept a client connection; evicting an idle one to free a descriptor"
                     );
                     self.connections().evict_one();
                     sleep(ACCEPT_RETRY_INTERVAL).await;
                 }
             }
-            // The accepted connection's task runs before the next accept. Otherwise, in a burst of
-            // connections, one whose request has arrived but is not read yet would look silent and be
-            // evicted.
+            // Lets the accepted connection's task run before the next accept. Otherwise, in a burst of new
+            // connections, one whose request has arrived but has not been read yet would count as silent
+            // and be evicted.
             yield_now().await;
         }
     }
 
-    /// Serves a new connection. At the limit, a connection that carries no request is evicted for it. Where
-    /// all carry one, the requests on a few further connections are rejected, and the rest are closed:
-    /// unaccepted, they would wait in the kernel's queue, and their clients for a response that never
-    /// comes.
+    /// Serves, rejects or closes a new connection. At the limit, a connection without a request in progress
+    /// is evicted to make room for the new one. If every connection has a request in progress, a few more
+    /// connections are accepted to reject their requests, and any beyond those are closed. If those were not
+    /// accepted at all, they would stay in the kernel's accept queue, and their clients would wait for a
+    /// response that never comes.
     async fn admit(self: &Rc<Self>, stream: TcpStream) {
         let limit = self.connection_limit();
         let open = self.connections().len();
@@ -46,7 +48,7 @@
         match limit.decide(open, eviction) {
             AcceptDecision::Serve => self.serve(stream, ConnectionRole::Serving),
             AcceptDecision::ServeAfterClose => {
-                // The evicted connection closes when its task runs, unless it still has a body to read.
+                // The evicted connection closes when its task runs, unless it is still reading a body.
                 yield_now().await;
                 if limit.has_capacity(self.connections().len()) {
                     self.serve(stream, ConnectionRole::Serving);
--- a/crates/gateway/src/downstream/metering.rs
+++ b/crates/gateway/src/downstream/metering.rs
@@ -1,4 +1,5 @@
-//! The `X-Metering` header: what a request takes from its quota, and which gateways serve its customer.
+//! The `X-Metering` header: the units that a request takes from its quota, and the gateways that its
+//! customer's requests arrive at.
 use irishinge_admission::Settings;
 
 /// The fields of `X-Metering`.
@@ -8,13 +9,14 @@
     pub(super) units: f64,
     /// The number of gateways that the customer's requests arrive at (`spread` on the wire).
     pub(super) gateway_count: usize,
-    /// The number of the first of these gateways (`first` on the wire).
+    /// The index of the first of these gateways (`first` on the wire).
     pub(super) first_gateway: usize,
 }
 
 impl Metering {
-    /// Parses `units=2,spread=3,first=1`, in any order; unknown fields are skipped. Returns `None`
-    /// where a field is missing, malformed, repeated or out of the settings' range.
+    /// Parses a value such as `units=2,spread=3,first=1`, with its fields in any order. Unknown fields are
+    /// skipped. Returns `None` if a field is missing, malformed, repeated or outside the range that the
+    /// settings allow.
     pub(super) fn parse(text: &str, settings: &Settings) -> Option<Self> {
         let (mut units, mut gateway_count, mut first_gateway) = (None, None, None);
         for field in text.split(',') {
--- a/crates/gateway/src/downstream/mod.rs
+++ b/crates/gateway/src/downstream/mod.rs
@@ -1,15 +1,17 @@
-//! The downstream side: the connections of the gateway's clients, their requests and the responses to them.
+//! The downstream side: accepts clients' connections, reads their requests and writes the responses.
 //!
-//! - [`listener`]: accepts connections, within a limit.
-//! - [`server`]: serves each accepted connection, and drains them all at the end.
-//! - [`connection_table`]: the open connections.
-//! - [`connection_limit`]: what becomes of a new connection; [`eviction_order`]: which one is evicted for
-//!   it; [`request_rules`]: when a body must be complete, and after which responses a connection closes.
-//!   These are the rules, without I/O.
-//! - [`connection`]: one connection's stage, and how a disconnect of its client is noticed; [`flood`]
-//!   discards what a client sends without waiting for a response.
-//! - [`handler`]: takes a request from its head to its response: [`request_parsing`] and [`metering`] parse
-//!   it, [`response`] writes what the dispatcher decided.
+//! - [`listener`] accepts connections, up to a limit.
+//! - [`server`] serves each accepted connection, and drains all of them on shutdown.
+//! - [`connection_table`] holds the open connections.
+//! - [`connection`] tracks the stage of one connection and detects that its client has disconnected, with
+//!   the help of [`shared_stream`]; [`flood`] discards the bytes of a client that keeps sending without
+//!   waiting for a response.
+//! - [`handler`] takes a request from its head to its response: [`request_parsing`] and [`metering`] parse
+//!   the head, [`request_body`] reads the body, and [`response`] builds the response from the dispatcher's
+//!   decision. [`request_error`] lists why a request is invalid.
+//! - Three modules contain rules without I/O: [`connection_limit`] decides whether a new connection is
+//!   served, rejected or closed, [`eviction_order`] which connection is evicted for it, and
+//!   [`request_rules`] when a body must be complete and after which responses a connection closes.
 mod connection;
 mod connection_limit;
 mod connection_table;
--- a/crates/gateway/src/downstream/request_body.rs
+++ b/crates/gateway/src/downstream/request_body.rs
@@ -1,4 +1,4 @@
-//! Reads the body of a request, within limits of size and time.
+//! Reads the body of a request, within limits on its size and on the time that it takes.
 use super::request_error::RequestError;
 use crate::upstream::MAX_BODY_BYTES;
 use bytes::Bytes;
@@ -7,11 +7,12 @@
 use hyper::Method;
 use tokio::time::{timeout_at, Instant};
 
-/// Reads a body that is not empty.
+/// Reads the body of a request that declares one, up to [`MAX_BODY_BYTES`].
 ///
 /// # Errors
 ///
-/// Fails if the body is not allowed, too large, late, truncated or malformed.
+/// Fails if `method` allows no body, or if the body is too large, truncated, malformed or not complete by
+/// `deadline`.
 pub(super) async fn read_body(
     body: Incoming,
     method: &Method,
--- a/crates/gateway/src/downstream/request_error.rs
+++ b/crates/gateway/src/downstream/request_error.rs
@@ -1,53 +1,53 @@
-//! Why a request is invalid, and the response that says so.
+//! The reasons why a request is invalid, and the status and text of the response to each.
 use hyper::StatusCode;
 
-/// Why a request is invalid. It has changed no state, and no attempt of it was sent.
+/// Why a request is invalid. An invalid request changes no state, and no attempt of it is sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum RequestError {
-    /// Neither an API path nor `/healthz`.
+    /// The path is neither below `/api/` nor `/healthz`.
     UnknownPath,
-    /// The path names no customer.
+    /// What follows `/api/` in the path is not a valid customer id.
     InvalidCustomer,
-    /// The method is not the one of the request's class.
+    /// The method is not the one that the request's class requires.
     WrongMethod,
-    /// A header of which one value is allowed is repeated.
+    /// A header that may have only one value is repeated.
     RepeatedHeader,
-    /// No `Host`.
+    /// `Host` is missing.
     MissingHost,
-    /// No `X-Call-Id`.
+    /// `X-Call-Id` is missing where the request is forwarded. Parsing reports it as invalid before that.
     MissingCallId,
     /// `X-Call-Id` is missing or not 16 hexadecimal digits.
     InvalidCallId,
     /// Another request with this `X-Call-Id` is in progress.
     DuplicateCallId,
-    /// No `X-Call-Class`.
+    /// `X-Call-Class` is missing.
     MissingClass,
-    /// The settings do not name the class.
+    /// `X-Call-Class` names a class that is not in the settings.
     UnknownClass,
-    /// No `X-Contract`.
+    /// `X-Contract` is missing.
     MissingPlan,
-    /// The settings do not name the plan.
+    /// `X-Contract` names a plan that is not in the settings.
     UnknownPlan,
-    /// The class requires an `Idempotency-Key`.
+    /// `Idempotency-Key` is missing, and the class requires it.
     MissingIdempotencyKey,
     /// `X-Budget` is missing or not a positive number of seconds.
     InvalidBudget,
-    /// `X-Metering` is missing, malformed or out of bounds.
+    /// `X-Metering` is missing or malformed, or a value in it is out of range.
     InvalidMetering,
-    /// The length of the body is not declared by `Content-Length`.
+    /// The request has a `Transfer-Encoding`; the length of a body must be declared by `Content-Length`.
     LengthRequired,
-    /// The body is longer than the limit.
+    /// The body is longer than [`MAX_BODY_BYTES`](crate::upstream::MAX_BODY_BYTES).
     BodyTooLarge,
-    /// A GET must not have a body.
+    /// A GET request has a body.
     BodyOnGet,
-    /// The body was not complete in time.
+    /// The body was not complete by its deadline.
     BodyTimedOut,
-    /// The body was truncated or is malformed.
+    /// The body is truncated or malformed.
     UnreadableBody,
 }
 
 impl RequestError {
-    /// The status of the response.
+    /// Returns the status of the response.
     pub(super) fn status(self) -> StatusCode {
         match self {
             RequestError::UnknownPath => StatusCode::NOT_FOUND,
@@ -73,7 +73,7 @@
         }
     }
 
-    /// The body of the response. These texts are part of the interface to clients.
+    /// Returns the body of the response. These texts are part of the interface to clients.
     pub(super) fn text(self) -> &'static str {
         match self {
             RequestError::UnknownPath => "no such path",
--- a/crates/gateway/src/downstream/request_parsing.rs
+++ b/crates/gateway/src/downstream/request_parsing.rs
@@ -10,18 +10,18 @@
 use irishinge_admission::{CustomerId, GatewayIndex, Idempotency, Request, RequestId, Settings};
 use irishinge_settings::Names;
 
-/// Headers of which one value is allowed. Which of two values counted would be a guess, and an endpoint may
-/// guess differently.
+/// The headers that may have only one value. If one of them had two, the gateway and an endpoint could each
+/// use a different one.
 static SINGLE_HEADERS: [HeaderName; 7] =
     [HOST, CALL_ID, CALL_CLASS, CONTRACT, BUDGET, METERING, IDEMPOTENCY_KEY];
-/// Customers' ids are below this.
+/// The exclusive upper bound of customer ids.
 const CUSTOMER_ID_END: u64 = 1 << 33;
 
-/// Parses a request's head. A malformed one changes no state.
+/// Parses the head of a request. Changes no state.
 ///
 /// # Errors
 ///
-/// Returns the first check that fails.
+/// Returns the error of the first check that fails.
 pub(super) fn parse_request(
     head: &Parts,
     settings: &Settings,
@@ -53,11 +53,11 @@
     })
 }
 
-/// What is forwarded to an endpoint, unchanged.
+/// Returns the parts of a request that are forwarded to an endpoint unchanged.
 ///
 /// # Errors
 ///
-/// Fails if a header that endpoints need is missing.
+/// Fails if `Host` or `X-Call-Id` is missing.
 pub(super) fn upstream_request(mut head: Parts, body: Bytes) -> Result<UpstreamRequest, RequestError> {
     let headers = &mut head.headers;
     Ok(UpstreamRequest {
@@ -71,17 +71,19 @@
     })
 }
 
-/// The customer of `/api/` and 16 hexadecimal digits.
+/// Parses the customer id from a path of the form `/api/` and 16 hexadecimal digits.
 fn parse_customer(path: &str) -> Result<CustomerId, RequestError> {
     let customer = path.strip_prefix("/api/").ok_or(RequestError::UnknownPath)?;
     let customer = parse_hex(customer).filter(|id| *id < CUSTOMER_ID_END);
     customer.map(CustomerId).ok_or(RequestError::InvalidCustomer)
 }
 
-/// Requires that a body's length is declared once, by `Content-Length`. A client that declares it in two
-/// ways may hide a second request in the body (request smuggling): this gateway and an endpoint would then
-/// disagree on where the first one ends. hyper removes `Content-Length` where there is a
-/// `Transfer-Encoding`, so only the latter can be checked here.
+/// Checks that there is no `Transfer-Encoding` and that no header of [`SINGLE_HEADERS`] is repeated.
+///
+/// The length of a body must be declared once, by `Content-Length`. A client that declares it in two ways may
+/// hide a second request in the body (request smuggling): this gateway and an endpoint would then disagree on
+/// where the first request ends. hyper removes `Content-Length` if there is a `Transfer-Encoding`, so only
+/// the latter can be checked here.
 fn check_framing(headers: &HeaderMap) -> Result<(), RequestError> {
     if headers.contains_key(TRANSFER_ENCODING) {
         return Err(RequestError::LengthRequired);
@@ -92,7 +94,7 @@
     Ok(())
 }
 
-/// Checks the method and the idempotency key that the class requires.
+/// Checks that the request has the method and, if the class requires one, the idempotency key.
 fn check_idempotency(head: &Parts, idempotency: Idempotency) -> Result<(), RequestError> {
     let method = match idempotency {
         Idempotency::Idempotent => Method::GET,
@@ -108,16 +110,18 @@
     Ok(())
 }
 
+/// Parses `X-Budget`: how long the client waits for the response, in seconds.
 fn parse_budget_s(headers: &HeaderMap) -> Result<f64, RequestError> {
     let budget_s: Option<f64> = header(headers, BUDGET).and_then(|text| text.parse().ok());
     budget_s.filter(|s| s.is_finite() && *s > 0.0).ok_or(RequestError::InvalidBudget)
 }
 
+/// Returns the value of a header, or `None` if it is missing or contains anything but visible ASCII.
 fn header(headers: &HeaderMap, name: HeaderName) -> Option<&str> {
     headers.get(name)?.to_str().ok()
 }
 
-/// A number of exactly 16 hexadecimal digits.
+/// Parses a number of exactly 16 hexadecimal digits.
 fn parse_hex(text: &str) -> Option<u64> {
     let is_hex = text.len() == 16 && text.bytes().all(|byte| byte.is_ascii_hexdigit());
     is_hex.then(|| u64::from_str_radix(text, 16).ok())?
--- a/crates/gateway/src/downstream/response.rs
+++ b/crates/gateway/src/downstream/response.rs
@@ -1,4 +1,4 @@
-//! Writes responses to clients.
+//! Builds the responses to clients.
 use super::request_error::RequestError;
 use crate::dispatcher::FinalResponse;
 use bytes::Bytes;
@@ -6,18 +6,18 @@
 use hyper::header::{HeaderValue, CONTENT_TYPE, RETRY_AFTER};
 use hyper::{Response, StatusCode};
 
-/// The response to an invalid request.
+/// Returns the response to an invalid request.
 pub(super) fn error_response(error: RequestError) -> Response<Full<Bytes>> {
     text_response(error.status(), error.text())
 }
 
-/// The response to a health check.
+/// Returns the response to a health check.
 pub(super) fn health_response(is_healthy: bool) -> Response<Full<Bytes>> {
     text_response(if is_healthy { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE }, "")
 }
 
-/// The response that the dispatcher decided on. A `Retry-After` is at most `max_retry_after_ms`; `None`
-/// omits it.
+/// Returns the response to a request that the dispatcher has finished. `Retry-After` is at most
+/// `max_retry_after_ms`, and is omitted if that is `None`.
 pub(super) fn final_response(
     response: FinalResponse,
     max_retry_after_ms: Option<f64>,
@@ -29,7 +29,8 @@
     }
 }
 
-/// The endpoint's response: its body with `Content-Type`, and no other header.
+/// Returns the response to a served request: status 200, with the body and the `Content-Type` of the
+/// endpoint's response and no other header.
 fn served_response(response: Response<Bytes>) -> Response<Full<Bytes>> {
     let (mut head, body) = response.into_parts();
     let mut response = Response::new(Full::new(body));
@@ -39,8 +40,8 @@
     response
 }
 
-/// A rejection: 429 where the admission library gives a time for a retry, because a quota is used up or there
-/// is no capacity in time, and 503 otherwise.
+/// Returns the response to a rejected request. Its status is 429 if the admission library gives a time after
+/// which to retry, because a quota is used up or there is no capacity in time, and 503 otherwise.
 fn rejection(retry_after_ms: Option<f64>, max_retry_after_ms: Option<f64>) -> Response<Full<Bytes>> {
     let status = match retry_after_ms {
         Some(_) => StatusCode::TOO_MANY_REQUESTS,
@@ -56,6 +57,7 @@
     response
 }
 
+/// Returns a response with a status and a text as its body.
 fn text_response(status: StatusCode, text: &'static str) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(Bytes::from_static(text.as_bytes())));
     *response.status_mut() = status;
--- a/crates/gateway/src/downstream/server.rs
+++ b/crates/gateway/src/downstream/server.rs
@@ -1,4 +1,4 @@
-//! The server for clients: serves each connection, and drains them all at the end.
+//! The HTTP server for clients: serves each connection, and drains all of them on shutdown.
 use super::connection::{Connection, ConnectionRole, ConnectionStage};
 use super::connection_limit::{ConnectionLimit, MAX_REJECTING_CONNECTIONS};
 use super::connection_table::ConnectionTable;
@@ -16,20 +16,24 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep_until;
 
-/// The maximum size of a request's head, in bytes.
+/// The maximum size of a request's head (request line and headers), in bytes.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// How long a request's head may take to arrive, and how long a connection may be idle. It is closed then.
+/// How long a request's head may take to arrive, and how long a connection may be idle. The connection is
+/// closed when this time has passed.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The server: all clients' connections, and the handler of their requests.
+/// The HTTP server for clients: their open connections, and the handler of their requests.
 pub(crate) struct DownstreamServer {
+    /// Handles the requests of all connections.
     handler: RequestHandler,
+    /// The open connections.
     connections: ConnectionTable,
+    /// The limits on open connections.
     connection_limit: ConnectionLimit,
 }
 
 impl DownstreamServer {
-    /// Creates a server without connections.
+    /// Creates a server that has no connection yet and hands requests to `dispatcher`.
     pub(crate) fn new(dispatcher: Rc<Dispatcher>, settings: DownstreamSettings) -> Rc<Self> {
         let connection_limit = ConnectionLimit {
             max_serving: settings.max_connections,
@@ -42,25 +46,26 @@
         })
     }
 
-    /// The open connections.
+    /// Returns the open connections.
     pub(super) fn connections(&self) -> &ConnectionTable {
         &self.connections
     }
 
-    /// The limits on open connections.
+    /// Returns the limits on open connections.
     pub(super) fn connection_limit(&self) -> ConnectionLimit {
         self.connection_limit
     }
 
-    /// Begins to drain: each connection that has had a request closes after the response to the one in
-    /// progress. Those that have had none, or are accepted later, close with their first response.
+    /// Starts to drain the server. A connection that has already had a request closes at once, or after the
+    /// response if a request is in progress. A connection that has had no request yet, or is accepted later,
+    /// closes after its first response.
     pub(crate) fn drain(&self) {
         self.handler.start_draining();
         self.connections.request_close_of_used();
     }
 
-    /// Drains all connections, also those that have had no request. To be called when no further one is
-    /// accepted.
+    /// Drains all connections, including those that have had no request. To be called once no further
+    /// connection is accepted.
     pub(crate) fn drain_all(&self) {
         self.connections.request_close_of_all();
     }
@@ -70,26 +75,27 @@
         self.connections.all_closed().await;
     }
 
-    /// Serves a connection in a task of its own.
+    /// Spawns a task that serves a connection.
     pub(super) fn serve(self: &Rc<Self>, stream: TcpStream, role: ConnectionRole) {
         if let Err(error) = stream.set_nodelay(true) {
             tracing::warn!(
                 target: target::DOWNSTREAM,
                 %error,
-                "cannot set TCP_NODELAY; responses may be delayed"
+                "cannot set TCP_NODELAY on a client connection; its responses may be delayed"
             );
         }
         let connection = Rc::new(Connection::new(stream, role));
         let id = self.connections.insert(connection.clone());
         let server = self.clone();
-        // The table of connections stands for the task: the shutdown waits until it is empty.
+        // The task's handle is not needed: the shutdown waits until the table of connections is empty.
         spawn_local(async move {
             server.drive(&connection).await;
             server.connections.remove(id);
         });
     }
 
-    /// Reads requests and writes responses until the connection ends. Dropping the future closes the socket.
+    /// Reads requests and writes responses until the connection closes. Dropping the future closes the
+    /// socket.
     async fn drive(&self, connection: &Connection) {
         let service = service_fn(|request| self.handler.respond(connection, request));
         let driver = http1::Builder::new()
@@ -101,19 +107,20 @@
         let mut driver = pin!(driver);
         let mut first_request_timeout = pin!(sleep_until(connection.first_request_deadline()));
         loop {
-            // Nothing is lost on cancellation: all three futures are polled again in the next round. A
-            // request to close that arrives between rounds is stored by its `Notify`.
+            // Cancellation by `select!` loses nothing: `driver` and `first_request_timeout` are polled again
+            // in the next iteration, and `Notify` stores a close request that arrives between iterations.
             tokio::select! {
-                // An error is the client's: it disconnected, or sent what is not HTTP and has got a
-                // response to that.
+                // An error is ignored because the client caused it: it disconnected, or it sent something
+                // that is not HTTP, to which hyper has responded.
                 _ = driver.as_mut() => return,
                 () = connection.close_requested() => match connection.stage() {
                     ConnectionStage::Aborted => return,
                     _ => driver.as_mut().graceful_shutdown(),
                 },
                 () = first_request_timeout.as_mut(), if !first_request_timeout.is_elapsed() => {
-                    // Without this a client that never completes a request would occupy a connection: hyper's
-                    // timeout is for the head alone, and longer than clients are promised.
+                    // Without this timeout, a client that never completes a request would hold a connection:
+                    // hyper's timeout covers only the head, and it is longer than the time within which
+                    // clients are promised a response or a close.
                     if connection.stage() == ConnectionStage::AwaitingFirstRequest {
                         return;
                     }
--- a/crates/gateway/src/downstream/settings.rs
+++ b/crates/gateway/src/downstream/settings.rs
@@ -1,11 +1,11 @@
-//! The settings of the server for clients.
+//! The settings of the HTTP server for clients.
 use irishinge_admission::Settings;
 
-/// The settings of the server for clients.
+/// The settings of the HTTP server for clients.
 pub(crate) struct DownstreamSettings {
-    /// The decision library's settings: the classes of requests and the limits on their headers.
+    /// The admission library's settings: the classes of requests and the limits on values in their headers.
     pub admission: Settings,
-    /// Whether rejections carry `Retry-After`.
+    /// Whether rejections carry a `Retry-After` header.
     pub sends_retry_after: bool,
     /// The maximum number of connections whose requests are served.
     pub max_connections: usize,
--- a/crates/gateway/src/downstream/shared_stream.rs
+++ b/crates/gateway/src/downstream/shared_stream.rs
@@ -1,5 +1,5 @@
-//! A client's socket with two users: hyper reads and writes it, and the connection's task inspects it to
-//! notice a disconnect that hyper does not report.
+//! A client's socket that two parties share: hyper reads and writes it, and the connection's task inspects it
+//! to notice a disconnect that hyper does not report.
 use std::cell::RefCell;
 use std::io;
 use std::pin::Pin;
@@ -8,7 +8,7 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// hyper's handle on the socket.
+/// A handle through which hyper reads and writes the shared socket.
 pub(super) struct SharedStream(Rc<RefCell<TcpStream>>);
 
 impl SharedStream {
--- a/crates/gateway/src/downstream/tests/connection_limit.rs
+++ b/crates/gateway/src/downstream/tests/connection_limit.rs
@@ -1,4 +1,4 @@
-//! What becomes of a new connection, branch by branch.
+//! Tests of the decision on a new connection, with a case for each branch.
 use crate::downstream::connection_limit::{AcceptDecision, ConnectionLimit};
 use crate::downstream::connection_table::Eviction;
 
--- a/crates/gateway/src/downstream/tests/eviction.rs
+++ b/crates/gateway/src/downstream/tests/eviction.rs
@@ -1,4 +1,4 @@
-//! Which connection is evicted for a new one.
+//! Tests of which connection is evicted for a new one.
 use super::socket_pair;
 use crate::downstream::connection::{Connection, ConnectionRole, ConnectionStage};
 use crate::downstream::connection_table::{ConnectionTable, Eviction};
@@ -10,12 +10,14 @@
 /// A table of connections whose clients stay connected.
 #[derive(Default)]
 struct Fixture {
+    /// The open connections.
     table: ConnectionTable,
+    /// The clients' sockets, which stay open.
     clients: Vec<Client>,
 }
 
 impl Fixture {
-    /// Adds a connection that comes to a stage now.
+    /// Adds a connection that enters `stage` now.
     async fn add(&mut self, stage: ConnectionStage) -> Rc<Connection> {
         let (stream, client) = socket_pair().await;
         let connection = Rc::new(Connection::new(stream, ConnectionRole::Serving));
@@ -26,9 +28,9 @@
     }
 }
 
-/// At the limit, one connection is idle for long after its request and one has connected and sent nothing.
-/// A usual client writes at once, so the silent one costs least. Expected: the oldest silent connection is
-/// evicted.
+/// At the limit, one connection has been idle for a long time after its request, and others have connected
+/// and sent nothing. A typical client writes its request at once, so a silent connection is the least likely to
+/// be used. Expected: the connection that has been silent for longest is evicted.
 #[tokio::test(start_paused = true)]
 async fn silent_connection_is_evicted_before_long_idle_one() {
     let mut fixture = Fixture::default();
@@ -44,9 +46,9 @@
     assert_eq!(later.stage(), ConnectionStage::AwaitingFirstRequest);
 }
 
-/// At the limit, one connection is idle for long and one has connected just now, whose request may be on
-/// its way. Evicting the new one would lose that request. Expected: the idle one is evicted, and still
-/// responds to a request that it is reading.
+/// At the limit, one connection has been idle for a long time, and one has just connected, so that its first
+/// request may be on its way. Evicting the new one would lose that request. Expected: the idle one is
+/// evicted, and still responds to a request that it may be reading.
 #[tokio::test(start_paused = true)]
 async fn long_idle_connection_is_evicted_before_new_one() {
     let mut fixture = Fixture::default();
@@ -55,13 +57,13 @@
     let new = fixture.add(ConnectionStage::AwaitingFirstRequest).await;
     advance(Duration::from_millis(10)).await;
     assert_eq!(fixture.table.evict_one(), Eviction::Evicted);
-    assert_eq!(idle.stage(), ConnectionStage::Active, "it may be reading a request, and then answers it");
+    assert_eq!(idle.stage(), ConnectionStage::Active, "it may be reading a request and then responds to it");
     assert_eq!(new.stage(), ConnectionStage::AwaitingFirstRequest);
 }
 
-/// At the limit, no connection is silent or idle for long. A connection that has just responded is likely
-/// to be used again soon. Expected: connections without a request are evicted first, the oldest of them
-/// before the others.
+/// At the limit, no connection has been silent or idle for a long time. A connection that has just responded
+/// is likely to be used again soon. Expected: the connections that have had no request are evicted before it,
+/// the oldest one first.
 #[tokio::test(start_paused = true)]
 async fn oldest_new_connection_is_evicted_before_recently_idle_one() {
     let mut fixture = Fixture::default();
@@ -79,8 +81,8 @@
     assert_eq!(idle.stage(), ConnectionStage::Active);
 }
 
-/// At the limit, every connection carries a request or closes already. Evicting one would leave its client
-/// without a response. Expected: none is evicted.
+/// At the limit, every connection has a request in progress or is closing already. Evicting one with a
+/// request would leave its client without a response. Expected: no connection is evicted.
 #[tokio::test(start_paused = true)]
 async fn active_connection_is_never_evicted() {
     let mut fixture = Fixture::default();
--- a/crates/gateway/src/downstream/tests/eviction_order.rs
+++ b/crates/gateway/src/downstream/tests/eviction_order.rs
@@ -1,4 +1,4 @@
-//! The order of eviction, connection by connection.
+//! Tests of the order in which connections are evicted.
 use crate::downstream::connection::ConnectionStage::{self, Aborted, Active, AwaitingFirstRequest, Idle};
 use crate::downstream::eviction_order::{EvictionRank, MIN_IDLE, MIN_SILENCE};
 use std::time::Duration;
@@ -17,7 +17,9 @@
         (Idle, MIN_IDLE - MS),
         (Idle, Duration::ZERO),
     ];
-    let rank = |(stage, time): (ConnectionStage, Duration)| EvictionRank::new(stage, time).expect("a rank");
+    let rank = |(stage, time): (ConnectionStage, Duration)| {
+        EvictionRank::new(stage, time).expect("the stage has a rank")
+    };
     for (first, second) in in_order.iter().zip(&in_order[1..]) {
         assert!(rank(*first) < rank(*second), "{first:?} before {second:?}");
     }
--- a/crates/gateway/src/downstream/tests/metering.rs
+++ b/crates/gateway/src/downstream/tests/metering.rs
@@ -1,4 +1,4 @@
-//! Parsing of the metering header.
+//! Tests of the parsing of the `X-Metering` header.
 use super::settings;
 use crate::downstream::metering::Metering;
 
--- a/crates/gateway/src/downstream/tests/mod.rs
+++ b/crates/gateway/src/downstream/tests/mod.rs
@@ -1,4 +1,4 @@
-//! The tests of the downstream server, by concern, and what they have in common.
+//! Tests of the downstream server, one module for each concern, and the helpers that they share.
 mod client_disconnect;
 mod connection_limit;
 mod eviction;
@@ -16,24 +16,27 @@
 use std::net::TcpStream as Client;
 use tokio::net::{TcpListener, TcpStream};
 
+/// Returns the server's and the client's end of a new connection.
 async fn socket_pair() -> (TcpStream, Client) {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let client = Client::connect(listener.local_addr().expect("bound")).expect("a connection");
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener on a free port");
+    let client =
+        Client::connect(listener.local_addr().expect("the address of the listener")).expect("a connection");
     let (stream, _) = listener.accept().await.expect("a connection");
     (stream, client)
 }
 
-/// A connection with a request in progress, and its client.
+/// Returns a connection with a request in progress, and its client.
 async fn active_connection() -> (Connection, Client) {
     let (stream, client) = socket_pair().await;
-    // hyper has read all there was.
+    // The socket has no unread bytes, as after hyper has read the request. The read lets the runtime notice
+    // that.
     assert_eq!(stream.try_read(&mut [0]).map_err(|e| e.kind()), Err(io::ErrorKind::WouldBlock));
     let connection = Connection::new(stream, ConnectionRole::Serving);
     connection.enter_stage(ConnectionStage::Active);
     (connection, client)
 }
 
-/// Three classes, one for each kind of idempotency, at one of four gateways.
+/// Returns settings with three classes, one for each kind of idempotency, for a fleet of four gateways.
 fn settings() -> Settings {
     let class = |idempotency| ClassSettings {
         latency_objective_ms: 100.0,
@@ -46,6 +49,7 @@
     Settings { classes, gateways: 4, max_units: 8.0, ..Settings::default() }
 }
 
+/// Returns names for the classes of [`settings`], and for plans, zones and kinds of machines.
 fn names() -> Names {
     let names = |names: &[&str]| names.iter().map(ToString::to_string).collect();
     Names {
--- a/crates/gateway/src/downstream/tests/request_errors.rs
+++ b/crates/gateway/src/downstream/tests/request_errors.rs
@@ -1,7 +1,7 @@
-//! The status and text of each request error.
+//! Tests of the status and text of each request error.
 use crate::downstream::request_error::RequestError;
 
-/// The status and the body of each error are part of the wire.
+/// The status and the body of the response to each error are part of the interface to clients.
 #[test]
 fn each_error_has_its_status_and_text() {
     for (error, status, text) in [
--- a/crates/gateway/src/downstream/tests/request_parsing.rs
+++ b/crates/gateway/src/downstream/tests/request_parsing.rs
@@ -1,4 +1,5 @@
-//! Parsing of a request's head: headers, path and method, and what is forwarded to endpoints.
+//! Tests of the parsing of a request's head (headers, path and method), and of what is forwarded to
+//! endpoints.
 use super::{names, settings};
 use crate::downstream::request_error::RequestError;
 use crate::downstream::request_parsing::{parse_request, upstream_request};
@@ -10,7 +11,7 @@
 
 const PATH: &str = "/api/00000001ffffffff?page=2";
 
-/// The head of a well-formed request of a class.
+/// Returns the head of a well-formed request of a class.
 fn head(class: &str) -> Parts {
     let method = if class == "read" { Method::GET } else { Method::POST };
     let mut request = hyper::Request::builder()
@@ -25,14 +26,14 @@
     if class == "post" {
         request = request.header("idempotency-key", "5c0f6e1a");
     }
-    request.body(()).expect("a request").into_parts().0
+    request.body(()).expect("a valid request").into_parts().0
 }
 
-/// The same with one header set or omitted.
+/// Returns the head of a request of a class with one header set to `value`, or omitted if that is `None`.
 fn head_with(class: &str, name: &'static str, value: Option<&str>) -> Parts {
     let mut head = head(class);
     match value {
-        Some(value) => _ = head.headers.insert(name, HeaderValue::from_str(value).expect("a value")),
+        Some(value) => _ = head.headers.insert(name, HeaderValue::from_str(value).expect("a valid value")),
         None => _ = head.headers.remove(name),
     }
     head
@@ -77,13 +78,14 @@
         ("/api/0000000200000000", RequestError::InvalidCustomer),
     ] {
         let mut head = head("read");
-        head.uri = path.parse().expect("a path");
+        head.uri = path.parse().expect("a valid path");
         assert_eq!(error_of(&head), Some(error), "{path}");
     }
 }
 
-/// A request whose class, plan, units or key are unknown cannot be decided on or billed. Expected: each
-/// missing or malformed header is the error that names it, before any state changes.
+/// The admission library cannot decide on a request whose class, plan, units or key are unknown, and its
+/// units cannot be billed. Expected: each missing or malformed header is reported by its own error, before
+/// any state changes.
 #[test]
 fn missing_or_malformed_headers_are_errors() {
     for (name, value, error) in [
@@ -107,8 +109,8 @@
     }
 }
 
-/// A header that decides what a request is arrives twice. The gateway and the endpoint could each go by
-/// another value. Expected: an error for each of these headers.
+/// A header that may have only one value arrives twice. The gateway and the endpoint could each use a
+/// different value. Expected: an error for each of these headers.
 #[test]
 fn repeated_single_value_header_is_an_error() {
     for name in
@@ -121,8 +123,8 @@
     }
 }
 
-/// A class that may be retried must not change anything, so its method is GET, and the others' is POST.
-/// Expected: any other method is an error.
+/// The method of an idempotent class is GET, because its requests may be retried and so must not change
+/// anything. The method of every other class is POST. Expected: any other method is an error.
 #[test]
 fn method_that_does_not_match_the_class_is_an_error() {
     for (class, method) in [("read", Method::POST), ("post", Method::GET), ("once", Method::PUT)] {
@@ -134,7 +136,7 @@
 
 #[test]
 fn upstream_request_requires_host_and_call_id() {
-    let request = upstream_request(head("post"), Bytes::from_static(b"body")).expect("a request");
+    let request = upstream_request(head("post"), Bytes::from_static(b"body")).expect("a valid request");
     assert_eq!((request.method, request.uri.to_string().as_str()), (Method::POST, PATH));
     assert_eq!(request.host, "origin.svc");
     assert_eq!(request.call_id, "00000000000000aF");
--- a/crates/gateway/src/downstream/tests/request_rules.rs
+++ b/crates/gateway/src/downstream/tests/request_rules.rs
@@ -1,4 +1,4 @@
-//! The deadline of a body and the reasons to close a connection, branch by branch.
+//! Tests of the deadline of a body and of the reasons to close a connection, with a case for each branch.
 use crate::downstream::connection::{ConnectionRole, ConnectionStage};
 use crate::downstream::request_rules::{
     body_deadline, close_reason, BodyDeadlineInput, CloseInput, CloseReason, BODY_TIMEOUT,
--- a/crates/gateway/src/logging.rs
+++ b/crates/gateway/src/logging.rs
@@ -1,9 +1,9 @@
-//! Writes log lines to standard error, at most [`MAX_LINES_PER_SECOND`] of them, so that a fault that recurs
-//! with every request cannot fill the disk. A line over the limit is dropped before it is formatted, and the
-//! next line that is written is preceded by the number dropped. `docs/LOGS.md` lists every line.
+//! Writes log lines to standard error, at most [`MAX_LINES_PER_SECOND`], so that a fault that recurs with
+//! every request cannot fill the disk. A line over the limit is dropped before it is formatted. The next line
+//! that is written is preceded by a line with the number of dropped ones. `docs/LOGS.md` lists every line.
 //!
-//! A line has the form `irishinge: LEVEL TARGET: MESSAGE FIELD=VALUE...`. It has no colours, and no time: the
-//! process supervisor adds that.
+//! A line has the form `irishinge: LEVEL TARGET: MESSAGE FIELD=VALUE...`. It contains no colour codes, and no
+//! time, because the process supervisor adds the time.
 use std::fmt;
 use std::io;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -15,23 +15,23 @@
 use tracing_subscriber::layer::{Context, Layer, SubscriberExt};
 use tracing_subscriber::registry::{LookupSpan, Registry};
 
-/// The targets of log lines: the areas of the gateway as an operator knows them.
+/// The targets of log lines, which name the areas of the gateway as an operator knows them.
 pub(crate) mod target {
     /// Startup, reload and shutdown.
     pub(crate) const LIFECYCLE: &str = "lifecycle";
-    /// Clients' connections.
+    /// Connections from clients.
     pub(crate) const DOWNSTREAM: &str = "downstream";
     /// The endpoint list and the service that publishes it.
     pub(crate) const DISCOVERY: &str = "discovery";
     /// Messages between gateways.
     pub(crate) const PEERS: &str = "peers";
-    /// The execution of the decision library's actions.
+    /// The execution of the admission library's actions.
     pub(crate) const DISPATCHER: &str = "dispatcher";
 }
 
-/// Lines over this number in a period are dropped and counted.
+/// The maximum number of lines that are written in one [`PERIOD`]. Further lines are dropped and counted.
 const MAX_LINES_PER_SECOND: u32 = 10;
-/// The period of the limit.
+/// The period to which the limit on lines applies.
 const PERIOD: Duration = Duration::from_secs(1);
 
 /// Installs the process's log subscriber, which writes to standard error.
@@ -43,7 +43,7 @@
     set_global_default(limited_subscriber(io::stderr))
 }
 
-/// Creates a subscriber that writes lines within the limit.
+/// Creates a subscriber that writes lines to `writer` up to the limit.
 fn limited_subscriber<W>(writer: W) -> impl Subscriber + Send + Sync
 where
     W: for<'writer> MakeWriter<'writer> + Send + Sync + 'static,
@@ -52,19 +52,24 @@
     let lines = tracing_subscriber::fmt::layer()
         .event_format(LineFormat { limit: limit.clone() })
         .with_writer(writer)
-        // If standard error cannot be written, there is nowhere to report that.
+        // If standard error cannot be written to, there is nowhere to report the error.
         .log_internal_errors(false);
     Registry::default().with(lines).with(LimitLayer { limit }).with(tracing::level_filters::LevelFilter::INFO)
 }
 
-/// Counts the lines written in the present period, and those dropped since the last one that was written.
+/// Counts the lines that were written in the current period, and the lines that were dropped since the last
+/// line that was written.
 struct LineLimit {
+    /// When the current period started.
     period_start: Instant,
+    /// The number of lines written in the current period.
     written: u32,
+    /// The number of lines dropped since [`take_dropped`](Self::take_dropped) was last called.
     dropped: u64,
 }
 
 impl LineLimit {
+    /// Creates a count whose first period starts `now`.
     fn new(now: Instant) -> Self {
         LineLimit { period_start: now, written: 0, dropped: 0 }
     }
@@ -90,8 +95,9 @@
     }
 }
 
-/// Applies the limit to each event before it is formatted.
+/// A layer that applies the limit to each event before it is formatted.
 struct LimitLayer {
+    /// The counts of lines, shared with [`LineFormat`].
     limit: Arc<Mutex<LineLimit>>,
 }
 
@@ -101,8 +107,9 @@
     }
 }
 
-/// Formats an event as one line, preceded by a line with the number of dropped ones if there are any.
+/// An event format of one line. It is preceded by a line with the number of dropped lines if there are any.
 struct LineFormat {
+    /// The counts of lines, shared with [`LimitLayer`].
     limit: Arc<Mutex<LineLimit>>,
 }
 
@@ -121,7 +128,8 @@
         if dropped > 0 {
             writeln!(
                 writer,
-                "irishinge: {} logging: lines dropped over the limit count={dropped}",
+                "irishinge: {} logging: \
+                 log lines dropped over the limit of {MAX_LINES_PER_SECOND} per second count={dropped}",
                 Level::WARN
             )?;
         }
--- a/crates/gateway/src/logging/tests.rs
+++ b/crates/gateway/src/logging/tests.rs
@@ -1,15 +1,15 @@
-//! The tests of the log: the form of a line, the limit on lines, and their documentation.
+//! Tests of the log: the form of a line, the limit on lines, and the documentation of each line.
 use super::*;
 use std::cell::Cell;
 use std::path::Path;
 
-/// A writer that records what is written.
+/// A writer that records the bytes written to it.
 #[derive(Clone, Default)]
 struct RecordingWriter(Arc<Mutex<Vec<u8>>>);
 
 impl io::Write for RecordingWriter {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        self.0.lock().expect("a lock").extend_from_slice(bytes);
+        self.0.lock().expect("the lock is not poisoned").extend_from_slice(bytes);
         Ok(bytes.len())
     }
 
@@ -20,11 +20,11 @@
 
 impl RecordingWriter {
     fn text(&self) -> String {
-        String::from_utf8(self.0.lock().expect("a lock").clone()).expect("text")
+        String::from_utf8(self.0.lock().expect("the lock is not poisoned").clone()).expect("UTF-8 text")
     }
 }
 
-/// Counts how often it is formatted.
+/// A value that counts how often it is formatted.
 struct FormatCounter<'a>(&'a Cell<u32>);
 
 impl fmt::Display for FormatCounter<'_> {
@@ -50,8 +50,8 @@
     );
 }
 
-/// A fault that recurs with every request logs a line each time. Unlimited, the lines would fill the disk
-/// and cost time. Expected: lines over the limit are dropped before they are formatted.
+/// A fault that recurs with every request logs a line each time. Without a limit, the lines would fill the
+/// disk and take time to format. Expected: lines over the limit are dropped before they are formatted.
 #[test]
 fn lines_over_the_limit_are_dropped_without_being_formatted() {
     let recorded = RecordingWriter::default();
@@ -62,15 +62,15 @@
         }
     });
     let lines = recorded.text().lines().count() as u32;
-    // A machine that stands still for a second may begin another period, whose first line gives the number of
-    // dropped ones.
+    // If the test is paused for a second, another period may begin; its first line is preceded by a line with
+    // the number of dropped ones.
     let periods = lines.div_ceil(MAX_LINES_PER_SECOND + 1);
     assert!(lines <= periods * (MAX_LINES_PER_SECOND + 1) && periods <= 2, "{lines} lines");
     assert_eq!(formatted.get(), 2 * recorded.text().matches("field=counted").count() as u32);
 }
 
-/// Lines were dropped over the limit. An operator who was not shown that would believe the log to be
-/// complete. Expected: the next line is preceded by their number.
+/// Lines were dropped over the limit. If the log did not say so, an operator would believe it to be complete.
+/// Expected: the next line is preceded by a line with the number of dropped ones.
 #[test]
 fn next_line_is_preceded_by_the_number_dropped() {
     let recorded = RecordingWriter::default();
@@ -79,14 +79,14 @@
     let layer = tracing_subscriber::fmt::layer()
         .event_format(LineFormat { limit: limit.clone() })
         .with_writer(move || writer.clone());
-    limit.lock().expect("a lock").dropped = 5;
+    limit.lock().expect("the lock is not poisoned").dropped = 5;
     tracing::subscriber::with_default(Registry::default().with(layer), || {
         tracing::warn!(target: target::PEERS, "first");
         tracing::warn!(target: target::PEERS, "second");
     });
     assert_eq!(
         recorded.text(),
-        "irishinge: WARN logging: lines dropped over the limit count=5\n\
+        "irishinge: WARN logging: log lines dropped over the limit of 10 per second count=5\n\
          irishinge: WARN peers: first\nirishinge: WARN peers: second\n"
     );
 }
@@ -104,42 +104,44 @@
     assert_eq!(limit.take_dropped(), 0);
 }
 
-/// The level, target and message of each log statement below a directory.
+/// Adds the level, target and message of each log statement in the sources below `directory` to `found`.
 fn collect_log_statements(directory: &Path, found: &mut Vec<(String, String, String)>) {
-    for entry in std::fs::read_dir(directory).expect("a directory") {
-        let path = entry.expect("an entry").path();
+    for entry in std::fs::read_dir(directory).expect("a readable directory") {
+        let path = entry.expect("a directory entry").path();
         if path.is_dir() {
             collect_log_statements(&path, found);
         } else if !path.ends_with("logging/tests.rs") {
-            let text = std::fs::read_to_string(&path).expect("a source file");
+            let text = std::fs::read_to_string(&path).expect("a readable source file");
             found.extend(text.split("tracing::").skip(1).filter_map(parse_log_statement));
         }
     }
 }
 
-/// Reads `warn!(target: target::NAME, fields, "message")`; none where it is no log statement.
+/// Parses the level, target and message of `warn!(target: target::NAME, fields, "message")`. Returns `None`
+/// if `text` does not begin with a log statement.
 fn parse_log_statement(text: &str) -> Option<(String, String, String)> {
     let (level, rest) = text.split_once("!(")?;
     let level = ["error", "warn", "info"].into_iter().find(|known| *known == level)?.to_uppercase();
     let (arguments, _) = rest.split_once(");").unwrap_or((rest, ""));
-    let (_, target) = arguments.split_once("target::").expect("a target");
-    let target = target.split(',').next().expect("a name").to_lowercase();
-    let message = arguments.rsplit('"').nth(1).expect("a message");
+    let (_, target) = arguments.split_once("target::").expect("the statement names a target");
+    let target = target.split(',').next().expect("the name of the target").to_lowercase();
+    let message = arguments.rsplit('"').nth(1).expect("the statement has a message");
     Some((level, target, message.to_string()))
 }
 
-/// The documentation of log lines, and every log statement of the gateway: level, target and message.
+/// Returns the documentation of log lines, and the level, target and message of each log statement of the
+/// gateway.
 fn documentation_and_statements() -> (String, Vec<(String, String, String)>) {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
-    let table = std::fs::read_to_string(root.join("../../docs/LOGS.md")).expect("docs/LOGS.md");
+    let table = std::fs::read_to_string(root.join("../../docs/LOGS.md")).expect("docs/LOGS.md is readable");
     let mut found = Vec::new();
     collect_log_statements(&root.join("src"), &mut found);
     (table, found)
 }
 
-/// How the row of a statement begins in the documentation's table.
+/// Returns how the row of a log statement begins in the documentation's table.
 fn row_prefix((level, target, message): &(String, String, String)) -> String {
-    let text = message.split('{').next().expect("a beginning").trim_end();
+    let text = message.split('{').next().expect("the text before the first placeholder").trim_end();
     format!("| {level} | {target} | {text}")
 }
 
@@ -152,7 +154,7 @@
     }
 }
 
-/// The line on dropped lines is written by the log itself and not by a statement.
+/// The line on dropped lines is excluded, because the log itself writes it and not a log statement.
 #[test]
 fn every_line_of_the_documentation_has_a_log_statement() {
     let (table, found) = documentation_and_statements();
