--- a/crates/gateway/src/connection_budget.rs
+++ b/crates/gateway/src/connection_budget.rs
@@ -1,13 +1,15 @@
-//! A bound on how many connections of one kind are open at once: each takes a file descriptor.
+//! A limit on the number of open connections of one kind, because each takes a file descriptor.
 use crate::http_connection::HttpConnection;
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use tokio::time::{timeout_at, Instant};
 
-/// Counts the open connections of one kind against a limit.
+/// A budget that counts the open connections of one kind against a limit.
 pub(crate) struct ConnectionBudget {
+    /// The number of permits that have not been returned.
     open: Rc<Cell<usize>>,
+    /// The maximum number of permits.
     limit: usize,
 }
 
@@ -17,7 +19,7 @@
         ConnectionBudget { open: Rc::default(), limit }
     }
 
-    /// Whether no further connection may be opened.
+    /// Returns whether no further connection may be opened.
     pub(crate) fn is_exhausted(&self) -> bool {
         self.open.get() >= self.limit
     }
@@ -32,7 +34,7 @@
     }
 }
 
-/// Permission for one open connection. Dropping it returns it to the budget.
+/// A permit for one open connection. Dropping the permit returns it to its budget.
 pub(crate) struct ConnectionPermit(Rc<Cell<usize>>);
 
 impl Drop for ConnectionPermit {
@@ -45,12 +47,13 @@
 pub(crate) struct PooledConnection {
     /// The connection.
     pub connection: HttpConnection,
+    /// The permit, which is returned to its budget when the connection is dropped.
     _permit: ConnectionPermit,
 }
 
 impl PooledConnection {
-    /// Establishes a connection under `permit`, or returns `None` and the permit to its budget if that
-    /// fails or is not done by `deadline`. Dropping the future does the same.
+    /// Establishes a connection that holds `permit`. Returns `None` if that fails or is not complete by
+    /// `deadline`. In that case, and if the future is dropped, the permit returns to its budget.
     pub(crate) async fn connect(
         addr: SocketAddr,
         permit: ConnectionPermit,
--- a/crates/gateway/src/connection_budget/tests.rs
+++ b/crates/gateway/src/connection_budget/tests.rs
@@ -1,8 +1,9 @@
-//! The tests of the permits for connections.
+//! Tests of the permits for connections.
 use super::*;
 
-/// A permit that is not returned would lower the limit for good, and one too many would exceed the
-/// process's descriptors. Expected: permits up to the limit, and a new one for each that is dropped.
+/// A permit that is not returned would lower the limit permanently, and a permit beyond the limit would
+/// exceed the file descriptors of the process. Expected: permits are given up to the limit, and one more for
+/// each that is dropped.
 #[test]
 fn permits_are_limited_and_returned_on_drop() {
     let budget = ConnectionBudget::new(2);
--- a/crates/gateway/src/descriptor_budget.rs
+++ b/crates/gateway/src/descriptor_budget.rs
@@ -1,32 +1,36 @@
-//! Divides the file descriptors that the process may hold (`limits.sockets`), so that clients cannot exhaust
-//! those that connections to endpoints need, and neither can exhaust those that the process itself needs.
+//! Divides the file descriptors that the process may hold (`limits.sockets`) among connections from clients,
+//! connections to endpoints and the process itself, so that none of them can exhaust those of another.
 use crate::{downstream, quota_counter};
 
-/// The fraction of the unreserved descriptors that is for clients' connections. The rest is for connections
-/// to endpoints.
+/// The fraction of the unreserved descriptors that is for connections from clients. The rest is for
+/// connections to endpoints.
 const DOWNSTREAM_FRACTION: f64 = 0.6;
 
-/// Descriptors that are divided neither among clients nor among endpoints.
+/// The numbers of descriptors that are reserved, and so available neither to connections from clients nor to
+/// connections to endpoints.
 struct Reserved {
     /// Standard input, output and error.
     standard_streams: usize,
-    /// Those of the runtime: two for epoll, one for its waker, and three ends of the signal handler's socket
+    /// The runtime: two for epoll, one for its waker, and three for the ends of the signal handler's socket
     /// pair.
     runtime: usize,
-    /// The clients' listener and the peers' socket.
+    /// The listener for clients and the socket for peers.
     listeners: usize,
-    /// One connection to discovery's previous address and one to its new address, which overlap after SIGHUP.
+    /// One connection to discovery's previous address and one to its new address: after SIGHUP both may be
+    /// open at the same time.
     discovery: usize,
     /// The configuration file while it is read.
     configuration: usize,
     /// A connection that was accepted only to be closed, and one to spare.
     shed_connections: usize,
-    /// Connections to the quota counter.
+    /// The connections to the quota counter.
     quota_counter: usize,
-    /// Clients' connections beyond their limit, accepted only to reject the requests on them.
+    /// The connections from clients beyond their limit, which are accepted only to reject the requests on
+    /// them.
     rejecting_connections: usize,
 }
 
+/// The reserved descriptors of every gateway.
 const RESERVED: Reserved = Reserved {
     standard_streams: 3,
     runtime: 6,
@@ -39,6 +43,7 @@
 };
 
 impl Reserved {
+    /// Returns the number of all reserved descriptors.
     const fn total(&self) -> usize {
         self.standard_streams
             + self.runtime
@@ -51,16 +56,18 @@
     }
 }
 
-/// The maximum numbers of connections from clients and to endpoints.
+/// The maximum numbers of connections from clients and of connections to endpoints.
 pub(crate) struct DescriptorBudget {
-    /// Connections from clients, not counting those that are accepted only to reject requests.
+    /// The maximum number of connections from clients, not counting those that are accepted only to reject
+    /// the requests on them.
     pub downstream: usize,
-    /// Connections to endpoints.
+    /// The maximum number of connections to endpoints.
     pub upstream: usize,
 }
 
 impl DescriptorBudget {
-    /// Divides `limit` descriptors. The configuration guarantees that `limit` exceeds the reserved number.
+    /// Divides `limit` descriptors. The validation of the configuration guarantees that `limit` exceeds the
+    /// number of reserved descriptors.
     pub(crate) fn new(limit: usize) -> Self {
         let available = limit - RESERVED.total();
         let downstream = (available as f64 * DOWNSTREAM_FRACTION) as usize;
--- a/crates/gateway/src/descriptor_budget/tests.rs
+++ b/crates/gateway/src/descriptor_budget/tests.rs
@@ -1,9 +1,9 @@
-//! The tests of how file descriptors are divided.
+//! Tests of the division of file descriptors.
 use super::*;
 
-/// The descriptors are divided among clients, endpoints and the process itself. If the sum exceeded the
-/// limit, an accept or connect would fail at full load. Expected: the sum is the limit, with a minimum for
-/// endpoints.
+/// The descriptors are divided among clients, endpoints and the process itself. If the sum of the budgets
+/// exceeded the limit, an accept or connect would fail at full load. Expected: the sum equals the limit, and
+/// connections to endpoints get at least a minimum number.
 #[test]
 fn budgets_add_up_to_the_limit_with_a_minimum_for_endpoints() {
     assert_eq!(RESERVED.total(), 32);
--- a/crates/gateway/src/header_names.rs
+++ b/crates/gateway/src/header_names.rs
@@ -1,33 +1,34 @@
-//! The names of the HTTP headers for which hyper has no constant. The wire's names are mapped to ours here
-//! only.
+//! The names of the HTTP headers for which hyper has no constant. Only this module contains the names on the
+//! wire; the documentation of each constant says what the header means in the terms of the rest of the code.
 use hyper::header::HeaderName;
 
 /// Identifies a request: 16 hexadecimal digits. Sent by the client and forwarded to the endpoint.
 pub(crate) const CALL_ID: HeaderName = HeaderName::from_static("x-call-id");
 
-/// The request's class, by its name in the settings. Sent by the client.
+/// The request's class, given by its name in the settings. Sent by the client.
 pub(crate) const CALL_CLASS: HeaderName = HeaderName::from_static("x-call-class");
 
-/// The customer's plan, by its name in the settings. Sent by the client.
+/// The customer's plan, given by its name in the settings. Sent by the client.
 pub(crate) const CONTRACT: HeaderName = HeaderName::from_static("x-contract");
 
-/// How long the sender waits for the response, in seconds with decimals. Sent by the client, and by the
-/// gateway to the endpoint with the time that remains.
+/// How long the sender waits for the response, in seconds as a decimal number. Sent by the client, and by the
+/// gateway to the endpoint with the time that is left.
 pub(crate) const BUDGET: HeaderName = HeaderName::from_static("x-budget");
 
 /// The units that a request takes from its quota, and the set of gateways that serve the customer. Sent by
 /// the client.
 pub(crate) const METERING: HeaderName = HeaderName::from_static("x-metering");
 
-/// `1` marks a client's retry. Sent by the client, where clients mark retries.
+/// The value `1` marks a request as a client's retry. Sent by clients that mark their retries.
 pub(crate) const AGAIN: HeaderName = HeaderName::from_static("x-again");
 
 /// The key by which an endpoint recognizes a request that it has already executed. Sent by the client and
 /// forwarded to the endpoint.
 pub(crate) const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
 
-/// The units that the request really used. Sent by the endpoint, where units are settled afterwards.
+/// The units that the request really used. Sent by the endpoint if units are settled afterwards.
 pub(crate) const SETTLED: HeaderName = HeaderName::from_static("x-settled");
 
-/// `1` on a 503 or 504 response says that the request was rejected and not executed. Sent by the endpoint.
+/// The value `1` on a 503 or 504 response means that the request was rejected and not executed. Sent by the
+/// endpoint.
 pub(crate) const REJECTED: HeaderName = HeaderName::from_static("x-rejected");
--- a/crates/gateway/src/http_connection/idle_check.rs
+++ b/crates/gateway/src/http_connection/idle_check.rs
@@ -1,21 +1,21 @@
-//! Whether a connection that carries no request can carry another one.
+//! The check whether a connection without a request in progress can be reused.
 use std::io;
 
-/// What was found on a connection that carries no request.
+/// The result of checking a connection that has no request in progress.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum IdleCheck {
-    /// It can carry another request.
+    /// The connection can carry another request.
     Usable,
-    /// Bytes arrived that belong to no request. They would be taken for the response to the next one.
+    /// Bytes arrived that belong to no response. They would be read as the response to the next request.
     UnexpectedBytes,
-    /// The far end has closed it, or it broke. A request written to it would be lost, and may have been
-    /// processed.
+    /// The server has closed the connection, or it failed. A request written to it would get no response, and
+    /// the server may nevertheless have processed it.
     Closed,
 }
 
 impl IdleCheck {
-    /// The result for a connection. `is_ready`: hyper can take a request; `has_read_bytes`: hyper has just
-    /// read some; `unread`: the result of a peek at one byte of the socket.
+    /// Returns the result for a connection. `is_ready` is whether hyper can take a request, `has_read_bytes`
+    /// is whether hyper has just read bytes, and `unread` is the result of a peek at one byte of the socket.
     pub(super) fn new(is_ready: bool, has_read_bytes: bool, unread: &io::Result<usize>) -> Self {
         if has_read_bytes || matches!(unread, Ok(1)) {
             IdleCheck::UnexpectedBytes
--- a/crates/gateway/src/http_connection/mod.rs
+++ b/crates/gateway/src/http_connection/mod.rs
@@ -1,8 +1,8 @@
 //! An HTTP/1.1 client connection that carries one request at a time, for endpoints, discovery and the quota
 //! counter.
 //!
-//! The connection and the request are driven by the same future. Dropping that future closes the socket at
-//! once, so no request outlives its attempt, and nothing is ever sent again.
+//! The same future drives the connection and the request. Dropping that future together with the connection
+//! closes the socket at once, so no request outlives its attempt. A connection never sends a request twice.
 mod idle_check;
 mod observed_stream;
 #[cfg(test)]
@@ -31,50 +31,55 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, Sleep};
 
-/// The maximum size of a response's head, in bytes.
+/// The maximum size of a response's head (status line and headers), in bytes.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// How long a response may take to arrive once it has begun. Endpoints write a response in one go, so one
-/// that is incomplete after this time will never be completed.
+/// How long a response may take to arrive once its first byte has arrived. Endpoints write a whole response
+/// at once, so a response that is incomplete after this time will never be completed.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(250);
 /// The maximum number of interim (1xx) responses before the final one.
 const MAX_INTERIM_RESPONSES: u32 = 8;
 
-/// Why an exchange brought no complete response.
+/// Why an exchange, a request with its response, returned no complete response.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ExchangeError {
-    /// The connection broke or ended.
+    /// The server has closed the connection, or it failed.
     #[error("the connection was lost")]
     ConnectionLost,
-    /// The connection stayed up, but the response is malformed, incomplete or too large.
+    /// The connection is still open, but the response is malformed, incomplete or too large.
     #[error("the response is invalid")]
     InvalidResponse,
 }
 
-/// An established connection.
+/// An established connection to a server.
 pub(crate) struct HttpConnection {
+    /// hyper's handle for sending requests.
     sender: http1::SendRequest<Full<Bytes>>,
+    /// hyper's connection, which writes requests and reads responses while it is polled.
     driver: Pin<Box<http1::Connection<TokioIo<ObservedStream>, Full<Bytes>>>>,
+    /// The socket, shared with `driver`.
     stream: Rc<RefCell<TcpStream>>,
+    /// The progress of the current exchange.
     state: Rc<ExchangeState>,
 }
 
-/// Shows whether any byte of a connection's current request has been written, even after its exchange was
-/// dropped. A partly written request counts as written, because it may have been processed.
+/// A handle that shows whether any byte of a connection's current request has been written, even after the
+/// future of its exchange was dropped. A partly written request counts as written, because the server may
+/// have processed it.
 pub(crate) struct WriteStatus(Rc<ExchangeState>);
 
 impl WriteStatus {
-    /// Whether a byte has been written.
+    /// Returns whether any byte of the request has been written.
     pub(crate) fn any_written(&self) -> bool {
         self.0.request_begun.get()
     }
 }
 
 impl HttpConnection {
-    /// Establishes a connection.
+    /// Establishes a connection to `addr`.
     ///
     /// # Errors
     ///
-    /// Returns the operating system's error if the connection cannot be established.
+    /// Returns the operating system's error, or hyper's, if the connection cannot be established.
     pub(crate) async fn connect(addr: SocketAddr) -> io::Result<Self> {
         let stream = TcpStream::connect(addr).await?;
         stream.set_nodelay(true)?;
@@ -86,26 +91,27 @@
         Ok(HttpConnection { sender, driver: Box::pin(driver), stream, state })
     }
 
-    /// Returns a handle that shows whether the current request was written.
+    /// Returns a handle that shows whether any byte of the current request has been written.
     pub(crate) fn write_status(&self) -> WriteStatus {
         WriteStatus(self.state.clone())
     }
 
-    /// Whether the connection can carry another request; see [`check_idle`](Self::check_idle).
+    /// Returns whether the connection can carry another request; see [`check_idle`](Self::check_idle).
     pub(crate) fn is_usable(&mut self) -> bool {
         self.check_idle() == IdleCheck::Usable
     }
 
-    /// Looks at a connection that carries no request.
+    /// Checks the connection, which must have no request in progress.
     ///
-    /// The runtime may not have noticed yet what the far end did, so this also looks at the socket itself.
+    /// The runtime may not have reported yet that the server has closed the connection or sent bytes, so this
+    /// method also inspects the socket itself.
     pub(crate) fn check_idle(&mut self) -> IdleCheck {
         let mut cx = Context::from_waker(Waker::noop());
         self.state.response_begun.set(false);
         let is_ready = self.driver.as_mut().poll(&mut cx).is_pending() && self.sender.is_ready();
         let unread = SockRef::from(&*self.stream.borrow()).peek(&mut [MaybeUninit::uninit()]);
-        // hyper may have read surplus bytes during this poll, and would report them as an error only in the
-        // next.
+        // hyper may have read unexpected bytes during this poll, and would report them as an error only
+        // during the next one.
         IdleCheck::new(is_ready, self.state.response_begun.get(), &unread)
     }
 
@@ -113,8 +119,9 @@
     ///
     /// # Errors
     ///
-    /// Fails if no complete response arrives or it exceeds a limit. The connection cannot be used again then.
-    /// Dropping the future closes nothing by itself: the connection must be dropped with it.
+    /// Fails if no complete response arrives or if the response exceeds a limit. The connection must not be
+    /// used again then. Dropping the future does not close the connection; the connection must be dropped
+    /// too.
     pub(crate) async fn exchange(
         &mut self,
         mut request: Request<Full<Bytes>>,
@@ -133,8 +140,8 @@
             if let Poll::Ready(response) = response.as_mut().poll(cx) {
                 return Poll::Ready(response.ok_or_else(|| exchange_error(state)));
             }
-            // The driver writes the queued request, and reads a response that the second poll below picks up.
-            // Once it has ended, it must not be polled again.
+            // The driver writes the queued request, and reads a response that the second poll of `response`
+            // below returns. The driver must not be polled again once it has ended.
             if !driver_ended {
                 driver_ended = driver.as_mut().poll(cx).is_ready();
             }
@@ -156,7 +163,7 @@
     max_body_bytes: usize,
 ) -> Option<Response<Bytes>> {
     let (head, body) = response.await.ok()?.into_parts();
-    // A body whose declared length is too large is not read at all.
+    // A body is not read at all if its declared length is too large.
     if body.size_hint().lower() > max_body_bytes as u64 {
         return None;
     }
@@ -164,6 +171,7 @@
     Some(Response::from_parts(head, body.to_bytes()))
 }
 
+/// Returns why an exchange failed: the connection was lost, or else the response is invalid.
 fn exchange_error(state: &ExchangeState) -> ExchangeError {
     match state.connection_lost.get() {
         true => ExchangeError::ConnectionLost,
@@ -171,19 +179,22 @@
     }
 }
 
-/// Limits the duration of a response once it has begun, and the number of interim responses before it.
+/// Limits the time that a response may take once its first byte has arrived, and the number of interim
+/// responses before it.
 #[derive(Default)]
 struct ResponseWatchdog {
+    /// The number of interim responses at the last poll.
     interim_seen: u32,
+    /// The end of the time for the response; `None` until its first byte has arrived.
     timeout: Option<Pin<Box<Sleep>>>,
 }
 
 impl ResponseWatchdog {
-    /// Returns the error once a limit is exceeded.
+    /// Returns the error when a limit is exceeded.
     fn poll(&mut self, cx: &mut Context<'_>, state: &ExchangeState) -> Poll<ExchangeError> {
         let interim = state.interim_responses.load(Relaxed);
         if interim > self.interim_seen {
-            // Only an interim response has arrived: the final one has not begun.
+            // The bytes that have arrived belong to an interim response; the final one has not begun.
             self.interim_seen = interim;
             self.timeout = None;
             state.response_begun.set(false);
--- a/crates/gateway/src/http_connection/observed_stream.rs
+++ b/crates/gateway/src/http_connection/observed_stream.rs
@@ -1,4 +1,4 @@
-//! A TCP stream that records the progress of an exchange, which hyper does not report.
+//! A TCP stream that records the progress of an exchange, because hyper does not report it.
 use std::cell::{Cell, RefCell};
 use std::io;
 use std::pin::Pin;
@@ -9,16 +9,16 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// The recorded progress of a connection's current exchange.
+/// The progress of the current exchange on a connection.
 #[derive(Default)]
 pub(super) struct ExchangeState {
-    /// Whether any byte of the request was written.
+    /// Whether any byte of the request has been written.
     pub(super) request_begun: Cell<bool>,
     /// Whether any byte of the response has arrived.
     pub(super) response_begun: Cell<bool>,
-    /// Whether the far end has closed the connection, or it broke.
+    /// Whether the server has closed the connection, or it failed.
     pub(super) connection_lost: Cell<bool>,
-    /// The number of interim responses that arrived. It is in an `Arc` because hyper's callback must be
+    /// The number of interim responses that have arrived. It is in an `Arc` because hyper's callback must be
     /// `Send` and `Sync`.
     pub(super) interim_responses: Arc<AtomicU32>,
 }
@@ -32,10 +32,12 @@
     }
 }
 
-/// A stream that records the progress of its exchange. The connection has a handle on the same socket, so
-/// that it can inspect it while hyper owns this stream.
+/// A TCP stream that records the progress of the current exchange. The connection shares the socket, so that
+/// it can inspect the socket while hyper owns this stream.
 pub(super) struct ObservedStream {
+    /// The socket.
     stream: Rc<RefCell<TcpStream>>,
+    /// Where the progress is recorded.
     state: Rc<ExchangeState>,
 }
 
@@ -45,10 +47,12 @@
         ObservedStream { stream, state }
     }
 
+    /// Calls `call` with the socket.
     fn with_stream<T>(&self, call: impl FnOnce(Pin<&mut TcpStream>) -> T) -> T {
         call(Pin::new(&mut *self.stream.borrow_mut()))
     }
 
+    /// Records the result of a write.
     fn record_write(&self, result: &Poll<io::Result<usize>>) {
         match result {
             Poll::Ready(Ok(written)) if *written > 0 => self.state.request_begun.set(true),
--- a/crates/gateway/src/http_connection/tests.rs
+++ b/crates/gateway/src/http_connection/tests.rs
@@ -1,10 +1,10 @@
-//! What an idle connection is found to be, branch by branch.
+//! Tests of the check of idle connections, with a case for each branch.
 use super::IdleCheck;
 use std::io::{Error, ErrorKind, Result};
 
-/// A connection that is reused although its far end has closed it, or has sent bytes on it, loses the next
-/// request or gives it a response that is not its own. Expected: it is usable only if it is ready and
-/// nothing is there to read.
+/// If a connection were reused after the server had closed it, the next request would be lost; if it were
+/// reused after the server had sent bytes on it, those would be read as the response. Expected: a connection
+/// is usable only if it is ready and has no unread bytes.
 #[test]
 fn connection_is_usable_only_if_ready_without_unread_bytes() {
     let nothing = || -> Result<usize> { Err(ErrorKind::WouldBlock.into()) };
--- a/crates/gateway/src/idle_connections.rs
+++ b/crates/gateway/src/idle_connections.rs
@@ -1,33 +1,37 @@
-//! The idle connections to one server, which wait to carry another request.
+//! The idle connections to one server, which can be reused for another request.
 use crate::connection_budget::PooledConnection;
 use crate::http_connection::HttpConnection;
 use std::time::Duration;
 use tokio::time::Instant;
 
+/// An idle connection.
 struct IdleConnection {
+    /// The connection and its permit.
     pooled: PooledConnection,
+    /// When the connection became idle.
     idle_since: Instant,
 }
 
-/// The idle connections to one server. None is reused that has been idle for the timeout or longer.
+/// The idle connections to one server. A connection that has been idle for `timeout` or longer is not reused.
 pub(crate) struct IdleConnections {
+    /// How long a connection may be idle.
     timeout: Duration,
-    /// The most recently used connection is last.
+    /// The idle connections. The most recently used one is last.
     connections: Vec<IdleConnection>,
 }
 
 impl IdleConnections {
-    /// Creates an empty list.
+    /// Creates an empty list of connections that may be idle for `timeout`.
     pub(crate) fn new(timeout: Duration) -> Self {
         IdleConnections { timeout, connections: Vec::new() }
     }
 
-    /// Whether there is no idle connection.
+    /// Returns whether there is no idle connection.
     pub(crate) fn is_empty(&self) -> bool {
         self.connections.is_empty()
     }
 
-    /// Since when the longest idle connection has been idle.
+    /// Returns when the connection that has been idle for longest became idle.
     pub(crate) fn longest_idle_since(&self) -> Option<Instant> {
         self.connections.first().map(|idle| idle.idle_since)
     }
@@ -37,8 +41,8 @@
         self.connections.push(IdleConnection { pooled, idle_since: Instant::now() });
     }
 
-    /// Takes the most recently used of the connections that `allows_reuse`, given since when they have been
-    /// idle. Those that are found stale on the way are closed.
+    /// Takes the most recently used connection for which `allows_reuse` returns true, given the time when the
+    /// connection became idle. Stale connections that it finds on the way are closed.
     pub(crate) fn take(
         &mut self,
         allows_reuse: impl Fn(Instant) -> bool,
@@ -53,12 +57,13 @@
         }
     }
 
-    /// Closes the connections that have been idle for too long or that are not usable.
+    /// Closes the stale connections: those that have been idle for the timeout or longer, or that are not
+    /// usable.
     pub(crate) fn close_stale(&mut self, is_usable: impl Fn(&mut HttpConnection) -> bool) {
         self.connections.retain_mut(|idle| is_fresh(idle, self.timeout, &is_usable));
     }
 
-    /// Closes the longest idle connection, if there is one.
+    /// Closes the connection that has been idle for longest, if there is one.
     pub(crate) fn close_longest_idle(&mut self) {
         if !self.connections.is_empty() {
             self.connections.remove(0);
@@ -71,6 +76,7 @@
     }
 }
 
+/// Returns whether a connection has been idle for less than `timeout` and is usable.
 fn is_fresh(
     idle: &mut IdleConnection,
     timeout: Duration,
--- a/crates/gateway/src/shutdown.rs
+++ b/crates/gateway/src/shutdown.rs
@@ -1,4 +1,4 @@
-//! Graceful shutdown: after SIGTERM every active request gets its response before SIGKILL can arrive.
+//! Graceful shutdown: after SIGTERM, every request in progress gets its response before SIGKILL can arrive.
 use crate::clock::duration_from_ms;
 use crate::dispatcher::Dispatcher;
 use crate::downstream::DownstreamServer;
@@ -9,30 +9,31 @@
 use tokio::task::JoinHandle;
 use tokio::time::{sleep, timeout_at, Instant};
 
-/// How long new connections are accepted after SIGTERM. Clients keep connecting for up to 0.4 s. A request
-/// that arrives on such a connection more than 0.7 s after SIGTERM may be cut off by SIGKILL.
+/// How long new connections are accepted after SIGTERM. Clients keep connecting for up to 0.4 s after it. A
+/// request that arrives on such a connection more than 0.7 s after SIGTERM may be cut off by SIGKILL.
 const ACCEPT_DURATION: Duration = Duration::from_millis(600);
-/// SIGKILL arrives no sooner than this after the longest deadline of any class.
+/// The minimum delay of SIGKILL: it arrives no sooner after SIGTERM than the longest deadline of any class
+/// plus this time.
 const KILL_DELAY_AFTER_DEADLINE: Duration = Duration::from_millis(700);
-/// Longer deadlines count as this long.
+/// The longest deadline that SIGKILL waits for. Longer deadlines count as this long.
 const MAX_DEADLINE: Duration = Duration::from_millis(3000);
-/// How long before SIGKILL all requests that are still active are answered.
+/// How long before SIGKILL all requests that are still in progress get a response.
 const RESPOND_BEFORE_KILL: Duration = Duration::from_millis(300);
-/// How long before SIGKILL all responses must be written.
+/// How long before SIGKILL the process ends. All responses must be written by then.
 const FINISH_BEFORE_KILL: Duration = Duration::from_millis(150);
 
 /// The times of the shutdown's steps, counted from SIGTERM.
 pub(crate) struct ShutdownTimes {
     /// When new connections are no longer accepted.
     pub stop_accepting: Duration,
-    /// When all requests that are still active are answered.
+    /// When all requests that are still in progress get a response.
     pub respond_to_all: Duration,
-    /// When the process ends, even if responses are not written yet.
+    /// When the process ends, even if some responses are not completely written.
     pub finish: Duration,
 }
 
 impl ShutdownTimes {
-    /// Computes the times from the deadlines of the request classes.
+    /// Returns the times for the deadlines of the request classes.
     pub(crate) fn new(settings: &Settings) -> Self {
         let longest_ms = settings.classes.iter().map(|class| class.deadline_ms).fold(0.0, f64::max);
         let kill = duration_from_ms(longest_ms).min(MAX_DEADLINE) + KILL_DELAY_AFTER_DEADLINE;
@@ -44,17 +45,17 @@
     }
 }
 
-/// The components of the gateway that the shutdown ends.
+/// The components of the gateway that the shutdown stops.
 pub(crate) struct Shutdown {
-    /// Drained: its connections close once they have no active request.
+    /// The HTTP server for clients. Its connections close once they have no request in progress.
     pub downstream: Rc<DownstreamServer>,
-    /// Answers the requests that are still active near the end.
+    /// The dispatcher. Near the end, it responds to the requests that are still in progress.
     pub dispatcher: Rc<Dispatcher>,
-    /// Closed when new connections are no longer accepted.
+    /// The listener for clients. It is closed when new connections are no longer accepted.
     pub listener: Rc<TcpListener>,
     /// The task that accepts connections, which holds the listener too.
     pub accept_task: JoinHandle<()>,
-    /// When each step happens.
+    /// The times of the steps.
     pub times: ShutdownTimes,
 }
 
@@ -70,7 +71,8 @@
         let all_closed = timeout_at(start + self.times.respond_to_all, self.downstream.all_closed()).await;
         if all_closed.is_err() {
             self.dispatcher.respond_to_all();
-            // Past this time SIGKILL would cut off what is not written, so an expired timeout is no error.
+            // The result is ignored: responses that are not written by then would be cut off by SIGKILL
+            // anyway.
             let _ = timeout_at(start + self.times.finish, self.downstream.all_closed()).await;
         }
     }
--- a/crates/gateway/src/shutdown/tests.rs
+++ b/crates/gateway/src/shutdown/tests.rs
@@ -1,10 +1,11 @@
-//! The tests of the times of a shutdown.
+//! Tests of the times of a shutdown.
 use super::*;
 use irishinge_admission::{ClassSettings, Idempotency};
 
-/// SIGKILL follows SIGTERM some time after the longest deadline of a class. If the shutdown waited for
-/// longer, requests would be cut off without a response; if it were sooner, requests with time left would
-/// fail. Expected, for several deadlines: responses to all before the end, and the end before SIGKILL.
+/// SIGKILL follows SIGTERM some time after the longest deadline of a class. If the shutdown took longer,
+/// requests would be cut off without a response; if it ended sooner, requests with time left would fail.
+/// Expected, for several deadlines: all requests get a response before the process ends, at most 300 ms
+/// before SIGKILL, and the process ends before SIGKILL.
 #[test]
 fn requests_are_answered_between_the_longest_deadline_and_sigkill() {
     for (deadlines, kill_ms) in [(&[1200.0][..], 1900), (&[200.0, 150.0], 900), (&[2500.0, 8000.0], 3700)] {
