--- a/crates/gateway/src/downstream/tests/client_disconnect.rs
+++ b/crates/gateway/src/downstream/tests/client_disconnect.rs
@@ -16,7 +16,7 @@
 
 /// The ways for a client to disconnect, with their names in failure messages.
 const WAYS_TO_DISCONNECT: [(&str, Disconnect); 3] =
-    [("closes", drop), ("resets", reset), ("ends its sending", half_close)];
+    [("closes", drop), ("resets", reset), ("half-closes", half_close)];
 
 /// Resets the connection.
 fn reset(client: Client) {
@@ -78,9 +78,9 @@
 #[tokio::test(start_paused = true)]
 async fn disconnect_behind_unread_bytes_is_noticed_within_50_ms() {
     for (name, disconnect) in WAYS_TO_DISCONNECT {
-        for behind in [0, 10, MIN_FLOOD_BYTES / 2, 2 * MIN_FLOOD_BYTES, 16 << 20] {
-            let time = time_to_notice(disconnect, b"GET /", behind).await;
-            assert!(time <= Duration::from_millis(50), "{name} behind {behind} bytes: {time:?}");
+        for written_after in [0, 10, MIN_FLOOD_BYTES / 2, 2 * MIN_FLOOD_BYTES, 16 << 20] {
+            let time = time_to_notice(disconnect, b"GET /", written_after).await;
+            assert!(time <= Duration::from_millis(50), "{name} after {written_after} bytes: {time:?}");
         }
     }
 }
--- a/crates/gateway/src/downstream/tests/request_parsing.rs
+++ b/crates/gateway/src/downstream/tests/request_parsing.rs
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn upstream_request_requires_host_and_call_id() {
+fn upstream_request_has_forwarded_fields_and_requires_host_and_call_id() {
     let request = upstream_request(head("post"), Bytes::from_static(b"body")).expect("a valid request");
     assert_eq!((request.method, request.uri.to_string().as_str()), (Method::POST, PATH));
     assert_eq!(request.host, "origin.svc");
--- a/crates/gateway/src/idle_connections/tests.rs
+++ b/crates/gateway/src/idle_connections/tests.rs
@@ -51,10 +51,10 @@
 async fn connection_that_may_not_be_reused_yet_stays_idle() {
     let mut idle = IdleConnections::new(TIMEOUT);
     let mut server_streams = put_connections(&mut idle, 2).await;
-    let oldest = idle.longest_idle_since().expect("an idle connection");
-    drop(idle.take(|since| since <= oldest, HttpConnection::is_usable).expect("an idle connection"));
+    let longest_idle = idle.longest_idle_since().expect("an idle connection");
+    drop(idle.take(|since| since <= longest_idle, HttpConnection::is_usable).expect("an idle connection"));
     assert!(is_closed(&mut server_streams[0]));
-    assert!(idle.take(|since| since <= oldest, HttpConnection::is_usable).is_none());
+    assert!(idle.take(|since| since <= longest_idle, HttpConnection::is_usable).is_none());
     assert!(idle.take(|_| true, HttpConnection::is_usable).is_some(), "the other one stays idle");
 }
 
--- a/crates/gateway/src/logging/tests.rs
+++ b/crates/gateway/src/logging/tests.rs
@@ -158,9 +158,9 @@
 #[test]
 fn every_line_of_the_documentation_has_a_log_statement() {
     let (table, found) = documentation_and_statements();
-    let beginnings: Vec<String> = found.iter().map(row_prefix).collect();
+    let prefixes: Vec<String> = found.iter().map(row_prefix).collect();
     let is_log_line = |row: &&str| ["| ERROR |", "| WARN |", "| INFO |"].iter().any(|b| row.starts_with(b));
     for row in table.lines().filter(is_log_line).filter(|row| !row.starts_with("| WARN | logging |")) {
-        assert!(beginnings.iter().any(|beginning| row.starts_with(beginning)), "nothing writes {row}");
+        assert!(prefixes.iter().any(|prefix| row.starts_with(prefix)), "nothing writes {row}");
     }
 }
