--- a/crates/gateway/src/downstream/tests/eviction.rs
+++ b/crates/gateway/src/downstream/tests/eviction.rs
@@ -29,8 +29,8 @@
 }
 
 /// At the limit, one connection has been idle for a long time after its request, and others have connected
-/// and sent nothing. A typical client writes its request at once, so a silent connection is the least likely to
-/// be used. Expected: the connection that has been silent for longest is evicted.
+/// and sent nothing. A typical client writes its request at once, so a silent connection is the least likely
+/// to be used. Expected: the connection that has been silent for longest is evicted.
 #[tokio::test(start_paused = true)]
 async fn silent_connection_is_evicted_before_long_idle_one() {
     let mut fixture = Fixture::default();
--- a/crates/gateway/src/header_names.rs
+++ b/crates/gateway/src/header_names.rs
@@ -1,5 +1,5 @@
-//! The names of the HTTP headers for which hyper has no constant. They are defined only here. The documentation
-//! of each constant gives the meaning of the header in the terms of the rest of the code.
+//! The names of the HTTP headers for which hyper has no constant. They are defined only here. The
+//! documentation of each constant gives the meaning of the header in the terms of the rest of the code.
 use hyper::header::HeaderName;
 
 /// Identifies a request: 16 hexadecimal digits. Sent by the client and forwarded to the endpoint.
