--- a/crates/gateway/src/downstream/tests/request_parsing.rs
+++ b/crates/gateway/src/downstream/tests/request_parsing.rs
@@ -1,4 +1,5 @@
-//! Parsing of a request's head: headers, path and method, and what is forwarded to endpoints.
+//! Tests of the parsing of a request's head (headers, path and method), and of what is forwarded to
+//! endpoints.
 use super::{names, settings};
 use crate::downstream::request_error::RequestError;
 use crate::downstream::request_parsing::{parse_request, upstream_request};
@@ -10,7 +11,7 @@
 
 const PATH: &str = "/api/00000001ffffffff?page=2";
 
-/// The head of a well-formed request of a class.
+/// Returns the head of a well-formed request of a class.
 fn head(class: &str) -> Parts {
     let method = if class == "read" { Method::GET } else { Method::POST };
     let mut request = hyper::Request::builder()
@@ -25,14 +26,14 @@
     if class == "post" {
         request = request.header("idempotency-key", "5c0f6e1a");
     }
-    request.body(()).expect("a request").into_parts().0
+    request.body(()).expect("a valid request").into_parts().0
 }
 
-/// The same with one header set or omitted.
+/// Returns the head of a request of a class with one header set to `value`, or omitted if that is `None`.
 fn head_with(class: &str, name: &'static str, value: Option<&str>) -> Parts {
     let mut head = head(class);
     match value {
-        Some(value) => _ = head.headers.insert(name, HeaderValue::from_str(value).expect("a value")),
+        Some(value) => _ = head.headers.insert(name, HeaderValue::from_str(value).expect("a valid value")),
         None => _ = head.headers.remove(name),
     }
     head
@@ -47,7 +48,7 @@
 }
 
 #[test]
-fn each_header_reaches_its_field() {
+fn each_header_is_parsed_into_its_field() {
     let request = parse(&head("read")).expect("a well-formed request");
     assert_eq!((request.id, request.customer), (RequestId(0xaf), CustomerId(0x1_ffff_ffff)));
     assert_eq!((request.class, request.plan), (ClassIndex(0), PlanIndex(1)));
@@ -60,13 +61,13 @@
 }
 
 #[test]
-fn time_left_is_bounded_by_the_deadline_of_the_class() {
+fn time_left_is_at_most_the_deadline_of_the_class() {
     let request = parse(&head_with("read", "x-budget", Some("1e3"))).expect("a well-formed request");
     assert_eq!(request.time_left_ms, 2000.0);
 }
 
 #[test]
-fn path_names_a_customer() {
+fn path_without_a_valid_customer_is_an_error() {
     for (path, error) in [
         ("/", RequestError::UnknownPath),
         ("/other/00000000b4d65521", RequestError::UnknownPath),
@@ -77,13 +78,14 @@
         ("/api/0000000200000000", RequestError::InvalidCustomer),
     ] {
         let mut head = head("read");
-        head.uri = path.parse().expect("a path");
+        head.uri = path.parse().expect("a valid path");
         assert_eq!(error_of(&head), Some(error), "{path}");
     }
 }
 
-/// A request whose class, plan, units or key are unknown cannot be decided on or billed. Expected: each
-/// missing or malformed header is the error that names it, before any state changes.
+/// The admission library cannot decide on a request whose class, plan, units or key are unknown, and its
+/// units cannot be billed. Expected: each missing or malformed header is reported by its own error, before
+/// any state changes.
 #[test]
 fn missing_or_malformed_headers_are_errors() {
     for (name, value, error) in [
@@ -107,10 +109,10 @@
     }
 }
 
-/// A header that decides what a request is arrives twice. The gateway and the endpoint could each go by
-/// another value. Expected: an error for each of these headers.
+/// A header that may have only one value arrives twice. The gateway and the endpoint could each use a
+/// different value. Expected: an error for each of these headers.
 #[test]
-fn headers_that_say_what_a_request_is_must_not_be_repeated() {
+fn repeated_single_value_header_is_an_error() {
     for name in
         ["host", "x-call-id", "x-call-class", "x-contract", "x-budget", "x-metering", "idempotency-key"]
     {
@@ -121,10 +123,10 @@
     }
 }
 
-/// A class that may be retried must not change anything, so its method is GET, and the others' is POST.
-/// Expected: any other method is an error.
+/// The method of an idempotent class is GET, because its requests may be retried and so must not change
+/// anything. The method of every other class is POST. Expected: any other method is an error.
 #[test]
-fn method_is_that_of_the_class() {
+fn method_that_does_not_match_the_class_is_an_error() {
     for (class, method) in [("read", Method::POST), ("post", Method::GET), ("once", Method::PUT)] {
         let mut head = head(class);
         head.method = method;
@@ -133,8 +135,8 @@
 }
 
 #[test]
-fn upstream_request_has_what_endpoints_need_and_requires_a_host() {
-    let request = upstream_request(head("post"), Bytes::from_static(b"body")).expect("a request");
+fn upstream_request_has_forwarded_fields_and_requires_host_and_call_id() {
+    let request = upstream_request(head("post"), Bytes::from_static(b"body")).expect("a valid request");
     assert_eq!((request.method, request.uri.to_string().as_str()), (Method::POST, PATH));
     assert_eq!(request.host, "origin.svc");
     assert_eq!(request.call_id, "00000000000000aF");
--- a/crates/gateway/src/http_connection/tests.rs
+++ b/crates/gateway/src/http_connection/tests.rs
@@ -1,22 +1,22 @@
-//! What an idle connection is found to be, branch by branch.
+//! Tests of the check of idle connections, with a case for each branch.
 use super::IdleCheck;
 use std::io::{Error, ErrorKind, Result};
 
-/// A connection that is reused although its far end has closed it, or has sent bytes on it, loses the next
-/// request or gives it a response that is not its own. Expected: it is usable only if it is ready and
-/// nothing is there to read.
+/// If a connection were reused after the server had closed it, the next request would be lost; if it were
+/// reused after the server had sent bytes on it, those would be read as the response. Expected: a connection
+/// is usable only if it is ready and has no unread bytes.
 #[test]
-fn a_connection_is_usable_only_if_it_is_ready_and_has_nothing_to_read() {
+fn connection_is_usable_only_if_ready_without_unread_bytes() {
     let nothing = || -> Result<usize> { Err(ErrorKind::WouldBlock.into()) };
     let cases = [
         (true, false, nothing(), IdleCheck::Usable),
-        (false, false, nothing(), IdleCheck::Ended),
-        (true, false, Ok(0), IdleCheck::Ended),
-        (true, false, Err(Error::from(ErrorKind::ConnectionReset)), IdleCheck::Ended),
-        (true, false, Ok(1), IdleCheck::SurplusReceived),
-        (false, false, Ok(1), IdleCheck::SurplusReceived),
-        (true, true, nothing(), IdleCheck::SurplusReceived),
-        (false, true, Ok(0), IdleCheck::SurplusReceived),
+        (false, false, nothing(), IdleCheck::Closed),
+        (true, false, Ok(0), IdleCheck::Closed),
+        (true, false, Err(Error::from(ErrorKind::ConnectionReset)), IdleCheck::Closed),
+        (true, false, Ok(1), IdleCheck::UnexpectedBytes),
+        (false, false, Ok(1), IdleCheck::UnexpectedBytes),
+        (true, true, nothing(), IdleCheck::UnexpectedBytes),
+        (false, true, Ok(0), IdleCheck::UnexpectedBytes),
     ];
     for (is_ready, has_read_bytes, unread, expected) in cases {
         let check = IdleCheck::new(is_ready, has_read_bytes, &unread);
--- a/crates/gateway/src/quota_counter.rs
+++ b/crates/gateway/src/quota_counter.rs
@@ -59,8 +59,8 @@
         self.idle.borrow_mut().close_stale(HttpConnection::is_usable);
     }
 
-    /// Adds `amount` to the total with the name `name` and returns the outcome. A total expires `ttl_ms` after
-    /// the call that created it.
+    /// Adds `amount` to the total with the name `name` and returns the outcome. A total expires `ttl_ms`
+    /// after the call that created it.
     pub(crate) async fn add(&self, name: u64, amount: f64, ttl_ms: f64) -> CounterOutcome {
         let deadline = Instant::now() + self.call_timeout;
         let Some(addr) = self.addr.get() else { return CounterOutcome::Rejected };
--- a/crates/gateway/src/shutdown/tests.rs
+++ b/crates/gateway/src/shutdown/tests.rs
@@ -1,10 +1,11 @@
-//! The tests of the times of a shutdown.
+//! Tests of the times of a shutdown.
 use super::*;
 use irishinge_admission::{ClassSettings, Idempotency};
 
-/// SIGKILL follows SIGTERM some time after the longest deadline of a class. If the shutdown waited for
-/// longer, requests would be cut off without a response; if it were sooner, requests with time left would
-/// fail. Expected, for several deadlines: responses to all before the end, and the end before SIGKILL.
+/// SIGKILL follows SIGTERM some time after the longest deadline of a class. If the shutdown took longer,
+/// requests would be cut off without a response; if it ended sooner, requests with time left would fail.
+/// Expected, for several deadlines: all requests get a response before the process ends, at most 300 ms
+/// before SIGKILL, and the process ends before SIGKILL.
 #[test]
 fn requests_are_answered_between_the_longest_deadline_and_sigkill() {
     for (deadlines, kill_ms) in [(&[1200.0][..], 1900), (&[200.0, 150.0], 900), (&[2500.0, 8000.0], 3700)] {
@@ -17,7 +18,7 @@
         let settings = Settings { classes: deadlines.iter().map(class).collect(), ..Settings::default() };
         let times = ShutdownTimes::new(&settings);
         let kill = Duration::from_millis(kill_ms);
-        assert_eq!(times.stop_accepting, ACCEPT_FOR);
+        assert_eq!(times.stop_accepting, ACCEPT_DURATION);
         assert!(times.stop_accepting <= times.respond_to_all, "{deadlines:?}");
         assert!(times.respond_to_all < times.finish && times.finish < kill, "{deadlines:?}");
         assert!(kill - times.respond_to_all <= Duration::from_millis(300), "{deadlines:?}");
--- a/crates/gateway/src/upstream/pool.rs
+++ b/crates/gateway/src/upstream/pool.rs
@@ -127,7 +127,7 @@
     /// the delay.
     pub(super) fn is_usable(&self, connection: &mut HttpConnection) -> bool {
         let check = connection.check_idle();
-        if check == IdleCheck::SurplusReceived {
+        if check == IdleCheck::UnexpectedBytes {
             self.reuse_delay.begin(Instant::now());
         }
         check == IdleCheck::Usable
@@ -150,8 +150,8 @@
         if self.budget.is_exhausted() {
             let mut endpoints = self.endpoints.borrow_mut();
             let with_idle = endpoints.values_mut().filter(|endpoint| !endpoint.idle.is_empty());
-            let oldest = with_idle.min_by_key(|endpoint| endpoint.idle.oldest_since())?;
-            oldest.idle.close_oldest();
+            let oldest = with_idle.min_by_key(|endpoint| endpoint.idle.longest_idle_since())?;
+            oldest.idle.close_longest_idle();
         }
         self.budget.try_acquire()
     }
