--- a/crates/gateway/src/discovery/refresh_policy.rs
+++ b/crates/gateway/src/discovery/refresh_policy.rs
@@ -63,7 +63,7 @@
     pub(crate) fn new(settings: &SocketSettings, gateways: usize) -> Self {
         match settings.discovery_mode {
             DiscoveryMode::Pushed => Self::for_pushed_lists(duration_from_ms(settings.drain_grace_ms)),
-            DiscoveryMode::OnRequest => Self::for_polled_lists(gateways),
+            DiscoveryMode::Polled => Self::for_polled_lists(gateways),
         }
     }
 
--- a/crates/gateway/src/discovery/tests/mod.rs
+++ b/crates/gateway/src/discovery/tests/mod.rs
@@ -34,7 +34,7 @@
 }
 
 fn schedule_for_polled_lists(gateways: usize, seed: u64, now: Instant) -> RefreshSchedule {
-    RefreshSchedule::new(policy(DiscoveryMode::OnRequest, gateways, 2000.0), seed, now)
+    RefreshSchedule::new(policy(DiscoveryMode::Polled, gateways, 2000.0), seed, now)
 }
 
 /// Discovery is down: an attempt to connect that began then has failed.
--- a/crates/settings/src/socket_settings.rs
+++ b/crates/settings/src/socket_settings.rs
@@ -28,14 +28,14 @@
     /// and the gateway counts as notified of a change as soon as the agent has it.
     Pushed,
     /// Polled from one service that all gateways call, which queues their calls.
-    OnRequest,
+    Polled,
 }
 
 impl DiscoveryMode {
     fn parse(value: Option<&str>) -> Result<Self, SettingsDocumentError> {
         match value {
             Some("pushed") => Ok(Self::Pushed),
-            Some("on_request") => Ok(Self::OnRequest),
+            Some("on_request") => Ok(Self::Polled),
             other => Err(SettingsDocumentError::UnknownDiscoveryMode { value: other.map(str::to_owned) }),
         }
     }
--- a/crates/settings/tests/settings_document.rs
+++ b/crates/settings/tests/settings_document.rs
@@ -92,7 +92,7 @@
         connect_timeout_ms: 250.0,
         retry_after_enabled: true,
         counter_timeout_ms: 50.0,
-        discovery_mode: DiscoveryMode::OnRequest,
+        discovery_mode: DiscoveryMode::Polled,
         drain_grace_ms: 350.0,
     };
     assert_eq!(settings, expected);
