--- a/crates/settings/src/document.rs
+++ b/crates/settings/src/document.rs
@@ -1,15 +1,17 @@
-//! The settings object as it is written. The document's keys are mapped to our names here only: fields have
-//! ours, and serde renames carry the keys.
+//! The settings object as it is written in JSON.
+//!
+//! Only this file maps the document's keys to fields: a field has the name that the rest of the program uses,
+//! and its serde attribute has the key if that differs.
 
 use serde::Deserialize;
 
 /// The settings object, parsed but not yet checked.
 #[derive(Debug, Deserialize)]
 pub struct SettingsDocument {
-    /// The number of gateways of the fleet.
+    /// The number of gateways in the fleet.
     #[serde(rename = "balancers")]
     pub(crate) gateways: usize,
-    /// This gateway's number among the fleet's, from 0.
+    /// The number of this gateway in the fleet, counted from 0.
     #[serde(rename = "me")]
     pub(crate) gateway_number: usize,
     /// Shortest time between two rounds of events, in milliseconds.
@@ -19,22 +21,23 @@
     pub(crate) zone: String,
     /// The names of all zones.
     pub(crate) zones: Vec<String>,
-    /// The names of all kinds of endpoints' machines.
+    /// The names of all kinds of machines that endpoints run on.
     #[serde(rename = "shapes")]
     pub(crate) machine_kinds: Vec<String>,
-    /// The classes of requests.
+    /// The request classes.
     #[serde(rename = "classes")]
     pub(crate) request_classes: Vec<RequestClassSection>,
     /// The plans that customers buy.
     #[serde(rename = "tiersOfService")]
     pub(crate) plans: Vec<PlanSection>,
-    /// What the site permits.
+    /// What the deployment allows gateways to do.
     #[serde(rename = "ceilings")]
-    pub(crate) site_limits: SiteLimitsSection,
-    /// Read by gateways with real sockets only: the simulator's lists need no settings.
+    pub(crate) deployment_limits: DeploymentLimitsSection,
+    /// How the endpoint list reaches a deployed gateway: `pushed` or `on_request`. The simulator adapter
+    /// ignores it, because the simulator sends the lists itself.
     #[serde(default)]
     pub(crate) discovery: Option<String>,
-    /// Facts about the kind of service.
+    /// Properties of the kind of service behind the gateways.
     #[serde(rename = "familyInfo")]
     pub(crate) service_family: ServiceFamilySection,
     /// How endpoints drain, warm up and become overloaded.
@@ -42,78 +45,83 @@
     pub(crate) endpoint_rules: EndpointRulesSection,
 }
 
-/// One element of `classes`: a class of requests.
+/// An element of `classes`: a request class.
 #[derive(Debug, Deserialize)]
 pub(crate) struct RequestClassSection {
-    /// The name in `X-Call-Class`.
+    /// The name by which `X-Call-Class` refers to the class.
     pub(crate) name: String,
-    /// The client's longest wait, in milliseconds.
+    /// How long a client waits for its response at most, in milliseconds.
     #[serde(rename = "deadlineMs")]
     pub(crate) deadline_ms: f64,
-    /// A response within this time has its full value, in milliseconds.
+    /// The latency objective in milliseconds: a response within this time has its full value.
     #[serde(rename = "objectiveMs")]
     pub(crate) latency_objective_ms: f64,
-    /// Value of a request relative to that of other classes.
+    /// The value of a request relative to that of other classes.
     #[serde(rename = "worth")]
     pub(crate) priority_weight: f64,
-    /// `repeatable`, `by_key` or `once`: whether a retry may do harm.
+    /// Whether running a request twice does harm: `repeatable` (no), `once` (yes) or `by_key` (endpoints
+    /// recognize its idempotency key and do not run it again).
     #[serde(rename = "repeat")]
     pub(crate) idempotency: String,
-    /// Required for `by_key` classes, ignored for the others; so is `windowMs`.
+    /// The endpoints that share their memory of idempotency keys: `all`, `zone` or `cell`. Required if
+    /// `repeat` is `by_key`, ignored otherwise.
     #[serde(rename = "dedupScope", default)]
     pub(crate) dedup_group: Option<String>,
-    /// How long endpoints remember an idempotency key, in milliseconds.
+    /// How long endpoints remember an idempotency key after its first use, in milliseconds. Required if
+    /// `repeat` is `by_key`, ignored otherwise.
     #[serde(rename = "windowMs", default)]
     pub(crate) dedup_window_ms: Option<f64>,
 }
 
-/// One element of `tiersOfService`: a plan that customers buy.
+/// An element of `tiersOfService`: a plan that customers buy.
 #[derive(Debug, Deserialize)]
 pub(crate) struct PlanSection {
-    /// The name in `X-Contract`.
+    /// The name by which `X-Contract` refers to the plan.
     pub(crate) name: String,
-    /// Units per second at which a customer's bucket fills; 0: no quota.
+    /// Quota: the rate at which a customer's token bucket fills, in units per second. 0 means no quota.
     #[serde(rename = "refill")]
     pub(crate) rate_per_second: f64,
-    /// Capacity of the bucket, in units.
+    /// The capacity of the quota's token bucket, in units.
     #[serde(rename = "peakUnits")]
     pub(crate) burst_units: f64,
-    /// Attempts that a customer may have in flight; 0: no limit.
+    /// The number of attempts that a customer may have in flight. 0 means no limit.
     #[serde(rename = "open")]
     pub(crate) open_limit: u32,
-    /// Factor on the value of a customer's requests.
+    /// The factor by which the plan multiplies the value of its customers' requests.
     #[serde(rename = "valueFactor")]
     pub(crate) plan_weight: f64,
-    /// Fraction of its value that a request beyond the quota has.
+    /// The fraction of its value that a request over the quota has.
     #[serde(rename = "overWorth")]
     pub(crate) over_quota_value: f64,
-    /// Fraction of its value that an attempt beyond the quota costs.
+    /// The fraction of its value that an attempt over the quota costs.
     #[serde(rename = "beyondCosts")]
     pub(crate) over_quota_cost: f64,
-    /// Units per second at which the hard ceiling's bucket fills; 0: no ceiling.
+    /// Hard ceiling: the rate at which its token bucket fills, in units per second. 0 means no ceiling.
     #[serde(rename = "neverOverRate")]
     pub(crate) ceiling_rate_per_second: f64,
-    /// Capacity of the ceiling's bucket, in units.
+    /// The capacity of the hard ceiling's token bucket, in units.
     #[serde(rename = "capDepth")]
     pub(crate) ceiling_burst_units: f64,
 }
 
-/// `ceilings`: what the site permits.
+/// The `ceilings` section: what the deployment allows gateways to do.
 #[derive(Debug, Deserialize)]
-pub(crate) struct SiteLimitsSection {
+pub(crate) struct DeploymentLimitsSection {
     /// Whether attempts may be cancelled.
     #[serde(rename = "cancel")]
     pub(crate) cancel_allowed: bool,
-    /// Required on real sockets only. So is `connectTimeoutMs`.
+    /// How long a connection to an endpoint may be idle before the endpoint closes it, in milliseconds.
+    /// Required by the deployed gateway only.
     #[serde(rename = "connIdleMs", default)]
     pub(crate) idle_connection_timeout_ms: Option<f64>,
-    /// How long a connection to an endpoint may take to come up, in milliseconds.
+    /// How long establishing a connection to an endpoint may take, in milliseconds. Required by the deployed
+    /// gateway only.
     #[serde(rename = "connectTimeoutMs", default)]
     pub(crate) connect_timeout_ms: Option<f64>,
-    /// The most attempts that a request may have.
+    /// The maximum number of attempts of a request.
     #[serde(rename = "maxAttempts")]
     pub(crate) max_attempts: u32,
-    /// The longest `Retry-After` that clients honour, in milliseconds; 0: none.
+    /// The longest `Retry-After` that clients honour, in milliseconds. 0 means that they honour none.
     #[serde(rename = "maxRetryAfterMs")]
     pub(crate) max_retry_after_ms: f64,
     /// Whether gateways may send each other messages.
@@ -127,39 +135,43 @@
     pub(crate) hedging_allowed: bool,
 }
 
-/// `familyInfo`: facts about the kind of service behind the gateways.
+/// The `familyInfo` section: properties of the kind of service behind the gateways.
 #[derive(Debug, Deserialize)]
 pub(crate) struct ServiceFamilySection {
     /// Whether the quota counter may be called.
     #[serde(rename = "mayCount", default)]
     pub(crate) counter_allowed: bool,
-    /// Required on real sockets where the counter may be called.
+    /// How long a call to the quota counter may take, in milliseconds. Required by the deployed gateway if
+    /// `mayCount` is true.
     #[serde(rename = "countLimitMs", default)]
     pub(crate) counter_timeout_ms: Option<f64>,
-    /// The most units that one request takes from its quota.
+    /// The maximum number of units that one request takes from its quota.
     #[serde(rename = "mostUnits")]
     pub(crate) max_units: f64,
-    /// Messages per second that a gateway accepts from its peers.
+    /// The number of messages per second that a gateway accepts from its peers.
     #[serde(rename = "peerInPerS")]
     pub(crate) peer_messages_per_second: f64,
 }
 
-/// `rules`: how endpoints drain, warm up and become overloaded.
+/// The `rules` section: how endpoints drain, warm up and become overloaded.
 #[derive(Debug, Deserialize)]
 pub(crate) struct EndpointRulesSection {
-    /// Least fraction of its capacity that an endpoint has at its start.
+    /// The minimum fraction of its full capacity that an endpoint has when it starts.
     #[serde(rename = "coldShare")]
     pub(crate) cold_start_fraction: f64,
-    /// A warming endpoint that is sent more than this multiple of its present capacity becomes overloaded.
+    /// The multiple of its present capacity above which an endpoint that is warming up becomes overloaded,
+    /// if it is sent that much throughout `tipAfterMs`.
     #[serde(rename = "fallMultiple")]
     pub(crate) overload_multiple: f64,
-    /// Sends must stop this long after an endpoint is reported as draining or gone, in milliseconds.
+    /// The time within which gateways must stop sending to an endpoint that is reported as draining or gone,
+    /// in milliseconds.
     #[serde(rename = "stopSendingWithinMs")]
     pub(crate) drain_grace_ms: f64,
-    /// How long that must last, in milliseconds.
+    /// How long an endpoint must be sent more than `fallMultiple` times its capacity to become overloaded, in
+    /// milliseconds.
     #[serde(rename = "tipAfterMs")]
     pub(crate) overload_window_ms: f64,
-    /// An endpoint is warm this long after its start at the latest, in milliseconds.
+    /// The time after its start by which an endpoint is warm at the latest, in milliseconds.
     #[serde(rename = "warmUpMs")]
     pub(crate) warm_up_ms: f64,
 }
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -1,35 +1,35 @@
-//! Why a settings object cannot be used.
+//! The error for a settings object that cannot be used.
 
 use crate::names::UnknownName;
 
-/// A settings object that has the right form but cannot be used.
+/// Why a settings object cannot be used although each key has a value of the right type.
 ///
-/// The message is the line that an operator sees. It names the key and, where it is a class's, the class.
+/// Operators see the message. It names the key and, if the key belongs to a request class, that class.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsDocumentError {
-    /// A figure that real sockets need is below 0.
-    #[error("{key} in the settings is negative")]
-    NegativeFigure {
+    /// The value of a key that only the deployed gateway reads is negative.
+    #[error("{key} is negative, expected 0 or more")]
+    Negative {
         /// The key as written in the document.
         key: &'static str,
     },
-    /// A figure that real sockets need is absent, zero, negative or not finite.
-    #[error("{key} in the settings is not a positive number")]
-    InvalidFigure {
+    /// The value of a key that only the deployed gateway reads is absent, zero, negative or not finite.
+    #[error("{key} is missing or not a number above 0")]
+    NotPositive {
         /// The key as written in the document.
         key: &'static str,
     },
     /// `discovery` is neither `pushed` nor `on_request`.
-    #[error("unknown discovery: {}", .value.as_deref().unwrap_or("none"))]
+    #[error("discovery is {}, expected pushed or on_request", .value.as_deref().unwrap_or("none"))]
     UnknownDiscoveryMode {
-        /// The value as written, where there is one.
+        /// The value as written, if there is one.
         value: Option<String>,
     },
     /// The gateway's own zone is not among `zones`.
     #[error(transparent)]
     UnknownName(#[from] UnknownName),
     /// `repeat` of a class is none of `repeatable`, `once` and `by_key`.
-    #[error("class {class}: unknown repeat: {value}")]
+    #[error("class {class}: repeat is {value}, expected repeatable, by_key or once")]
     UnknownIdempotency {
         /// The class's name.
         class: String,
@@ -37,15 +37,18 @@
         value: String,
     },
     /// `dedupScope` of a `by_key` class is none of `all`, `zone` and `cell`.
-    #[error("class {class}: unknown dedupScope: {}", .value.as_deref().unwrap_or("none"))]
+    #[error(
+        "class {class}: dedupScope is {}, expected all, zone or cell",
+        .value.as_deref().unwrap_or("none")
+    )]
     UnknownDedupGroup {
         /// The class's name.
         class: String,
-        /// The value as written, where there is one.
+        /// The value as written, if there is one.
         value: Option<String>,
     },
-    /// A `by_key` class does not say for how long endpoints remember its keys.
-    #[error("class {class} without windowMs")]
+    /// A `by_key` class has no `windowMs`, the time for which endpoints remember its idempotency keys.
+    #[error("class {class}: windowMs is missing, but repeat is by_key")]
     MissingDedupWindow {
         /// The class's name.
         class: String,
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,10 +1,10 @@
-//! The settings object that the gateway and the simulator adapter are both given.
+//! The settings object that both the gateway and the simulator adapter read.
 //!
 //! The simulator sends it as `conf` of its first message; a deployed gateway finds it as `settings` in the
 //! file that `LB_CONFIG` names. [`SettingsDocument`] is that object as it is written,
 //! [`SettingsDocument::translate`] turns it into the admission library's settings, and
-//! [`SettingsDocument::socket_settings`] reads what only a gateway with real sockets needs. Unknown keys
-//! are ignored.
+//! [`SettingsDocument::socket_settings`] returns what only the deployed gateway needs. Unknown keys are
+//! ignored.
 
 mod document;
 mod error;
--- a/crates/settings/src/names.rs
+++ b/crates/settings/src/names.rs
@@ -1,22 +1,23 @@
-//! The names behind the indexes that the admission library works with.
+//! The mapping between the names in the settings and the indexes that the admission library uses.
 
 use irishinge_admission::{ClassIndex, MachineKindIndex, PlanIndex, ZoneIndex};
 use std::fmt;
 
-/// The names that the settings give to request classes, plans, zones and machine kinds, each by its index.
+/// The names that the settings give to request classes, plans, zones and machine kinds. The position of a
+/// name in its list is the index that the admission library uses.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Names {
-    /// Request classes.
+    /// The names of the request classes.
     pub classes: Vec<String>,
-    /// Plans.
+    /// The names of the plans.
     pub plans: Vec<String>,
-    /// Zones.
+    /// The names of the zones.
     pub zones: Vec<String>,
-    /// Machine kinds.
+    /// The names of the machine kinds.
     pub machine_kinds: Vec<String>,
 }
 
-/// What a name stands for.
+/// What a name refers to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NameKind {
     /// A request class.
@@ -40,18 +41,18 @@
     }
 }
 
-/// A name that the settings do not give.
+/// A name that does not occur in the settings.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("unknown {kind}: {name}")]
 pub struct UnknownName {
-    /// What the name was expected to stand for.
+    /// What the name was expected to refer to.
     pub kind: NameKind,
-    /// The name as it came.
+    /// The name as received.
     pub name: String,
 }
 
 impl Names {
-    /// The index of the request class called `name`.
+    /// Returns the index of the request class called `name`.
     ///
     /// # Errors
     ///
@@ -60,7 +61,7 @@
         index_of(&self.classes, name, NameKind::Class).map(ClassIndex)
     }
 
-    /// The index of the plan called `name`.
+    /// Returns the index of the plan called `name`.
     ///
     /// # Errors
     ///
@@ -69,7 +70,7 @@
         index_of(&self.plans, name, NameKind::Plan).map(PlanIndex)
     }
 
-    /// The index of the zone called `name`.
+    /// Returns the index of the zone called `name`.
     ///
     /// # Errors
     ///
@@ -78,7 +79,7 @@
         index_of(&self.zones, name, NameKind::Zone).map(ZoneIndex)
     }
 
-    /// The index of the machine kind called `name`.
+    /// Returns the index of the machine kind called `name`.
     ///
     /// # Errors
     ///
@@ -88,6 +89,7 @@
     }
 }
 
+/// Returns the position of `name` in `names`. `kind` is what the error says the name refers to.
 fn index_of(names: &[String], name: &str, kind: NameKind) -> Result<usize, UnknownName> {
     names.iter().position(|known| known == name).ok_or_else(|| UnknownName { kind, name: name.to_owned() })
 }
--- a/crates/settings/src/translate.rs
+++ b/crates/settings/src/translate.rs
@@ -1,27 +1,28 @@
-//! From the settings object to the admission library's settings, with names replaced by indexes.
+//! The translation of the settings object to the admission library's settings. Names are replaced by indexes.
 
 use crate::document::{PlanSection, RequestClassSection, SettingsDocument};
 use crate::error::SettingsDocumentError;
 use crate::names::Names;
 use irishinge_admission::{ClassSettings, DedupGroup, GatewayIndex, Idempotency, PlanSettings, Settings};
 
-/// What a settings object says in the admission library's terms.
+/// The result of translating a settings object for the admission library.
 #[derive(Debug)]
 pub struct TranslatedSettings {
-    /// The library's settings.
+    /// The admission library's settings.
     pub settings: Settings,
-    /// The names behind their indexes.
+    /// The names of the classes, plans, zones and machine kinds that the settings refer to by index.
     pub names: Names,
 }
 
 impl SettingsDocument {
-    /// The admission library's settings, and the names behind their indexes.
+    /// Translates the document to the admission library's settings.
     ///
-    /// The figures are taken as they stand; [`Settings::check`] says whether a gateway can act on them.
+    /// Numbers are copied without a check; [`Settings::check`] tells whether they are in range.
     ///
     /// # Errors
     ///
-    /// Fails if a name or a keyword is unknown, or a `by_key` class is incomplete.
+    /// Fails if the gateway's zone or a keyword is unknown, or if a `by_key` class lacks `dedupScope` or
+    /// `windowMs`.
     pub fn translate(self) -> Result<TranslatedSettings, SettingsDocumentError> {
         let names = Names {
             classes: self.request_classes.iter().map(|class| class.name.clone()).collect(),
@@ -42,13 +43,13 @@
             zone,
             classes,
             plans: self.plans.into_iter().map(PlanSection::translate).collect(),
-            max_attempts: self.site_limits.max_attempts,
-            hedging_allowed: self.site_limits.hedging_allowed,
-            cancel_allowed: self.site_limits.cancel_allowed,
-            peer_messages_allowed: self.site_limits.peer_messages_allowed,
+            max_attempts: self.deployment_limits.max_attempts,
+            hedging_allowed: self.deployment_limits.hedging_allowed,
+            cancel_allowed: self.deployment_limits.cancel_allowed,
+            peer_messages_allowed: self.deployment_limits.peer_messages_allowed,
             counter_allowed: self.service_family.counter_allowed,
             peer_messages_per_second: self.service_family.peer_messages_per_second,
-            max_retry_after_ms: self.site_limits.max_retry_after_ms,
+            max_retry_after_ms: self.deployment_limits.max_retry_after_ms,
             max_units: self.service_family.max_units,
             cold_start_fraction: self.endpoint_rules.cold_start_fraction,
             warm_up_ms: self.endpoint_rules.warm_up_ms,
@@ -60,6 +61,7 @@
 }
 
 impl RequestClassSection {
+    /// Translates the class to the admission library's settings.
     fn translate(self) -> Result<ClassSettings, SettingsDocumentError> {
         Ok(ClassSettings {
             latency_objective_ms: self.latency_objective_ms,
@@ -69,6 +71,7 @@
         })
     }
 
+    /// Translates `repeat`, and for `by_key` also `dedupScope` and `windowMs`.
     fn idempotency(&self) -> Result<Idempotency, SettingsDocumentError> {
         match self.idempotency.as_str() {
             "repeatable" => Ok(Idempotency::Idempotent),
@@ -86,6 +89,7 @@
         }
     }
 
+    /// Translates `dedupScope`.
     fn dedup_group(&self) -> Result<DedupGroup, SettingsDocumentError> {
         match self.dedup_group.as_deref() {
             Some("all") => Ok(DedupGroup::All),
@@ -100,6 +104,7 @@
 }
 
 impl PlanSection {
+    /// Translates the plan to the admission library's settings.
     fn translate(self) -> PlanSettings {
         PlanSettings {
             rate_per_second: self.rate_per_second,
--- a/crates/settings/tests/settings_document.rs
+++ b/crates/settings/tests/settings_document.rs
@@ -1,4 +1,4 @@
-//! What a settings object is read as, and how one that cannot be used is rejected.
+//! Tests that a settings object is translated key by key, and that an invalid one is rejected.
 
 use irishinge_admission::{
     ClassIndex, DedupGroup, GatewayIndex, Idempotency, MachineKindIndex, PlanIndex, ZoneIndex,
@@ -9,7 +9,7 @@
 };
 use serde_json::{json, Value};
 
-/// A complete settings object, with a different figure for every key so that no two can be mixed up.
+/// A valid settings object with every key, each with a different value so that a mix-up of two keys shows.
 fn complete() -> Value {
     json!({
         "balancers": 3, "me": 1, "tickMs": 4.0, "zone": "south", "zones": ["north", "south"], "shapes": ["small", "big"],
@@ -31,17 +31,19 @@
     })
 }
 
+/// Parses a document whose values have the right types.
 fn parse(document: Value) -> SettingsDocument {
-    serde_json::from_value(document).expect("the document's form is right")
+    serde_json::from_value(document).expect("values of the right types")
 }
 
+/// Returns the error of translating a document.
 fn translation_error(document: Value) -> SettingsDocumentError {
-    parse(document).translate().expect_err("the document cannot be used")
+    parse(document).translate().expect_err("an invalid document")
 }
 
 #[test]
 fn every_key_reaches_its_field() {
-    let TranslatedSettings { settings, names } = parse(complete()).translate().expect("a sound document");
+    let TranslatedSettings { settings, names } = parse(complete()).translate().expect("a valid document");
     assert_eq!((settings.gateways, settings.this_gateway, settings.zone), (3, GatewayIndex(1), ZoneIndex(1)));
     assert_eq!((settings.tick_ms, settings.max_attempts, settings.max_retry_after_ms), (4.0, 4, 500.0));
     assert!(settings.hedging_allowed && settings.cancel_allowed && settings.counter_allowed);
@@ -70,23 +72,23 @@
     );
 }
 
-/// `lateShare` and `hardSlack` belong to the settings of every deployment, but no rule reads them. They may
-/// have any value or none, and change nothing.
+/// `lateShare` and `hardSlack` are in the settings of every deployment, but nothing reads them. Whatever
+/// their values are, the document must not be rejected and the result must stay the same.
 #[test]
-fn keys_that_no_rule_reads_may_have_any_value() {
-    let expected = parse(complete()).translate().expect("a sound document").settings;
+fn unused_keys_may_have_any_value() {
+    let expected = parse(complete()).translate().expect("a valid document").settings;
     for value in [Value::Null, json!(-1.0), json!("unknown")] {
         let mut document = complete();
         document["classes"][1]["lateShare"] = value.clone();
         document["tiersOfService"][0]["hardSlack"] = value;
         document["addedLater"] = json!(true);
-        assert_eq!(parse(document).translate().expect("a sound document").settings, expected);
+        assert_eq!(parse(document).translate().expect("a valid document").settings, expected);
     }
 }
 
 #[test]
-fn socket_settings_are_read_from_the_same_document() {
-    let settings = parse(complete()).socket_settings().expect("a sound document");
+fn socket_settings_are_read_from_the_document() {
+    let settings = parse(complete()).socket_settings().expect("a valid document");
     let expected = SocketSettings {
         idle_connection_timeout_ms: 15000.0,
         connect_timeout_ms: 250.0,
@@ -99,24 +101,36 @@
     let mut without_counter = complete();
     without_counter["discovery"] = "pushed".into();
     without_counter["familyInfo"] = json!({"mostUnits": 6, "peerInPerS": 60.0});
-    let settings = parse(without_counter).socket_settings().expect("a sound document");
+    let settings = parse(without_counter).socket_settings().expect("a valid document");
     assert_eq!((settings.counter_timeout_ms, settings.discovery_mode), (0.0, DiscoveryMode::Pushed));
 }
 
 #[test]
-fn an_unusable_keyword_is_rejected_with_its_class_and_key() {
+fn an_unknown_or_missing_keyword_is_rejected_with_its_class_and_key() {
     let mut unknown_repeat = complete();
     unknown_repeat["classes"][0]["repeat"] = "sometimes".into();
-    assert_eq!(translation_error(unknown_repeat).to_string(), "class read: unknown repeat: sometimes");
+    assert_eq!(
+        translation_error(unknown_repeat).to_string(),
+        "class read: repeat is sometimes, expected repeatable, by_key or once"
+    );
     let mut unknown_scope = complete();
     unknown_scope["classes"][1]["dedupScope"] = "rack".into();
-    assert_eq!(translation_error(unknown_scope).to_string(), "class order: unknown dedupScope: rack");
+    assert_eq!(
+        translation_error(unknown_scope).to_string(),
+        "class order: dedupScope is rack, expected all, zone or cell"
+    );
     let mut no_scope = complete();
     no_scope["classes"][1]["dedupScope"] = Value::Null;
-    assert_eq!(translation_error(no_scope).to_string(), "class order: unknown dedupScope: none");
+    assert_eq!(
+        translation_error(no_scope).to_string(),
+        "class order: dedupScope is none, expected all, zone or cell"
+    );
     let mut no_window = complete();
     no_window["classes"][1]["windowMs"] = Value::Null;
-    assert_eq!(translation_error(no_window).to_string(), "class order without windowMs");
+    assert_eq!(
+        translation_error(no_window).to_string(),
+        "class order: windowMs is missing, but repeat is by_key"
+    );
     let mut unknown_zone = complete();
     unknown_zone["zone"] = "west".into();
     let expected = UnknownName { kind: NameKind::Zone, name: "west".into() };
@@ -124,50 +138,51 @@
 }
 
 #[test]
-fn a_figure_that_sockets_cannot_use_is_rejected_by_its_key() {
+fn a_timeout_that_is_not_positive_is_rejected_by_its_key() {
     for (section, key) in
         [("ceilings", "connIdleMs"), ("ceilings", "connectTimeoutMs"), ("familyInfo", "countLimitMs")]
     {
-        for unsound in [Value::Null, json!(0.0), json!(-1.0)] {
+        for invalid in [Value::Null, json!(0.0), json!(-1.0)] {
             let mut document = complete();
-            document[section][key] = unsound;
-            let error = parse(document).socket_settings().expect_err("not a figure to use");
-            assert_eq!(error, SettingsDocumentError::InvalidFigure { key });
-            assert_eq!(error.to_string(), format!("{key} in the settings is not a positive number"));
+            document[section][key] = invalid;
+            let error = parse(document).socket_settings().expect_err("an invalid timeout");
+            assert_eq!(error, SettingsDocumentError::NotPositive { key });
+            assert_eq!(error.to_string(), format!("{key} is missing or not a number above 0"));
         }
     }
 }
 
-/// A negative drain grace would be taken for 0, which is not what the deployment means.
+/// The gateway would treat a negative drain grace as 0, which is not what the deployment intends.
 #[test]
 fn a_negative_drain_grace_is_rejected() {
     let mut document = complete();
     document["rules"]["stopSendingWithinMs"] = json!(-1.0);
-    let error = parse(document.clone()).socket_settings().expect_err("not a figure to use");
-    assert_eq!(error.to_string(), "stopSendingWithinMs in the settings is negative");
+    let error = parse(document.clone()).socket_settings().expect_err("an invalid drain grace");
+    assert_eq!(error.to_string(), "stopSendingWithinMs is negative, expected 0 or more");
     document["rules"]["stopSendingWithinMs"] = json!(0.0);
     assert!(parse(document).socket_settings().is_ok());
 }
 
 #[test]
 fn an_unknown_discovery_mode_is_rejected() {
-    for (value, message) in
-        [(json!("by_mail"), "unknown discovery: by_mail"), (Value::Null, "unknown discovery: none")]
-    {
+    for (value, message) in [
+        (json!("by_mail"), "discovery is by_mail, expected pushed or on_request"),
+        (Value::Null, "discovery is none, expected pushed or on_request"),
+    ] {
         let mut document = complete();
         document["discovery"] = value;
-        let error = parse(document).socket_settings().expect_err("no such mode");
+        let error = parse(document).socket_settings().expect_err("an unknown mode");
         assert_eq!(error.to_string(), message);
     }
 }
 
 #[test]
-fn the_documented_example_can_be_used() {
+fn the_documented_example_is_valid() {
     let example: Value =
         serde_json::from_str(include_str!("../../../docs/example-config.json")).expect("JSON");
     let document = parse(example["settings"].clone());
-    let sockets = document.socket_settings().expect("sound figures for sockets");
+    let sockets = document.socket_settings().expect("valid timeouts and discovery mode");
     assert_eq!(sockets.discovery_mode, DiscoveryMode::Pushed);
-    let settings = document.translate().expect("sound names and keywords").settings;
+    let settings = document.translate().expect("known names and keywords").settings;
     assert_eq!(settings.check(), Ok(()));
 }
