--- a/crates/simulator-adapter/src/hosted_gateways.rs
+++ b/crates/simulator-adapter/src/hosted_gateways.rs
@@ -1,4 +1,4 @@
-//! The gateways that run in this process, each with state of its own.
+//! The gateways that run in this process, each with its own state.
 
 use crate::wire::input::{Batch, BatchPart, EventMessage, InputMessage, StartMessage};
 use crate::wire::output::{OutputMessage, Reply, ReplyPart};
@@ -7,54 +7,61 @@
 use irishinge_settings::{Names, SettingsDocumentError, TranslatedSettings};
 use std::collections::BTreeMap;
 
-/// Why a batch could not be answered.
+/// Why a batch could not be processed.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum BatchError {
-    /// The line is not a batch, or the reply cannot be written as JSON.
+    /// The line cannot be parsed as a batch, or the reply cannot be serialized.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
     /// A gateway's settings object cannot be translated.
     #[error("settings of {gateway_id}: {source}")]
     SettingsDocument { gateway_id: String, source: SettingsDocumentError },
-    /// A gateway's settings have a figure out of range.
+    /// The admission library rejects a gateway's settings.
     #[error("settings of {gateway_id}: {source}")]
     Settings { gateway_id: String, source: SettingsError },
     /// An event names a gateway that is not running.
-    #[error("{gateway_id} was not started")]
-    NotStarted { gateway_id: String },
-    /// An event cannot be translated to the library's terms.
+    #[error("event for {gateway_id}: the gateway is not running")]
+    NotRunning { gateway_id: String },
+    /// An event cannot be translated for the admission library.
     #[error("event for {gateway_id}: {source}")]
     Event { gateway_id: String, source: TranslationError },
 }
 
+/// A running gateway.
 struct HostedGateway {
+    /// The gateway's state in the admission library.
     gateway: Gateway,
+    /// The names that the gateway's settings give to classes, plans, zones and machine kinds.
     names: Names,
 }
 
-/// All running gateways of this process, by the simulator's id.
+/// All running gateways of this process.
 #[derive(Default)]
 pub(crate) struct HostedGateways {
+    /// The gateways by the simulator's id.
     gateways: BTreeMap<String, HostedGateway>,
 }
 
 impl HostedGateways {
-    /// Delivers one line of input and returns the line of output that replies to it, without its newline.
+    /// Delivers the messages of one line of input and returns the line of output that replies to it, without
+    /// its newline.
     ///
     /// # Errors
     ///
-    /// Fails if the line cannot be read. The gateways may then have received the beginning of the batch.
-    pub(crate) fn answer(&mut self, line: &str) -> Result<String, BatchError> {
+    /// Fails if the line or one of its messages cannot be processed. Gateways may already have received the
+    /// messages before that one.
+    pub(crate) fn process_batch(&mut self, line: &str) -> Result<String, BatchError> {
         let batch: Batch = serde_json::from_str(line)?;
         let mut reply = Reply::default();
         for part in batch.parts {
-            reply.parts.extend(self.answer_part(batch.clock_ms, part)?);
+            reply.parts.extend(self.process_part(batch.clock_ms, part)?);
         }
         Ok(serde_json::to_string(&reply)?)
     }
 
-    /// Delivers one gateway's messages. A gateway that takes no action is absent from the reply.
-    fn answer_part(&mut self, now_ms: f64, part: BatchPart) -> Result<Option<ReplyPart>, BatchError> {
+    /// Delivers one gateway's messages and returns its part of the reply, or `None` if the gateway takes no
+    /// action.
+    fn process_part(&mut self, now_ms: f64, part: BatchPart) -> Result<Option<ReplyPart>, BatchError> {
         let mut actions = Vec::new();
         for message in part.messages {
             self.deliver(&part.gateway_id, now_ms, message, &mut actions)?;
@@ -66,6 +73,7 @@
         Ok(Some(ReplyPart { gateway_id: part.gateway_id, messages }))
     }
 
+    /// Delivers one message and appends the actions that the gateway takes to `actions`.
     fn deliver(
         &mut self,
         gateway_id: &str,
@@ -77,8 +85,7 @@
             InputMessage::Start(start) => self.start(gateway_id, now_ms, start),
             InputMessage::Kill => {
                 self.gateways.remove(gateway_id);
-                // A process that was killed writes nothing any more, also of what it decided earlier in
-                // this batch.
+                // A killed process writes nothing, so actions from earlier in this batch are dropped too.
                 actions.clear();
                 Ok(())
             }
@@ -86,6 +93,7 @@
         }
     }
 
+    /// Starts a gateway, in place of one that may be running under this id.
     fn start(&mut self, gateway_id: &str, now_ms: f64, start: StartMessage) -> Result<(), BatchError> {
         let TranslatedSettings { settings, names } = start
             .settings
@@ -97,6 +105,7 @@
         Ok(())
     }
 
+    /// Delivers an event to a running gateway.
     fn deliver_event(
         &mut self,
         gateway_id: &str,
@@ -107,7 +116,7 @@
         let hosted = self
             .gateways
             .get_mut(gateway_id)
-            .ok_or_else(|| BatchError::NotStarted { gateway_id: gateway_id.to_owned() })?;
+            .ok_or_else(|| BatchError::NotRunning { gateway_id: gateway_id.to_owned() })?;
         let event = message
             .into_event(&hosted.names)
             .map_err(|source| BatchError::Event { gateway_id: gateway_id.to_owned(), source })?;
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,7 +1,7 @@
 //! Runs gateways inside the simulator: reads batches of events on standard input and writes one reply for
 //! each on standard output, with the same admission library that the deployed gateway uses.
 //!
-//! The program only translates; the library decides. Input that it cannot read ends it with one line on
+//! The program only translates; the library decides. On input that it cannot read, it ends with one line on
 //! standard error.
 
 mod hosted_gateways;
@@ -11,24 +11,27 @@
 use std::io::{BufRead, Write};
 use std::process::ExitCode;
 
-/// Why the adapter ended before its input did.
+/// Why the adapter ended before the end of its input.
 #[derive(Debug, thiserror::Error)]
 enum AdapterError {
+    /// Standard input cannot be read.
     #[error("cannot read input: {0}")]
     Read(#[source] std::io::Error),
+    /// A line of input cannot be processed. Lines are counted from 1.
     #[error("input line {line_number}: {source}")]
     Batch { line_number: usize, source: BatchError },
-    #[error("cannot write: {0}")]
+    /// Standard output cannot be written.
+    #[error("cannot write output: {0}")]
     Write(#[source] std::io::Error),
 }
 
-/// Answers each line of `input` with a line on `output`, until the input ends.
-fn answer_batches(input: impl BufRead, mut output: impl Write) -> Result<(), AdapterError> {
+/// Writes one line to `output` for each line of `input`, until the input ends.
+fn process_batches(input: impl BufRead, mut output: impl Write) -> Result<(), AdapterError> {
     let mut gateways = HostedGateways::default();
     for (index, line) in input.lines().enumerate() {
         let line = line.map_err(AdapterError::Read)?;
         let reply = gateways
-            .answer(&line)
+            .process_batch(&line)
             .map_err(|source| AdapterError::Batch { line_number: index + 1, source })?;
         writeln!(output, "{reply}").and_then(|()| output.flush()).map_err(AdapterError::Write)?;
     }
@@ -36,7 +39,7 @@
 }
 
 fn main() -> ExitCode {
-    match answer_batches(std::io::stdin().lock(), std::io::stdout().lock()) {
+    match process_batches(std::io::stdin().lock(), std::io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("irishinge-simulator-adapter: {error}");
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -1,9 +1,9 @@
-//! The simulator's wire: one JSON value a line.
+//! The simulator's wire format: one JSON value per line.
 //!
-//! [`input`] and [`output`] are the messages as they are written; `endpoint_list_messages` and
-//! `event_messages` are those that come in at a gateway. The wire's names are mapped to ours there only:
-//! fields have ours, and serde renames carry the wire's. Events and actions of the admission library are made
-//! from and to them in `event` and `action`.
+//! [`input`] and [`output`] define the lines; `endpoint_list_messages` and `event_messages` define messages
+//! to a gateway. Only these modules map wire names to fields: a field has the name that the rest of the
+//! program uses, and its serde attribute has the wire name if that differs. `event` translates messages to
+//! events of the admission library, and `action` translates the library's actions to messages.
 
 mod action;
 mod endpoint_list_messages;
--- a/crates/simulator-adapter/src/wire/action.rs
+++ b/crates/simulator-adapter/src/wire/action.rs
@@ -1,4 +1,4 @@
-//! From actions of the admission library to messages of the wire.
+//! The translation of the admission library's actions to wire messages.
 
 use super::ids::{EndpointAddress, HexId};
 use super::output::OutputMessage;
@@ -24,7 +24,8 @@
     }
 }
 
-/// The recipient of a peer message. The wire's -1, which stands for all other gateways, is never written.
+/// Returns the wire's number of the gateway that a peer message is sent to. It is never -1, which stands for
+/// all other gateways.
 fn recipient(peer: GatewayIndex) -> i64 {
     i64::try_from(peer.0).unwrap_or(i64::MAX)
 }
--- a/crates/simulator-adapter/src/wire/event.rs
+++ b/crates/simulator-adapter/src/wire/event.rs
@@ -1,10 +1,10 @@
-//! From messages of the wire to events of the admission library.
+//! The translation of wire messages to the admission library's events.
 
 use super::endpoint_list_messages::{
-    EndpointEntryMessage, EndpointListKind, EndpointListMessage, EndpointStateMessage,
+    EndpointListMessage, WireEndpointEntry, WireEndpointState, WireListUpdateKind,
 };
 use super::event_messages::{
-    AttemptEndedMessage, CounterOutcomeMessage, CounterReplyMessage, OutcomeMessage, RequestMessage,
+    AttemptEndedMessage, CounterReplyMessage, RequestMessage, WireCounterOutcome, WireOutcome,
 };
 use super::input::EventMessage;
 use irishinge_admission::{
@@ -13,19 +13,19 @@
 };
 use irishinge_settings::{Names, UnknownName};
 
-/// A message that has the wire's form but cannot be translated to the library's terms.
+/// Why a well-formed message cannot be translated to an event.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum TranslationError {
     /// A class, plan, zone or machine kind is not among those of the settings.
     #[error(transparent)]
     UnknownName(#[from] UnknownName),
-    /// The counter responded without its total.
-    #[error("counter reply without total")]
+    /// A reply of the quota counter has the verdict `OK` but no total.
+    #[error("counter reply with verdict OK has no total")]
     CounterReplyWithoutTotal,
 }
 
 impl EventMessage {
-    /// The event in the library's terms, with names replaced by the indexes that `names` gives them.
+    /// Translates the message to an event. Names are replaced by the indexes that they have in `names`.
     pub(crate) fn into_event(self, names: &Names) -> Result<Event, TranslationError> {
         Ok(match self {
             EventMessage::EndpointList(list) => list.into_event(names)?,
@@ -35,16 +35,19 @@
             EventMessage::PeerMessage(message) => {
                 Event::PeerMessage { from: GatewayIndex(message.from), body: message.body }
             }
-            EventMessage::ClientGone(client) => Event::ClientGone { request: RequestId(client.request.0) },
+            EventMessage::ClientDisconnected(client) => {
+                Event::ClientGone { request: RequestId(client.request.0) }
+            }
             EventMessage::AttemptEnded(attempt) => Event::AttemptEnded(attempt.into_attempt_end()),
-            // No decision depends on them, but as after every event the library sends queued requests that
-            // may go.
+            // No decision depends on these messages. But the library sends queued requests after every event,
+            // so they must still advance its time.
             EventMessage::HealthCheckDone | EventMessage::StreamOpened => Event::TimeAdvanced,
         })
     }
 }
 
 impl EndpointListMessage {
+    /// Translates the message to an event.
     fn into_event(self, names: &Names) -> Result<Event, UnknownName> {
         let entries =
             self.entries.into_iter().map(|entry| entry.into_entry(names)).collect::<Result<_, _>>()?;
@@ -52,18 +55,19 @@
     }
 }
 
-impl From<EndpointListKind> for ListKind {
-    fn from(kind: EndpointListKind) -> Self {
+impl From<WireListUpdateKind> for ListKind {
+    fn from(kind: WireListUpdateKind) -> Self {
         match kind {
-            EndpointListKind::Changes => ListKind::Changes,
-            EndpointListKind::Complete => ListKind::Complete,
-            EndpointListKind::Cached => ListKind::Cached,
-            EndpointListKind::Failed => ListKind::Failed,
+            WireListUpdateKind::Changes => ListKind::Changes,
+            WireListUpdateKind::Complete => ListKind::Complete,
+            WireListUpdateKind::Cached => ListKind::Cached,
+            WireListUpdateKind::Failed => ListKind::Failed,
         }
     }
 }
 
-impl EndpointEntryMessage {
+impl WireEndpointEntry {
+    /// Translates the entry to the admission library's endpoint entry.
     fn into_entry(self, names: &Names) -> Result<EndpointEntry, UnknownName> {
         Ok(EndpointEntry {
             id: self.endpoint.0,
@@ -71,22 +75,23 @@
             kind: names.machine_kind_index(&self.machine_kind)?,
             cell: self.cell,
             state: self.state.into(),
-            started_at_ms: positive(self.started_at_ms),
+            started_at_ms: positive_or_none(self.started_at_ms),
         })
     }
 }
 
-impl From<EndpointStateMessage> for EndpointState {
-    fn from(state: EndpointStateMessage) -> Self {
+impl From<WireEndpointState> for EndpointState {
+    fn from(state: WireEndpointState) -> Self {
         match state {
-            EndpointStateMessage::Ready => EndpointState::Ready,
-            EndpointStateMessage::Draining => EndpointState::Draining,
-            EndpointStateMessage::Gone => EndpointState::Gone,
+            WireEndpointState::Ready => EndpointState::Ready,
+            WireEndpointState::Draining => EndpointState::Draining,
+            WireEndpointState::Gone => EndpointState::Gone,
         }
     }
 }
 
 impl RequestMessage {
+    /// Translates the message to the admission library's request.
     fn into_request(self, names: &Names) -> Result<Request, UnknownName> {
         Ok(Request {
             id: RequestId(self.request.0),
@@ -103,19 +108,21 @@
 }
 
 impl CounterReplyMessage {
+    /// Translates the message to an event.
     fn into_event(self) -> Result<Event, TranslationError> {
         let outcome = match self.outcome {
-            CounterOutcomeMessage::Total => {
+            WireCounterOutcome::Total => {
                 CounterOutcome::Total(self.total.ok_or(TranslationError::CounterReplyWithoutTotal)?)
             }
-            CounterOutcomeMessage::Rejected => CounterOutcome::Rejected,
-            CounterOutcomeMessage::Unanswered => CounterOutcome::Unanswered,
+            WireCounterOutcome::Rejected => CounterOutcome::Rejected,
+            WireCounterOutcome::Unanswered => CounterOutcome::Unanswered,
         };
         Ok(Event::CounterReply { name: self.name, outcome })
     }
 }
 
 impl AttemptEndedMessage {
+    /// Translates the message to the admission library's record of how the attempt ended.
     fn into_attempt_end(self) -> AttemptEnd {
         AttemptEnd {
             request: RequestId(self.request.0),
@@ -124,27 +131,27 @@
             outcome: self.outcome.into(),
             took_ms: self.took_ms,
             closed: self.request_closed,
-            true_units: positive(self.true_units),
+            true_units: positive_or_none(self.true_units),
         }
     }
 }
 
-impl From<OutcomeMessage> for Outcome {
-    fn from(outcome: OutcomeMessage) -> Self {
+impl From<WireOutcome> for Outcome {
+    fn from(outcome: WireOutcome) -> Self {
         match outcome {
-            OutcomeMessage::Ok => Outcome::Ok,
-            OutcomeMessage::Error => Outcome::Error,
-            OutcomeMessage::Overloaded => Outcome::Overloaded,
-            OutcomeMessage::TimedOut => Outcome::TimedOut,
-            OutcomeMessage::ConnectFailed => Outcome::ConnectFailed,
-            OutcomeMessage::Reset => Outcome::Reset,
-            OutcomeMessage::Cancelled => Outcome::Cancelled,
-            OutcomeMessage::TooLate => Outcome::TooLate,
+            WireOutcome::Ok => Outcome::Ok,
+            WireOutcome::Error => Outcome::Error,
+            WireOutcome::Overloaded => Outcome::Overloaded,
+            WireOutcome::TimedOut => Outcome::TimedOut,
+            WireOutcome::ConnectFailed => Outcome::ConnectFailed,
+            WireOutcome::Reset => Outcome::Reset,
+            WireOutcome::Cancelled => Outcome::Cancelled,
+            WireOutcome::TooLate => Outcome::TooLate,
         }
     }
 }
 
-/// On the wire, 0 stands for an absent figure.
-fn positive(value: Option<f64>) -> Option<f64> {
-    value.filter(|figure| *figure > 0.0)
+/// Returns `value` if it is above 0. On the wire, 0 stands for an absent value.
+fn positive_or_none(value: Option<f64>) -> Option<f64> {
+    value.filter(|value| *value > 0.0)
 }
--- a/crates/simulator-adapter/src/wire/event_messages.rs
+++ b/crates/simulator-adapter/src/wire/event_messages.rs
@@ -1,46 +1,48 @@
-//! What comes in at a gateway besides the endpoint list, as the wire has it.
+//! The messages to a gateway other than updates of the endpoint list.
 
 use super::ids::{EndpointAddress, HexId};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 
-/// A client's request.
+/// A message that reports a client's request.
 #[derive(Deserialize)]
 pub(crate) struct RequestMessage {
-    /// Its id.
+    /// The id of the request.
     #[serde(rename = "job")]
     pub(super) request: HexId,
-    /// The name of its class.
+    /// The name of the request class.
     #[serde(rename = "category")]
     pub(super) class: String,
-    /// The name of its customer's plan.
+    /// The name of the customer's plan.
     #[serde(rename = "tariff")]
     pub(super) plan: String,
-    /// Its customer.
+    /// The id of the customer.
     #[serde(rename = "member")]
     pub(super) customer: HexId,
-    /// How long the client still waits, in milliseconds.
+    /// The time until the request's deadline, in milliseconds.
     #[serde(rename = "timeLeftMs")]
     pub(super) time_left_ms: f64,
-    /// The units that it takes from its quota.
+    /// The units that the request takes from its customer's quota; an estimate if the true units come with
+    /// the response.
     #[serde(rename = "weight")]
     pub(super) units: f64,
     /// The number of gateways that the customer's requests arrive at.
     #[serde(rename = "spread")]
     pub(super) gateway_count: usize,
-    /// The number of the first of them.
+    /// The number of the first of these gateways. The others follow it by number, and number 0 follows the
+    /// last gateway.
     #[serde(rename = "fromNo")]
     pub(super) first_gateway: usize,
-    /// Whether it is marked as a client's retry.
+    /// Whether the client marked the request as its own retry.
     #[serde(rename = "resent", default)]
     pub(super) is_client_retry: bool,
-    /// Whether it is a write. No rule goes by it, so that only its form is checked.
+    /// Whether the request is a write. No rule uses this; it is parsed to reject malformed messages.
     #[serde(default)]
-    #[expect(dead_code, reason = "only its form is checked")]
+    #[expect(dead_code, reason = "parsed only to reject malformed messages")]
     write: bool,
 }
 
-/// A timer is due.
+/// A message that reports a timer that is due.
 #[derive(Deserialize)]
 pub(crate) struct TimerMessage {
     /// The token that the timer was set with.
@@ -48,132 +50,152 @@
     pub(super) token: u64,
 }
 
-/// The quota counter's response.
+/// A message that reports the end of a call to the quota counter.
 #[derive(Deserialize)]
 pub(crate) struct CounterReplyMessage {
-    /// The counter's name.
+    /// The name of the counter.
     #[serde(rename = "book")]
     pub(super) name: u64,
-    /// The total after the call, in units; absent where there is none.
+    /// The total after the call, in units; absent if the counter returned none.
     pub(super) total: Option<f64>,
-    /// Time since the call, in milliseconds. No rule goes by it, so that only its form is checked.
+    /// The time since the call, in milliseconds. No rule uses it; it is parsed to reject malformed messages.
     #[serde(rename = "timeTakenMs")]
-    #[expect(dead_code, reason = "only its form is checked")]
+    #[expect(dead_code, reason = "parsed only to reject malformed messages")]
     took_ms: f64,
-    /// How the call ended.
+    /// The result of the call.
     #[serde(rename = "verdict")]
-    pub(super) outcome: CounterOutcomeMessage,
+    pub(super) outcome: WireCounterOutcome,
 }
 
-/// How a call to the quota counter ended.
+/// The result of a call to the quota counter.
 #[derive(Deserialize)]
-pub(super) enum CounterOutcomeMessage {
+pub(super) enum WireCounterOutcome {
+    /// The counter returned its total.
     #[serde(rename = "OK")]
     Total,
+    /// The call was rejected, and nothing was added.
     #[serde(rename = "RESOURCE_EXHAUSTED", alias = "UNAVAILABLE")]
     Rejected,
+    /// No response came. The amount may have been added.
     #[serde(rename = "DEADLINE_EXCEEDED")]
     Unanswered,
 }
 
-/// Values of an endpoint's load report by their names; absent where no report came.
+/// The values of an endpoint's load report by name; absent if there is no report.
 pub(super) type LoadReport = Option<BTreeMap<String, f64>>;
 
-/// The end of a health check. It is read in full, so that a malformed one is still an error.
+/// A message that reports the end of a health check. Its fields are parsed only to reject malformed messages.
 #[derive(Deserialize)]
-#[expect(dead_code, reason = "only its form is checked")]
+#[expect(dead_code, reason = "parsed only to reject malformed messages")]
 pub(super) struct HealthCheckDoneMessage {
+    /// The endpoint that was checked.
     #[serde(rename = "host")]
     endpoint: EndpointAddress,
+    /// How the health check ended.
     #[serde(rename = "verdict")]
-    outcome: OutcomeMessage,
+    outcome: WireOutcome,
+    /// The time since the health check was sent, in milliseconds.
     #[serde(rename = "timeTakenMs")]
     took_ms: f64,
+    /// The endpoint's load report.
     load: LoadReport,
 }
 
 /// A message from another gateway.
 #[derive(Deserialize)]
 pub(crate) struct PeerMessage {
-    /// The number of the gateway that sent it.
+    /// The number of the gateway that sent the message.
     #[serde(rename = "neighbour")]
     pub(super) from: usize,
-    /// Its text.
+    /// The text of the message.
     #[serde(rename = "data")]
     pub(super) body: String,
 }
 
-/// The client disconnected.
+/// A message that reports that a client disconnected.
 #[derive(Deserialize)]
-pub(crate) struct ClientGoneMessage {
-    /// The client's request.
+pub(crate) struct ClientDisconnectedMessage {
+    /// The id of the client's request.
     #[serde(rename = "job")]
     pub(super) request: HexId,
 }
 
-/// The end of an attempt.
+/// A message that reports the end of an attempt.
 #[derive(Deserialize)]
 pub(crate) struct AttemptEndedMessage {
-    /// The request.
+    /// The id of the attempt's request.
     #[serde(rename = "job")]
     pub(super) request: HexId,
     /// How the attempt ended.
     #[serde(rename = "verdict")]
-    pub(super) outcome: OutcomeMessage,
-    /// Absent, or 0, where the response did not carry the true units.
+    pub(super) outcome: WireOutcome,
+    /// The true units that the request took from its customer's quota; absent or 0 if the response did not
+    /// carry them.
     #[serde(rename = "charged")]
     pub(super) true_units: Option<f64>,
-    /// Whether the request has its final response.
+    /// Whether the request has its final response or its client has disconnected.
     #[serde(rename = "closed")]
     pub(super) request_closed: bool,
-    /// Time since it was sent, in milliseconds.
+    /// The time since the attempt was sent, in milliseconds.
     #[serde(rename = "timeTakenMs")]
     pub(super) took_ms: f64,
-    /// Its endpoint.
+    /// The endpoint that the attempt was sent to.
     #[serde(rename = "host")]
     pub(super) endpoint: EndpointAddress,
-    /// 1 + the customer's use in percent of its rate; absent, or 0, where the meter gave none. No rule goes
-    /// by it, so that only its form is checked.
+    /// 1 + the customer's use in percent of its rate; absent or 0 if the meter gave none. No rule uses it; it
+    /// is parsed to reject malformed messages.
     #[serde(rename = "metered")]
-    #[expect(dead_code, reason = "only its form is checked")]
+    #[expect(dead_code, reason = "parsed only to reject malformed messages")]
     metered_percent_plus_one: Option<f64>,
-    /// Its number among the request's attempts, from 0.
+    /// The number of the attempt among those of the request, from 0.
     #[serde(rename = "sendNo")]
     pub(super) attempt: u32,
-    /// The endpoint's load report. No rule goes by it, so that only its form is checked.
-    #[expect(dead_code, reason = "only its form is checked")]
+    /// The endpoint's load report. No rule uses it; it is parsed to reject malformed messages.
+    #[expect(dead_code, reason = "parsed only to reject malformed messages")]
     load: LoadReport,
 }
 
 /// How an attempt or a health check ended.
 #[derive(Deserialize)]
-pub(super) enum OutcomeMessage {
+pub(super) enum WireOutcome {
+    /// The endpoint responded without an error.
     #[serde(rename = "OK")]
     Ok,
+    /// The endpoint responded with an error. The request may have run.
     #[serde(rename = "INTERNAL")]
     Error,
+    /// The endpoint rejected the request without running it.
     #[serde(rename = "RESOURCE_EXHAUSTED")]
     Overloaded,
+    /// No response came in time. The request may have run or be running.
     #[serde(rename = "DEADLINE_EXCEEDED")]
     TimedOut,
+    /// Nothing was written to the endpoint, so the request never ran.
     #[serde(rename = "UNAVAILABLE")]
     ConnectFailed,
+    /// The connection broke. The request may have run.
     #[serde(rename = "ABORTED")]
     Reset,
+    /// The attempt was cancelled. The request may have run.
     #[serde(rename = "CANCELLED")]
     Cancelled,
+    /// The attempt was never sent, and the endpoint is not at fault.
     #[serde(rename = "TOO_LATE")]
     TooLate,
 }
 
-/// A streamed response began. It is read in full, so that a malformed one is still an error.
+/// A message that reports the beginning of a streamed response. Its fields are parsed only to reject
+/// malformed messages.
 #[derive(Deserialize)]
-#[expect(dead_code, reason = "only its form is checked")]
+#[expect(dead_code, reason = "parsed only to reject malformed messages")]
 pub(super) struct StreamOpenedMessage {
+    /// The id of the request.
     #[serde(rename = "job")]
     request: HexId,
+    /// The number of the attempt among those of the request, from 0.
     #[serde(rename = "sendNo")]
     attempt: u32,
+    /// The endpoint that the attempt was sent to.
     #[serde(rename = "host")]
     endpoint: EndpointAddress,
 }
--- a/crates/simulator-adapter/src/wire/ids.rs
+++ b/crates/simulator-adapter/src/wire/ids.rs
@@ -1,22 +1,22 @@
-//! Ids and addresses, which must go out exactly as they came in.
+//! Ids and addresses, which must be written exactly as they were read.
 
 use irishinge_admission::EndpointId;
 use serde::{Deserialize, Serialize, Serializer};
 use std::fmt;
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-/// Bits of an [`EndpointId`] that hold the port; the address is above them.
+/// The number of low bits of an [`EndpointId`] that hold the port. The IPv4 address is above them.
 const PORT_BITS: u32 = u16::BITS;
 
-/// An id or address that could not be written back as it came.
+/// Why a string is not an id or address that can be written exactly as it was read.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum IdError {
-    /// Not 16 lower-case hex digits.
-    #[error("not an id of 16 hex digits: {0}")]
-    NotHexadecimal(String),
-    /// Not an IPv4 address and port in their plain form.
-    #[error("not an endpoint: {0}")]
-    NotAnEndpoint(String),
+    /// The string is not 16 lower-case hex digits.
+    #[error("not an id of 16 lower-case hex digits: {0}")]
+    InvalidHexId(String),
+    /// The string is not an IPv4 address and port in canonical form.
+    #[error("not an IPv4 address and port in canonical form: {0}")]
+    InvalidEndpointAddress(String),
 }
 
 /// The id of a request or customer: 16 lower-case hex digits.
@@ -30,7 +30,7 @@
     fn try_from(text: String) -> Result<Self, IdError> {
         match u64::from_str_radix(&text, 16).map(HexId) {
             Ok(id) if id.to_string() == text => Ok(id),
-            _ => Err(IdError::NotHexadecimal(text)),
+            _ => Err(IdError::InvalidHexId(text)),
         }
     }
 }
@@ -47,8 +47,8 @@
     }
 }
 
-/// An endpoint as `address:port`. The admission library's id holds both, so that no table is needed to go
-/// back.
+/// An endpoint, written as `address:port`. The admission library's id holds both, so that no table is needed
+/// to translate it back.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(try_from = "String")]
 pub(crate) struct EndpointAddress(pub(crate) EndpointId);
@@ -62,7 +62,7 @@
                 let ip = u64::from(u32::from(*address.ip()));
                 Ok(EndpointAddress(EndpointId(ip << PORT_BITS | u64::from(address.port()))))
             }
-            _ => Err(IdError::NotAnEndpoint(text)),
+            _ => Err(IdError::InvalidEndpointAddress(text)),
         }
     }
 }
--- a/crates/simulator-adapter/src/wire/input.rs
+++ b/crates/simulator-adapter/src/wire/input.rs
@@ -1,8 +1,8 @@
-//! A line of input: what came in at each gateway at one time.
+//! A line of input: the messages that each gateway receives at one time.
 
 use super::endpoint_list_messages::EndpointListMessage;
 use super::event_messages::{
-    AttemptEndedMessage, ClientGoneMessage, CounterReplyMessage, HealthCheckDoneMessage, PeerMessage,
+    AttemptEndedMessage, ClientDisconnectedMessage, CounterReplyMessage, HealthCheckDoneMessage, PeerMessage,
     RequestMessage, StreamOpenedMessage, TimerMessage,
 };
 use irishinge_settings::SettingsDocument;
@@ -11,20 +11,20 @@
 /// A line of input.
 #[derive(Deserialize)]
 pub(crate) struct Batch {
-    /// The time at which all events of the batch occur.
+    /// The time at which all events of the batch occur, in milliseconds on the simulator's clock.
     #[serde(rename = "clockMs")]
     pub(crate) clock_ms: f64,
-    /// The messages, by gateway.
+    /// The messages to each gateway.
     pub(crate) parts: Vec<BatchPart>,
 }
 
-/// What came in at one gateway, in order of arrival.
+/// The messages to one gateway.
 #[derive(Deserialize)]
 pub(crate) struct BatchPart {
     /// The simulator's id of the gateway.
     #[serde(rename = "gatewayId")]
     pub(crate) gateway_id: String,
-    /// The messages to it.
+    /// The messages in order of arrival.
     #[serde(rename = "arrivals")]
     pub(crate) messages: Vec<InputMessage>,
 }
@@ -33,42 +33,50 @@
 #[derive(Deserialize)]
 #[serde(from = "TaggedMessage")]
 pub(crate) enum InputMessage {
-    /// The gateway begins with nothing but these settings.
+    /// Starts the gateway, with no state but these settings.
     Start(StartMessage),
-    /// The gateway ends at once and its state is lost.
+    /// Ends the gateway at once. Its state is lost.
     Kill,
     /// An event for the admission library.
     Event(EventMessage),
 }
 
-/// The settings and random seed of a new gateway.
+/// A message that starts a gateway.
 #[derive(Deserialize)]
 pub(crate) struct StartMessage {
-    /// The seed of the gateway's random numbers.
+    /// The seed of the gateway's random number generator.
     #[serde(rename = "rngSeed")]
     pub(crate) random_seed: u64,
-    /// Its settings.
+    /// The gateway's settings.
     #[serde(rename = "conf")]
     pub(crate) settings: Box<SettingsDocument>,
 }
 
-/// An event for the admission library, as the wire has it.
+/// A message that is translated to an event of the admission library.
 pub(crate) enum EventMessage {
+    /// The endpoint list was updated, or a poll of it failed.
     EndpointList(EndpointListMessage),
+    /// A client sent a request.
     Request(RequestMessage),
+    /// A timer is due.
     Timer(TimerMessage),
+    /// A call to the quota counter ended.
     CounterReply(CounterReplyMessage),
-    /// Ignored except for its time: the library requests no health checks.
+    /// A health check ended. Only its time is used, because the library requests no health checks.
     HealthCheckDone,
+    /// Another gateway sent a message.
     PeerMessage(PeerMessage),
-    ClientGone(ClientGoneMessage),
+    /// A client disconnected.
+    ClientDisconnected(ClientDisconnectedMessage),
+    /// An attempt ended.
     AttemptEnded(AttemptEndedMessage),
-    /// Ignored except for its time: no decision depends on the beginning of a response.
+    /// A streamed response began. Only its time is used, because no decision depends on the beginning of a
+    /// response.
     StreamOpened,
 }
 
-/// All messages under the wire's names, before those for the adapter are separated from those for the
-/// library.
+/// A message of any kind, which the `msg` field names. [`InputMessage`] separates the messages that the
+/// adapter handles from those that are events for the library.
 #[derive(Deserialize)]
 #[serde(tag = "msg")]
 enum TaggedMessage {
@@ -83,15 +91,19 @@
     Timer(TimerMessage),
     CounterReply(CounterReplyMessage),
     #[serde(rename = "Echo")]
-    HealthCheckDone(#[expect(dead_code, reason = "only its form is checked")] HealthCheckDoneMessage),
+    HealthCheckDone(
+        #[expect(dead_code, reason = "parsed only to reject malformed messages")] HealthCheckDoneMessage,
+    ),
     #[serde(rename = "NoteFrom")]
     PeerMessage(PeerMessage),
     #[serde(rename = "Hangup")]
-    ClientGone(ClientGoneMessage),
+    ClientDisconnected(ClientDisconnectedMessage),
     #[serde(rename = "Result")]
     AttemptEnded(AttemptEndedMessage),
     #[serde(rename = "Opened")]
-    StreamOpened(#[expect(dead_code, reason = "only its form is checked")] StreamOpenedMessage),
+    StreamOpened(
+        #[expect(dead_code, reason = "parsed only to reject malformed messages")] StreamOpenedMessage,
+    ),
 }
 
 impl From<TaggedMessage> for InputMessage {
@@ -105,7 +117,7 @@
             TaggedMessage::CounterReply(reply) => EventMessage::CounterReply(reply),
             TaggedMessage::HealthCheckDone(_) => EventMessage::HealthCheckDone,
             TaggedMessage::PeerMessage(message) => EventMessage::PeerMessage(message),
-            TaggedMessage::ClientGone(client) => EventMessage::ClientGone(client),
+            TaggedMessage::ClientDisconnected(client) => EventMessage::ClientDisconnected(client),
             TaggedMessage::AttemptEnded(attempt) => EventMessage::AttemptEnded(attempt),
             TaggedMessage::StreamOpened(_) => EventMessage::StreamOpened,
         })
--- a/crates/simulator-adapter/src/wire/tests/events.rs
+++ b/crates/simulator-adapter/src/wire/tests/events.rs
@@ -1,4 +1,4 @@
-//! What each message of the wire is to the library.
+//! Tests that each wire message is translated to the admission library's event.
 
 use crate::wire::input::InputMessage;
 use crate::wire::TranslationError;
@@ -12,6 +12,7 @@
 const ENDPOINT: EndpointId = EndpointId(0x0a12_4a07_1b5b);
 const REQUEST: RequestId = RequestId(0xabc);
 
+/// The names of two classes, plans, zones and machine kinds.
 fn names() -> Names {
     let owned = |names: [&str; 2]| names.map(str::to_owned).to_vec();
     Names {
@@ -22,18 +23,21 @@
     }
 }
 
+/// Parses a message that is an event and translates it.
 fn translate(message: Value) -> Result<Event, TranslationError> {
-    match serde_json::from_value(message).expect("a message of the wire") {
+    match serde_json::from_value(message).expect("a well-formed message") {
         InputMessage::Event(event) => event.into_event(&names()),
         _ => panic!("not an event"),
     }
 }
 
+/// A message that reports the end of an attempt. [`attempt_end`] is its translation.
 fn result_message(verdict: &str) -> Value {
     json!({"msg": "Result", "job": "0000000000000abc", "verdict": verdict, "charged": 0, "closed": false,
         "timeTakenMs": 18.5, "host": "10.18.74.7:7003", "metered": 0, "sendNo": 2, "load": null})
 }
 
+/// The translation of [`result_message`].
 fn attempt_end(outcome: Outcome) -> AttemptEnd {
     AttemptEnd {
         request: REQUEST,
@@ -47,7 +51,7 @@
 }
 
 #[test]
-fn each_verdict_of_an_attempt_has_its_outcome() {
+fn each_verdict_of_an_attempt_is_translated() {
     let cases = [
         ("OK", Outcome::Ok),
         ("INTERNAL", Outcome::Error),
@@ -63,9 +67,9 @@
     }
 }
 
-/// No rule goes by the meter and the load report, but a malformed one is still an error of the wire.
+/// No rule uses `metered` and `load`, but a malformed value must still be an error.
 #[test]
-fn an_attempts_end_carries_units_and_is_read_with_meter_and_load() {
+fn an_attempts_units_are_read_and_its_unused_fields_are_validated() {
     let mut message = result_message("OK");
     message["charged"] = 3.into();
     message["metered"] = 86.into();
@@ -81,7 +85,7 @@
 }
 
 #[test]
-fn each_kind_of_list_and_state_of_an_endpoint_is_read() {
+fn each_list_update_kind_and_endpoint_state_is_translated() {
     let kinds = [
         ("patch", ListKind::Changes),
         ("whole", ListKind::Complete),
@@ -112,7 +116,7 @@
 }
 
 #[test]
-fn a_request_is_read_with_its_names_as_indexes() {
+fn names_in_a_request_are_replaced_by_indexes() {
     let message = json!({"msg": "Demand", "job": "0000000000000abc", "category": "order", "tariff": "large",
         "member": "91f03b7c55d20a64", "timeLeftMs": 240.0, "weight": 2, "spread": 3, "fromNo": 1, "resent": true,
         "write": true});
@@ -135,7 +139,7 @@
 }
 
 #[test]
-fn each_verdict_of_the_counter_has_its_outcome() {
+fn each_verdict_of_the_counter_is_translated() {
     let reply = |verdict: &str, total: Value| {
         translate(
             json!({"msg": "CounterReply", "book": 9, "total": total, "timeTakenMs": 2.15, "verdict": verdict}),
@@ -150,7 +154,7 @@
 }
 
 #[test]
-fn the_remaining_messages_are_read_field_by_field() {
+fn timer_disconnect_and_peer_messages_are_translated() {
     assert_eq!(translate(json!({"msg": "Bell", "name": 77})), Ok(Event::Timer { token: 77 }));
     assert_eq!(
         translate(json!({"msg": "Hangup", "job": "0000000000000abc"})),
@@ -162,19 +166,18 @@
     );
 }
 
-/// The adapter is sent two kinds of message that no decision goes by: the beginning of a response, and the
-/// end of a probe. They only move the clock, but a malformed one is an error, like any other message that
-/// cannot be read.
+/// No decision depends on two kinds of messages: the beginning of a response and the end of a health check.
+/// They only advance the time, but a malformed one must be an error like any other malformed message.
 #[test]
-fn messages_that_no_decision_goes_by_are_read_in_full_and_only_advance_the_time() {
+fn unused_messages_are_validated_and_only_advance_the_time() {
     let opened = json!({"msg": "Opened", "job": "0000000000000abc", "sendNo": 2, "host": "10.18.74.7:7003",
         "timeTakenMs": 9.25});
-    let probed = json!({"msg": "Echo", "host": "10.18.74.7:7003", "verdict": "UNAVAILABLE", "timeTakenMs": 1.5,
-        "load": {"queue": 3}});
+    let health_check_done = json!({"msg": "Echo", "host": "10.18.74.7:7003", "verdict": "UNAVAILABLE",
+        "timeTakenMs": 1.5, "load": {"queue": 3}});
     let cases = [
         (opened, vec![("job", json!("not hex")), ("sendNo", json!(-1)), ("host", json!("nowhere"))]),
         (
-            probed,
+            health_check_done,
             vec![
                 ("host", json!("nowhere")),
                 ("verdict", json!("SURPRISE")),
@@ -186,16 +189,16 @@
     for (message, malformed) in cases {
         assert_eq!(translate(message.clone()), Ok(Event::TimeAdvanced));
         for (key, value) in malformed {
-            let mut unreadable = message.clone();
-            unreadable[key] = value;
-            assert!(serde_json::from_value::<InputMessage>(unreadable).is_err(), "{key} of {message}");
+            let mut malformed_message = message.clone();
+            malformed_message[key] = value;
+            assert!(serde_json::from_value::<InputMessage>(malformed_message).is_err(), "{key} of {message}");
         }
     }
 }
 
-/// A kill ends a gateway's process and must not reach its decisions.
+/// A kill ends a gateway's process, so the library must not receive it as an event.
 #[test]
-fn a_kill_is_for_the_adapter_and_no_event() {
+fn a_kill_is_not_an_event() {
     let message: InputMessage = serde_json::from_value(json!({"msg": "CrashNow"})).expect("a message");
     assert!(matches!(message, InputMessage::Kill));
 }
--- a/crates/simulator-adapter/src/wire/tests/ids.rs
+++ b/crates/simulator-adapter/src/wire/tests/ids.rs
@@ -1,4 +1,4 @@
-//! Ids and addresses are written exactly as they were read, or are rejected.
+//! Tests that ids and addresses are written exactly as they were read, or are rejected.
 
 use crate::wire::ids::{EndpointAddress, HexId, IdError};
 use irishinge_admission::EndpointId;
@@ -7,8 +7,8 @@
     EndpointAddress::try_from(text.to_owned())
 }
 
-/// An address has a form that would be written differently than it was read. The simulator would not
-/// recognize the endpoint. Expected: it is an error.
+/// The simulator would not recognize an endpoint whose address was written differently than it was read, for
+/// example `10.0.0.1:0700` as `10.0.0.1:700`.
 #[test]
 fn an_endpoint_address_that_would_not_round_trip_is_rejected() {
     assert!(endpoint_address("10.0.0.1:0700").is_err());
@@ -19,12 +19,12 @@
     );
 }
 
-/// The same for ids of requests and customers.
+/// The simulator would not recognize a request or customer whose id was written differently than it was read.
 #[test]
 fn an_id_that_would_not_round_trip_is_rejected() {
     let parse = |text: &str| HexId::try_from(text.to_owned());
     for text in ["not hex", "abc", "+000000000000abc", "0000000000000ABC", "00000000000000abc"] {
-        assert_eq!(parse(text), Err(IdError::NotHexadecimal(text.to_owned())));
+        assert_eq!(parse(text), Err(IdError::InvalidHexId(text.to_owned())));
     }
     assert_eq!(parse("0000000000000abc").map(|id| id.to_string()), Ok("0000000000000abc".to_owned()));
 }
--- a/crates/simulator-adapter/src/wire/tests/mod.rs
+++ b/crates/simulator-adapter/src/wire/tests/mod.rs
@@ -1,4 +1,4 @@
-//! The wire's messages against the library's terms, message by message.
+//! Tests of the translation between wire messages and the admission library's events and actions.
 
 mod events;
 mod ids;
--- a/crates/simulator-adapter/src/wire/tests/output.rs
+++ b/crates/simulator-adapter/src/wire/tests/output.rs
@@ -1,4 +1,4 @@
-//! The written form of each action.
+//! Tests that each action is written in the wire format.
 
 use crate::wire::ids::EndpointAddress;
 use crate::wire::output::OutputMessage;
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -1,7 +1,8 @@
-//! The adapter as a process: what it answers, and how it ends on what it cannot read.
+//! Tests of the adapter as a process: its replies, and its exit on input that it cannot read.
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
+/// Runs the adapter with the given lines of input until it exits.
 fn run(lines: &[String]) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_irishinge-simulator-adapter"))
         .stdin(Stdio::piped())
@@ -18,6 +19,7 @@
     child.wait_with_output().expect("the adapter ends")
 }
 
+/// A valid settings object.
 fn settings_document() -> serde_json::Value {
     serde_json::json!({
         "balancers": 2, "me": 0, "tickMs": 4.0, "zone": "north", "zones": ["north", "south"],
@@ -34,11 +36,13 @@
     })
 }
 
+/// A line of input with messages to one gateway.
 fn batch(clock_ms: f64, arrivals: serde_json::Value) -> String {
     serde_json::json!({"clockMs": clock_ms, "parts": [{"gatewayId": "gateway/0", "arrivals": arrivals}]})
         .to_string()
 }
 
+/// A line of input that starts a gateway and gives it an endpoint list with one endpoint.
 fn start() -> String {
     batch(
         1000.0,
@@ -50,16 +54,17 @@
     )
 }
 
+/// A message that reports a client's request.
 fn demand(job: &str) -> serde_json::Value {
     serde_json::json!({"msg": "Demand", "job": job, "category": "read", "tariff": "basic",
         "member": "91f03b7c55d20a64", "timeLeftMs": 1900.0, "weight": 1, "spread": 2, "fromNo": 0,
         "resent": false, "write": false})
 }
 
-/// A gateway is sent every kind of message, then killed in the same batch. Expected: ids are written as
-/// they were read, and a killed gateway writes nothing.
+/// A gateway receives every kind of message and is killed in the same batch. Ids must be written as they
+/// were read, and a killed gateway must write nothing.
 #[test]
-fn reads_every_event_and_returns_ids_unaltered() {
+fn reads_every_event_and_returns_ids_unchanged() {
     let result = serde_json::json!({"msg": "Result", "job": "0000000000000abc", "verdict": "OK", "charged": 1,
         "closed": true, "timeTakenMs": 18.5, "host": "10.18.74.7:7003", "metered": 86, "sendNo": 0, "load": null});
     let output = run(&[
@@ -90,23 +95,22 @@
     assert_eq!(replies[0], r#"{"parts":[]}"#);
     let route = r#"{"msg":"Route","job":"0000000000000abc","tryForMs":1600.0,"host":"10.18.74.7:7003"}"#;
     assert!(replies[2].contains(route), "{}", replies[2]);
-    assert_eq!(replies[3], r#"{"parts":[]}"#, "a killed gateway says nothing");
+    assert_eq!(replies[3], r#"{"parts":[]}"#, "a killed gateway writes nothing");
 }
 
-/// The adapter is sent lines, messages and settings that it cannot read. If it skipped one, its gateways
-/// would act on other events than the simulator believes. Expected: it ends with one line that names the
-/// input line.
+/// If the adapter skipped a line, message or settings object that it cannot read, its gateways would act on
+/// other events than the simulator assumes. It must end with one error line that names the input line.
 #[test]
 fn ends_with_one_error_line_on_input_that_cannot_be_read() {
-    let mut lacking = settings_document();
-    lacking.as_object_mut().expect("an object").remove("me");
-    let mut unsound = settings_document();
-    unsound["me"] = 9.into();
+    let mut missing_key = settings_document();
+    missing_key.as_object_mut().expect("an object").remove("me");
+    let mut out_of_range = settings_document();
+    out_of_range["me"] = 9.into();
     let event = |e: serde_json::Value| vec![start(), batch(1004.0, serde_json::json!([e]))];
     let cases = [
         vec!["not json".to_string()],
-        vec![batch(1.0, serde_json::json!([{"msg": "Start", "rngSeed": 5, "conf": lacking}]))],
-        vec![batch(1.0, serde_json::json!([{"msg": "Start", "rngSeed": 5, "conf": unsound}]))],
+        vec![batch(1.0, serde_json::json!([{"msg": "Start", "rngSeed": 5, "conf": missing_key}]))],
+        vec![batch(1.0, serde_json::json!([{"msg": "Start", "rngSeed": 5, "conf": out_of_range}]))],
         vec![batch(1.0, serde_json::json!([{"msg": "Bell", "name": 0}]))],
         event(serde_json::json!({"msg": "Surprise"})),
         event(serde_json::json!({"msg": "Bell"})),
@@ -119,25 +123,25 @@
     for case in cases {
         let output = run(&case);
         assert!(!output.status.success(), "{case:?}");
-        let said = String::from_utf8_lossy(&output.stderr).into_owned();
-        assert_eq!(said.lines().count(), 1, "{said}");
-        assert!(said.contains("input line"), "{said}");
+        let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
+        assert_eq!(stderr.lines().count(), 1, "{stderr}");
+        assert!(stderr.contains("input line"), "{stderr}");
     }
 }
 
-/// A gateway sets its first timer, and sends what may go now, at the first event of any kind. A message
-/// that the library takes no notice of must bring this about too: were it dropped, the gateway would run no
-/// timer until another event came.
+/// A gateway sets its first timer and sends queued requests at its first event, whatever the event is. If
+/// the adapter dropped a message that no decision depends on, the gateway would have no timer until the next
+/// event.
 #[test]
 fn an_ignored_message_still_starts_the_gateways_timer() {
     let opened = serde_json::json!({"msg": "Opened", "job": "0000000000000abc", "sendNo": 0,
         "host": "10.18.74.7:7003", "timeTakenMs": 9.25});
-    let probed = serde_json::json!({"msg": "Echo", "host": "10.18.74.7:7003", "verdict": "OK", "timeTakenMs": 1.4,
-        "load": null});
-    for message in [opened, probed] {
-        let begin = serde_json::json!({"msg": "Start", "rngSeed": 5, "conf": settings_document()});
+    let health_check_done = serde_json::json!({"msg": "Echo", "host": "10.18.74.7:7003", "verdict": "OK",
+        "timeTakenMs": 1.4, "load": null});
+    for message in [opened, health_check_done] {
+        let start = serde_json::json!({"msg": "Start", "rngSeed": 5, "conf": settings_document()});
         let output =
-            run(&[batch(1000.0, serde_json::json!([begin])), batch(1004.0, serde_json::json!([message]))]);
+            run(&[batch(1000.0, serde_json::json!([start])), batch(1004.0, serde_json::json!([message]))]);
         assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
         let text = String::from_utf8(output.stdout).expect("UTF-8");
         let timer = r#"{"msg":"WakeMe","momentMs":1024.0,"name":0}"#;
