--- a/crates/settings/src/document.rs
+++ b/crates/settings/src/document.rs
@@ -84,7 +84,7 @@
     /// The capacity of the quota's token bucket, in units.
     #[serde(rename = "peakUnits")]
     pub(crate) burst_units: f64,
-    /// The number of attempts that a customer may have in flight. 0 means no limit.
+    /// The number of attempts that a customer may have in flight over all gateways. 0 means no limit.
     #[serde(rename = "open")]
     pub(crate) open_limit: u32,
     /// The factor by which the plan multiplies the value of its customers' requests.
