--- a/crates/simulator-adapter/src/wire/event_messages.rs
+++ b/crates/simulator-adapter/src/wire/event_messages.rs
@@ -94,7 +94,7 @@
     /// How the health check ended.
     #[serde(rename = "verdict")]
     outcome: WireOutcome,
-    /// The time since the health check was sent, in milliseconds.
+    /// How long the health check took, in milliseconds.
     #[serde(rename = "timeTakenMs")]
     took_ms: f64,
     /// The endpoint's load report.
