--- a/crates/gateway/src/dispatcher/actions.rs
+++ b/crates/gateway/src/dispatcher/actions.rs
@@ -1,5 +1,5 @@
 //! Carries out the actions of the decision library.
-use super::active_call::{Attempt, EndedAttempt};
+use super::active_request::{Attempt, EndedAttempt};
 use super::final_response::FinalResponse;
 use super::timers::Due;
 use super::{Dispatcher, State};
--- a/crates/gateway/src/dispatcher/active_call.rs
+++ b/crates/gateway/src/dispatcher/active_request.rs
@@ -1,6 +1,6 @@
 //! The state of an active call: the channel for its response, and its attempts.
-use super::call_deadlines::CallDeadlines;
 use super::final_response::FinalResponse;
+use super::request_deadlines::CallDeadlines;
 use crate::upstream::{AttemptResult, UpstreamRequest};
 use irishinge_admission::{AttemptEnd, EndpointId, Event, Outcome, RequestId};
 use std::rc::Rc;
--- a/crates/gateway/src/dispatcher/mod.rs
+++ b/crates/gateway/src/dispatcher/mod.rs
@@ -2,16 +2,16 @@
 //! `Gateway`: it passes events to it, carries out its actions in order, and owns the active calls with
 //! their attempts.
 mod actions;
-mod active_call;
-mod call_deadlines;
+mod active_request;
 mod final_response;
+mod request_deadlines;
 #[cfg(test)]
 mod tests;
 mod timers;
 
-use self::active_call::{ActiveCall, EndedAttempt};
-use self::call_deadlines::{response_without_result, CallDeadlines};
+use self::active_request::{ActiveCall, EndedAttempt};
 pub(crate) use self::final_response::FinalResponse;
+use self::request_deadlines::{response_without_result, CallDeadlines};
 use self::timers::{Due, Rearm, TimerQueue};
 use crate::clock::Clock;
 use crate::discovery::{EndpointList, EndpointListObserver};
--- a/crates/gateway/src/dispatcher/tests/call_deadlines.rs
+++ b/crates/gateway/src/dispatcher/tests/request_deadlines.rs
@@ -1,5 +1,5 @@
 //! The deadlines of calls, and the response to one that has none when its time is over.
-use crate::dispatcher::call_deadlines::{response_without_result, CallDeadlines};
+use crate::dispatcher::request_deadlines::{response_without_result, CallDeadlines};
 use crate::dispatcher::FinalResponse;
 use std::time::Duration;
 use tokio::time::Instant;
