--- a/crates/gateway/src/dispatcher/actions.rs
+++ b/crates/gateway/src/dispatcher/actions.rs
@@ -1,7 +1,7 @@
-//! Carries out the actions of the decision library.
+//! Carries out the actions that the decision library returns.
 use super::active_request::{Attempt, EndedAttempt};
 use super::final_response::FinalResponse;
-use super::timers::Due;
+use super::timers::TimerKind;
 use super::{Dispatcher, State};
 use crate::logging::target;
 use irishinge_admission::{Action, EndpointId, Event, Outcome, RequestId};
@@ -20,48 +20,50 @@
             Action::Fail { request } => respond(state, request, FinalResponse::Failed),
             Action::Cancel { request, attempt } => cancel(state, request, attempt as usize),
             Action::SetTimer { at_ms, token } => {
-                self.schedule(state, self.clock.instant(at_ms), Due::Timer(token));
+                self.schedule(state, self.clock.instant(at_ms), TimerKind::Library(token));
             }
             Action::SendPeerMessage { to, body } => self.peers.send(to, &body),
             Action::AddToCounter { name, amount, ttl_ms } => self.add_to_counter(name, amount, ttl_ms),
         }
     }
 
+    /// Starts an attempt, unless the request no longer waits for a response.
     fn send(self: &Rc<Self>, state: &mut State, request: RequestId, endpoint: EndpointId, timeout_ms: f64) {
-        let Some(call) = state.calls.get_mut(&request) else {
+        let Some(active) = state.active_requests.get_mut(&request) else {
             return tracing::error!(
                 target: target::DISPATCHER,
                 request = %format_args!("{:016x}", request.0),
                 endpoint = %format_args!("{:016x}", endpoint.0),
-                "attempt requested after the request was over"
+                "attempt not sent: its request is no longer active"
             );
         };
-        let index = call.next_attempt_index();
-        // The call may have got its response, or lost its client, by an event that the library has not
-        // handled yet. Without this check the request would run for nobody. The attempt takes its number
-        // all the same, since the library counts it.
-        if !call.awaits_response() {
-            call.push_attempt(None);
+        let index = active.next_attempt_index();
+        // An event that the library has not handled yet may have ended the request: it has its response, or
+        // its client has disconnected. Without this check, the endpoint would process a request whose
+        // response nobody reads. The attempt still takes its index, because the library counts it.
+        if !active.awaits_response() {
+            active.push_attempt(None);
             let ended = EndedAttempt { request, index, endpoint, took_ms: 0.0, request_answered: true };
             return state.events.push_back(ended.into_event_without_response(Outcome::TooLate));
         }
         let sent_at = Instant::now();
-        let deadline = call.attempt_deadline(sent_at, timeout_ms);
-        let (dispatcher, upstream_request) = (self.clone(), call.request.clone());
-        // `Attempt` owns the task: the library cancels it by its number, and a call is only forgotten once
-        // its attempts have ended.
+        let deadline = active.attempt_deadline(sent_at, timeout_ms);
+        let (dispatcher, upstream_request) = (self.clone(), active.upstream_request.clone());
+        // `Attempt` owns the task: the library cancels the attempt by its index, and an active request is
+        // removed only once all its attempts have ended.
         let task = spawn_local(async move {
             let is_wanted = || dispatcher.awaits_response(request);
             let result = dispatcher.upstream.attempt(endpoint, &upstream_request, deadline, is_wanted).await;
             dispatcher.on_attempt_end(request, index, result);
         });
-        call.push_attempt(Some(Attempt { endpoint, sent_at, task: task.abort_handle() }));
+        active.push_attempt(Some(Attempt { endpoint, sent_at, task: task.abort_handle() }));
     }
 
+    /// Starts a call to the quota counter.
     fn add_to_counter(self: &Rc<Self>, name: u64, amount: f64, ttl_ms: f64) {
         let dispatcher = self.clone();
-        // Nobody waits for this task: it ends within the counter's timeout and reports its outcome as an
-        // event.
+        // Nothing waits for this task: it ends within the timeout of calls to the quota counter, and reports
+        // its outcome as an event.
         spawn_local(async move {
             let outcome = dispatcher.quota_counter.add(name, amount, ttl_ms).await;
             dispatcher.on_event(Event::CounterReply { name, outcome });
@@ -69,30 +71,30 @@
     }
 }
 
-/// Sends a call its final response, unless it has one.
+/// Sends a request's final response, unless one was sent before.
 fn respond(state: &mut State, request: RequestId, response: FinalResponse) {
-    let Some(call) = state.calls.get_mut(&request) else { return };
-    if let Some(responder) = call.take_responder() {
+    let Some(active) = state.active_requests.get_mut(&request) else { return };
+    if let Some(responder) = active.take_responder() {
         responder.respond(response);
     }
-    if call.is_over() {
-        state.calls.remove(&request);
+    if active.is_finished() {
+        state.active_requests.remove(&request);
     }
 }
 
 /// Cancels an attempt in flight.
 fn cancel(state: &mut State, request: RequestId, index: usize) {
-    let Some(call) = state.calls.get_mut(&request) else { return };
-    let Some(attempt) = call.take_attempt(index) else { return };
-    // The task's end can no longer report a result, since the attempt was taken out above. So there is one
-    // event for each attempt.
+    let Some(active) = state.active_requests.get_mut(&request) else { return };
+    let Some(attempt) = active.take_attempt(index) else { return };
+    // The task can no longer report a result, because the attempt was taken out above. So each attempt is
+    // reported by exactly one event.
     attempt.task.abort();
     let ended = EndedAttempt {
         request,
         index,
         endpoint: attempt.endpoint,
         took_ms: attempt.elapsed_ms(),
-        request_answered: !call.awaits_response(),
+        request_answered: !active.awaits_response(),
     };
     state.events.push_back(ended.into_event_without_response(Outcome::Cancelled));
 }
--- a/crates/gateway/src/dispatcher/mod.rs
+++ b/crates/gateway/src/dispatcher/mod.rs
@@ -1,6 +1,6 @@
 //! Connects the decision library to the sockets. The dispatcher is the only owner of the library's
-//! `Gateway`: it passes events to it, carries out its actions in order, and owns the active calls with
-//! their attempts.
+//! `Gateway`: it passes events to the `Gateway`, carries out the actions that this returns, in order, and
+//! owns the active requests with their attempts.
 mod actions;
 mod active_request;
 mod final_response;
@@ -9,10 +9,10 @@
 mod tests;
 mod timers;
 
-use self::active_request::{ActiveCall, EndedAttempt};
+use self::active_request::{ActiveRequest, EndedAttempt};
 pub(crate) use self::final_response::FinalResponse;
-use self::request_deadlines::{response_without_result, CallDeadlines};
-use self::timers::{Due, Rearm, TimerQueue};
+use self::request_deadlines::{fallback_response, RequestDeadlines};
+use self::timers::{Rearm, TimerKind, TimerQueue};
 use crate::clock::Clock;
 use crate::discovery::{EndpointList, EndpointListObserver};
 use crate::peers::{PeerMessageHandler, Peers};
@@ -27,23 +27,32 @@
 use tokio::sync::{oneshot, Notify};
 use tokio::time::Instant;
 
-/// The state that events change.
+/// The part of the dispatcher that events change.
 struct State {
+    /// The decision library.
     gateway: Gateway,
+    /// Events that the library has not handled yet.
     events: VecDeque<Event>,
-    calls: HashMap<RequestId, ActiveCall>,
+    /// Requests that wait for their response or have attempts in flight.
+    active_requests: HashMap<RequestId, ActiveRequest>,
+    /// Timers that have not expired yet.
     timers: TimerQueue,
 }
 
-/// Dispatches requests to endpoints as the decision library decides. Everything runs on one thread.
+/// Sends requests to endpoints as the decision library decides. Everything runs on one thread.
 pub(crate) struct Dispatcher {
     state: RefCell<State>,
-    /// Wakes the timer task.
+    /// Wakes the timer task when a timer is added that expires before the time the task sleeps until.
     rearm: Notify,
+    /// The clock of the decision library's events and timers.
     clock: Clock,
+    /// The names that the settings define.
     names: Names,
+    /// The endpoints and the connections to them.
     upstream: UpstreamPool,
+    /// Sends messages to the other gateways.
     peers: Rc<Peers>,
+    /// The client of the quota counter.
     quota_counter: QuotaCounter,
 }
 
@@ -57,8 +66,12 @@
         peers: Rc<Peers>,
         quota_counter: QuotaCounter,
     ) -> Rc<Self> {
-        let state =
-            State { gateway, events: VecDeque::new(), calls: HashMap::new(), timers: TimerQueue::default() };
+        let state = State {
+            gateway,
+            events: VecDeque::new(),
+            active_requests: HashMap::new(),
+            timers: TimerQueue::default(),
+        };
         Rc::new(Dispatcher {
             state: RefCell::new(state),
             rearm: Notify::new(),
@@ -70,30 +83,31 @@
         })
     }
 
-    /// The names that the settings give to classes, plans, zones and machine kinds.
+    /// Returns the names that the settings define for classes, plans, zones and machine kinds.
     pub(crate) fn names(&self) -> &Names {
         &self.names
     }
 
-    /// Whether any endpoint accepts requests.
+    /// Returns whether any endpoint accepts requests.
     pub(crate) fn has_ready_endpoint(&self) -> bool {
         self.upstream.has_ready_endpoint()
     }
 
-    /// Sends calls to the quota counter at this address from now on.
+    /// Sets the quota counter's address for further calls; `None` if there is no counter.
     pub(crate) fn set_quota_counter_addr(&self, addr: Option<SocketAddr>) {
         self.quota_counter.set_addr(addr);
     }
 
-    /// Closes connections that have been idle for too long or that the far end has closed.
+    /// Closes connections to endpoints and to the quota counter that have been idle for too long or that the
+    /// server has closed.
     pub(crate) fn close_stale_connections(&self) {
         self.upstream.close_stale_connections();
         self.quota_counter.close_stale_connections();
     }
 
-    /// Starts a call and returns the channel that its final response arrives on.
+    /// Starts a request and returns the channel on which its final response arrives.
     ///
-    /// Returns `None` if a call with the same id is active: it may be the same request, which could then
+    /// Returns `None` if a request with the same id is active: it may be the same request, which could then
     /// have its effect twice.
     pub(crate) fn on_request(
         self: &Rc<Self>,
@@ -103,93 +117,99 @@
         let (sender, receiver) = oneshot::channel();
         {
             let mut state = self.state.borrow_mut();
-            if state.calls.contains_key(&request.id) {
+            if state.active_requests.contains_key(&request.id) {
                 return None;
             }
-            let deadlines = CallDeadlines::new(Instant::now(), request.time_left_ms);
-            state.calls.insert(request.id, ActiveCall::new(sender, upstream_request, deadlines));
-            self.schedule(&mut state, deadlines.guard(), Due::DeadlineGuard(request.id));
+            let deadlines = RequestDeadlines::new(Instant::now(), request.time_left_ms);
+            state.active_requests.insert(request.id, ActiveRequest::new(sender, upstream_request, deadlines));
+            self.schedule(&mut state, deadlines.fallback_at(), TimerKind::FallbackResponse(request.id));
         }
         self.on_event(Event::Request(request));
         Some(receiver)
     }
 
-    /// Ends the call of a client that has disconnected. Does nothing if the call has its response.
+    /// Ends the request of a client that has disconnected. Does nothing if the request has its response.
     pub(crate) fn on_client_gone(self: &Rc<Self>, request: RequestId) {
-        let responder = self.state.borrow_mut().calls.get_mut(&request).and_then(ActiveCall::take_responder);
+        let responder =
+            self.state.borrow_mut().active_requests.get_mut(&request).and_then(ActiveRequest::take_responder);
         if responder.is_some() {
             self.on_event(Event::ClientGone { request });
-            self.forget_if_over(request);
+            self.remove_if_finished(request);
         }
     }
 
-    /// Sends every active call its final response, because the process is about to end.
+    /// Sends the fallback response to every active request, because the process is about to end.
     pub(crate) fn respond_to_all(self: &Rc<Self>) {
-        let open: Vec<RequestId> = self.state.borrow().calls.keys().copied().collect();
-        open.into_iter().for_each(|request| self.end_without_result(request));
+        let open: Vec<RequestId> = self.state.borrow().active_requests.keys().copied().collect();
+        open.into_iter().for_each(|request| self.send_fallback_response(request));
     }
 
-    /// Whether a call still waits for its response.
+    /// Returns whether a request still waits for its response.
     fn awaits_response(&self, request: RequestId) -> bool {
-        self.state.borrow().calls.get(&request).is_some_and(ActiveCall::awaits_response)
+        self.state.borrow().active_requests.get(&request).is_some_and(ActiveRequest::awaits_response)
     }
 
-    fn schedule(&self, state: &mut State, at: Instant, due: Due) {
-        if state.timers.push(at, due) == Rearm::Needed {
+    /// Adds a timer that expires at `at`, and wakes the timer task if it would sleep for too long.
+    fn schedule(&self, state: &mut State, at: Instant, kind: TimerKind) {
+        if state.timers.push(at, kind) == Rearm::Needed {
             self.rearm.notify_one();
         }
     }
 
-    /// Responds to a call that still waits for its response: rejects it if no attempt was ever sent, else
-    /// it failed.
-    fn end_without_result(self: &Rc<Self>, request: RequestId) {
+    /// Sends the [`fallback_response`] to a request that still waits for its response, and reports the
+    /// client as gone so that the decision library drops the request.
+    fn send_fallback_response(self: &Rc<Self>, request: RequestId) {
         let (responder, was_attempted) = {
             let mut state = self.state.borrow_mut();
-            let Some(call) = state.calls.get_mut(&request) else { return };
-            let Some(responder) = call.take_responder() else { return };
-            (responder, call.was_attempted())
+            let Some(active) = state.active_requests.get_mut(&request) else { return };
+            let Some(responder) = active.take_responder() else { return };
+            (responder, active.was_attempted())
         };
-        responder.respond(response_without_result(was_attempted));
+        responder.respond(fallback_response(was_attempted));
         self.on_event(Event::ClientGone { request });
-        self.forget_if_over(request);
+        self.remove_if_finished(request);
     }
 
+    /// Reports an attempt's end to the decision library, and sends the client the endpoint's response if the
+    /// attempt succeeded.
     fn on_attempt_end(self: &Rc<Self>, request: RequestId, index: usize, result: AttemptResult) {
         let event = {
             let mut state = self.state.borrow_mut();
             // A cancelled attempt has been reported already.
-            let Some(call) = state.calls.get_mut(&request) else { return };
-            let Some(attempt) = call.take_attempt(index) else { return };
+            let Some(active) = state.active_requests.get_mut(&request) else { return };
+            let Some(attempt) = active.take_attempt(index) else { return };
             let ended = EndedAttempt {
                 request,
                 index,
                 endpoint: attempt.endpoint,
                 took_ms: attempt.elapsed_ms(),
-                request_answered: result.outcome == Outcome::Ok || !call.awaits_response(),
+                request_answered: result.outcome == Outcome::Ok || !active.awaits_response(),
             };
             let event = ended.into_event(&result);
             if let (Outcome::Ok, Some(response)) = (result.outcome, result.response) {
-                if let Some(responder) = call.take_responder() {
+                if let Some(responder) = active.take_responder() {
                     responder.respond(FinalResponse::Served(response));
                 }
             }
             event
         };
         self.on_event(event);
-        self.forget_if_over(request);
+        self.remove_if_finished(request);
     }
 
-    /// Removes a call that has its response and no attempt in flight.
-    fn forget_if_over(&self, request: RequestId) {
+    /// Removes a request that no longer waits for its response and has no attempt in flight.
+    fn remove_if_finished(&self, request: RequestId) {
         let mut state = self.state.borrow_mut();
-        if state.calls.get(&request).is_some_and(ActiveCall::is_over) {
-            state.calls.remove(&request);
+        if state.active_requests.get(&request).is_some_and(ActiveRequest::is_finished) {
+            state.active_requests.remove(&request);
         }
     }
 
-    /// Passes an event to the decision library and carries out its actions, and so on with the events that
-    /// the actions cause at once. These are queued: the library must not be entered again while its actions
-    /// are carried out, or actions would be carried out in another order than decided.
+    /// Passes an event to the decision library and carries out the library's actions, then does the same with
+    /// each event that these actions cause at once.
+    ///
+    /// Such events are queued: if the library handled them while its actions are carried out, actions would
+    /// be carried out in another order than the library decided.
     fn on_event(self: &Rc<Self>, event: Event) {
         let mut state = self.state.borrow_mut();
         let mut actions = Vec::new();
--- a/crates/gateway/src/dispatcher/tests/mod.rs
+++ b/crates/gateway/src/dispatcher/tests/mod.rs
@@ -1,3 +1,3 @@
-//! The tests of the dispatcher's rules, by concern.
+//! Tests of the dispatcher.
 mod request_deadlines;
 mod timer_queue;
--- a/crates/gateway/src/dispatcher/tests/request_deadlines.rs
+++ b/crates/gateway/src/dispatcher/tests/request_deadlines.rs
@@ -1,22 +1,22 @@
-//! The deadlines of calls, and the response to one that has none when its time is over.
-use crate::dispatcher::request_deadlines::{response_without_result, CallDeadlines};
+//! Tests of the deadlines of requests and of the fallback response.
+use crate::dispatcher::request_deadlines::{fallback_response, RequestDeadlines};
 use crate::dispatcher::FinalResponse;
 use std::time::Duration;
 use tokio::time::Instant;
 
 #[test]
-fn the_dispatcher_responds_itself_shortly_before_the_deadline() {
+fn sends_the_fallback_response_5_ms_before_the_deadline() {
     let now = Instant::now();
-    for (time_left_ms, guard_ms) in [(1000.0, 995), (5.0, 0), (2.0, 0), (0.0, 0)] {
-        let guard = CallDeadlines::new(now, time_left_ms).guard();
-        assert_eq!(guard, now + Duration::from_millis(guard_ms), "{time_left_ms} ms");
+    for (time_left_ms, fallback_ms) in [(1000.0, 995), (5.0, 0), (2.0, 0), (0.0, 0)] {
+        let fallback_at = RequestDeadlines::new(now, time_left_ms).fallback_at();
+        assert_eq!(fallback_at, now + Duration::from_millis(fallback_ms), "{time_left_ms} ms");
     }
 }
 
 #[test]
-fn an_attempt_ends_with_its_timeout_but_never_after_the_call() {
+fn attempt_times_out_no_later_than_its_request() {
     let now = Instant::now();
-    let deadlines = CallDeadlines::new(now, 1000.0);
+    let deadlines = RequestDeadlines::new(now, 1000.0);
     let after_ms = |ms| now + Duration::from_millis(ms);
     let cases = [(0, 300.0, 300), (600, 300.0, 900), (800, 300.0, 1000), (800, 1.0, 801)];
     for (sent_after_ms, timeout_ms, ends_after_ms) in cases {
@@ -25,9 +25,10 @@
     }
 }
 
-/// A client that reads a rejection may send its request again. If it had an attempt, that could run twice.
+/// A client that reads a rejection may send its request again. If an attempt had been made, the request could
+/// run twice.
 #[test]
-fn a_call_without_a_result_is_rejected_only_if_it_was_never_attempted() {
-    assert!(matches!(response_without_result(false), FinalResponse::Rejected { retry_after_ms: None }));
-    assert!(matches!(response_without_result(true), FinalResponse::Failed));
+fn fallback_rejects_only_a_request_without_attempts() {
+    assert!(matches!(fallback_response(false), FinalResponse::Rejected { retry_after_ms: None }));
+    assert!(matches!(fallback_response(true), FinalResponse::Failed));
 }
--- a/crates/gateway/src/dispatcher/tests/timer_queue.rs
+++ b/crates/gateway/src/dispatcher/tests/timer_queue.rs
@@ -1,36 +1,40 @@
-//! The tests of the dispatcher's timers.
-use crate::dispatcher::timers::{Due, Rearm, TimerQueue};
+//! Tests of the dispatcher's timers.
+use crate::dispatcher::timers::{Rearm, TimerKind, TimerQueue};
 use irishinge_admission::RequestId;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A deadline guard is scheduled after a later timer. In the order of scheduling it would respond too late.
-/// Expected: timers expire in the order of their times, and none before its time.
+/// A fallback response is scheduled after a timer that expires later. If timers expired in the order in which
+/// they were added, the response would be sent too late. Expected: timers expire in the order of their times,
+/// and none early.
 #[test]
-fn timers_expire_in_order_of_time_and_not_before() {
+fn timers_expire_in_order_of_time_and_not_early() {
     let start = Instant::now();
     let later = start + Duration::from_millis(1);
     let mut timers = TimerQueue::default();
-    timers.push(later, Due::Timer(2));
-    timers.push(start, Due::DeadlineGuard(RequestId(1)));
-    assert!(timers.pop_due(start) == Some(Due::DeadlineGuard(RequestId(1))));
-    assert!(timers.pop_due(start).is_none(), "the other is due later");
-    assert!(timers.pop_due(later) == Some(Due::Timer(2)));
-    assert!(timers.pop_due(later).is_none());
+    timers.push(later, TimerKind::Library(2));
+    timers.push(start, TimerKind::FallbackResponse(RequestId(1)));
+    assert!(timers.pop_expired(start) == Some(TimerKind::FallbackResponse(RequestId(1))));
+    assert!(timers.pop_expired(start).is_none(), "the other timer expires later");
+    assert!(timers.pop_expired(later) == Some(TimerKind::Library(2)));
+    assert!(timers.pop_expired(later).is_none());
 }
 
-/// The timer task sleeps until the next timer. Not woken for an earlier one, it would respond after a
-/// deadline; woken for each, it would cost processor time with every request. Expected: it is woken for an
-/// earlier time only.
+/// The timer task sleeps until the next timer expires. If an earlier timer did not wake it, a response could
+/// miss its deadline. If every new timer woke it, every request would cost processor time. Expected: only a
+/// timer that expires before the sleep ends wakes the task.
 #[test]
-fn the_timer_task_is_woken_only_for_an_earlier_time_than_it_sleeps_for() {
+fn timer_task_is_woken_only_for_an_earlier_timer() {
     let start = Instant::now();
     let at = |ms| start + Duration::from_millis(ms);
     let mut timers = TimerQueue::default();
-    assert!(timers.push(at(20), Due::Timer(1)) == Rearm::Needed, "it sleeps for nothing yet");
+    assert!(
+        timers.push(at(20), TimerKind::Library(1)) == Rearm::Needed,
+        "the task does not sleep until any time yet"
+    );
     assert_eq!(timers.arm(), Some(at(20)));
-    assert!(timers.push(at(30), Due::Timer(2)) == Rearm::NotNeeded);
-    assert!(timers.push(at(20), Due::Timer(3)) == Rearm::NotNeeded);
-    assert!(timers.push(at(10), Due::Timer(4)) == Rearm::Needed);
+    assert!(timers.push(at(30), TimerKind::Library(2)) == Rearm::NotNeeded);
+    assert!(timers.push(at(20), TimerKind::Library(3)) == Rearm::NotNeeded);
+    assert!(timers.push(at(10), TimerKind::Library(4)) == Rearm::Needed);
     assert_eq!(timers.arm(), Some(at(10)));
 }
