--- a/crates/gateway/src/dispatcher/mod.rs
+++ b/crates/gateway/src/dispatcher/mod.rs
@@ -1,6 +1,6 @@
 //! Connects the decision library to the sockets. The dispatcher is the only owner of the library's
-//! `Gateway`: it passes events to the `Gateway`, carries out the actions that this returns, in order, and
-//! owns the active requests with their attempts.
+//! `Gateway`: it passes events to the `Gateway`, carries out the returned actions in order, and owns the
+//! active requests with their attempts.
 mod actions;
 mod active_request;
 mod final_response;
@@ -35,7 +35,7 @@
     events: VecDeque<Event>,
     /// Requests that wait for their response or have attempts in flight.
     active_requests: HashMap<RequestId, ActiveRequest>,
-    /// Timers that have not expired yet.
+    /// Timers that have not been handled yet.
     timers: TimerQueue,
 }
 
@@ -107,8 +107,8 @@
 
     /// Starts a request and returns the channel on which its final response arrives.
     ///
-    /// Returns `None` if a request with the same id is active: it may be the same request, which could then
-    /// have its effect twice.
+    /// Returns `None` if a request with the same id is active: the client may have sent the same request
+    /// again, which could then have its effect twice.
     pub(crate) fn on_request(
         self: &Rc<Self>,
         request: Request,
@@ -156,8 +156,8 @@
         }
     }
 
-    /// Sends the [`fallback_response`] to a request that still waits for its response, and reports the
-    /// client as gone so that the decision library drops the request.
+    /// Sends the [`fallback_response`] to a request that still waits for its response, and ends the request
+    /// in the decision library as if its client had disconnected.
     fn send_fallback_response(self: &Rc<Self>, request: RequestId) {
         let (responder, was_attempted) = {
             let mut state = self.state.borrow_mut();
--- a/crates/gateway/src/upstream/attempt.rs
+++ b/crates/gateway/src/upstream/attempt.rs
@@ -1,4 +1,5 @@
-//! A single attempt to serve a request: acquires a connection, sends the request and classifies the outcome.
+//! A single attempt to serve a request: acquires a connection, sends the request and classifies the
+//! outcome.
 use super::outcomes::{failure_outcome, reason_not_to_send, response_outcome, timeout_outcome, SendCheck};
 use super::pool::UpstreamPool;
 use super::upstream_request::UpstreamRequest;
@@ -22,29 +23,31 @@
 }
 
 impl AttemptResult {
-    /// A result without a response.
+    /// Creates a result without a response.
     pub(crate) fn without_response(outcome: Outcome) -> Self {
         AttemptResult { outcome, response: None }
     }
 
-    /// The units that the request really used (`X-Settled`), if the response states them.
+    /// Returns the units that the request really used, or `None` if the response has no valid `X-Settled`
+    /// header.
     pub(crate) fn true_units(&self) -> Option<f64> {
         let text = self.header(SETTLED)?;
         text.trim().parse().ok().filter(|units: &f64| units.is_finite() && *units > 0.0)
     }
 
+    /// Returns the value of a response header, or `None` if the response does not have it exactly once.
     fn header(&self, name: HeaderName) -> Option<&str> {
         let mut values = self.response.as_ref()?.headers().get_all(name).iter();
-        // Which value of a repeated header counts would be a guess, so it is ignored.
+        // A repeated header is ignored, because it does not say which of its values counts.
         values.next().filter(|_| values.next().is_none())?.to_str().ok()
     }
 }
 
 impl UpstreamPool {
-    /// Makes one attempt, which ends by `deadline`. Once the connection is established, `is_wanted` decides
-    /// whether the request is still to be sent.
+    /// Makes one attempt, which ends by `deadline`. Once the connection is established, the request is sent
+    /// only if `is_wanted` returns true.
     ///
-    /// Dropping the future cancels the attempt: it closes the connection.
+    /// Dropping the future cancels the attempt, because it closes the connection.
     pub(crate) async fn attempt(
         &self,
         endpoint: EndpointId,
@@ -63,6 +66,8 @@
         }
     }
 
+    /// Makes one attempt. Sets `write_status` before the request is written, for a caller that drops the
+    /// future when the attempt times out.
     async fn attempt_without_timeout(
         &self,
         endpoint: EndpointId,
@@ -91,12 +96,13 @@
         }
     }
 
-    /// Why the request must not be sent any more now that the connection is established; `None` if it may be.
+    /// Returns the outcome of an attempt whose request must no longer be sent now that the connection is
+    /// established, or `None` if the request may be sent.
     ///
-    /// A connection may take long to come up. Without this check, a request could be sent by an expired
-    /// list or to a draining endpoint, or for a client that has disconnected or has the response of another
-    /// attempt (where the settings forbid cancelling). The check holds because nothing is awaited between
-    /// it and the write.
+    /// A connection may take long to establish. Without this check, a request could be sent although the
+    /// endpoint list has expired, the endpoint is draining, or the client has disconnected or has the
+    /// response of another attempt (if the settings forbid cancelling). The result is still valid when the
+    /// request is written, because nothing is awaited in between.
     fn check_before_send(
         &self,
         endpoint: EndpointId,
@@ -111,7 +117,8 @@
     }
 }
 
+/// Returns the outcome of an attempt that brought this response.
 fn outcome_of(response: &Response<Bytes>) -> Outcome {
-    let is_marked_rejected = response.headers().get(REJECTED).is_some_and(|value| value == "1");
-    response_outcome(response.status(), is_marked_rejected)
+    let has_rejected_header = response.headers().get(REJECTED).is_some_and(|value| value == "1");
+    response_outcome(response.status(), has_rejected_header)
 }
--- a/crates/gateway/src/upstream/mod.rs
+++ b/crates/gateway/src/upstream/mod.rs
@@ -1,4 +1,5 @@
-//! The upstream side: the endpoints, the pool of connections to them, and single attempts to serve a request.
+//! The upstream side: the endpoints, the pool of connections to them, and the attempts that send requests to
+//! them.
 mod attempt;
 mod outcomes;
 mod pool;
@@ -11,5 +12,5 @@
 pub(crate) use self::pool::{UpstreamPool, IDLE_CHECK_INTERVAL};
 pub(crate) use self::upstream_request::UpstreamRequest;
 
-/// The maximum size of a request's or response's body, in bytes.
+/// The maximum size of a request body or response body, in bytes.
 pub(crate) const MAX_BODY_BYTES: usize = 64 * 1024;
--- a/crates/gateway/src/upstream/outcomes.rs
+++ b/crates/gateway/src/upstream/outcomes.rs
@@ -1,23 +1,24 @@
-//! How an attempt ended, by what was written and what was received, and why an attempt must not be sent.
+//! The outcome of an attempt, derived from what was written and received, and the reasons not to send one.
 use crate::http_connection::ExchangeError;
 use hyper::StatusCode;
 use irishinge_admission::Outcome;
 
-/// What is known once the connection for an attempt is established.
+/// The state that decides whether a request may be sent once the connection is established.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct SendCheck {
-    /// The lease on the endpoint list has run out.
+    /// Whether the lease on the endpoint list has expired.
     pub(super) is_lease_expired: bool,
-    /// The endpoint is ready, at the address of the connection.
+    /// Whether the endpoint is ready and still has the address that the connection was made to.
     pub(super) is_endpoint_ready: bool,
-    /// The call still waits for its response.
+    /// Whether the request still waits for its response.
     pub(super) is_wanted: bool,
 }
 
-/// Why the request must not be sent any more now that the connection is established; `None` if it may be.
+/// Returns the outcome of an attempt whose request must no longer be sent now that the connection is
+/// established, or `None` if the request may be sent.
 pub(super) fn reason_not_to_send(check: &SendCheck) -> Option<Outcome> {
     if check.is_lease_expired {
-        // The endpoint is not to blame.
+        // The endpoint did not fail, so the outcome must not count as the endpoint's failure.
         Some(Outcome::TooLate)
     } else if !check.is_endpoint_ready || !check.is_wanted {
         Some(Outcome::ConnectFailed)
@@ -26,19 +27,22 @@
     }
 }
 
-/// The outcome of a complete response. `is_marked_rejected`: it has `X-Rejected: 1`, which only counts with
-/// the statuses by which endpoints reject.
-pub(super) fn response_outcome(status: StatusCode, is_marked_rejected: bool) -> Outcome {
+/// Returns the outcome of an attempt with a complete response.
+///
+/// `has_rejected_header` says whether the response has `X-Rejected: 1`. The header only counts together with
+/// the statuses with which endpoints reject requests, 503 and 504.
+pub(super) fn response_outcome(status: StatusCode, has_rejected_header: bool) -> Outcome {
     match status {
         StatusCode::OK => Outcome::Ok,
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if is_marked_rejected => {
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if has_rejected_header => {
             Outcome::Overloaded
         }
         _ => Outcome::Error,
     }
 }
 
-/// The outcome of an exchange that failed. `any_written`: at least one byte of the request was written.
+/// Returns the outcome of an attempt whose exchange failed. `any_written` says whether at least one byte of
+/// the request was written.
 pub(super) fn failure_outcome(any_written: bool, error: &ExchangeError) -> Outcome {
     match error {
         _ if !any_written => Outcome::ConnectFailed,
@@ -48,10 +52,11 @@
     }
 }
 
-/// The outcome of an attempt whose time is over. `any_written`: at least one byte of the request was written.
+/// Returns the outcome of an attempt that timed out. `any_written` says whether at least one byte of the
+/// request was written.
 ///
 /// One byte is enough for the endpoint to have received the request, since the kernel may have sent the
-/// rest. If it counted as never sent, it could be sent again while it runs.
+/// rest. If the request counted as never sent, it could be sent again while it runs.
 pub(super) fn timeout_outcome(any_written: bool) -> Outcome {
     if any_written {
         Outcome::TimedOut
--- a/crates/gateway/src/upstream/pool.rs
+++ b/crates/gateway/src/upstream/pool.rs
@@ -1,4 +1,4 @@
-//! The connection pool: the known endpoints with their addresses, states and idle connections.
+//! The connection pool: the known endpoints, each with its address, state and idle connections.
 use super::reuse_delay::ReuseDelay;
 use crate::clock::duration_from_ms;
 use crate::connection_budget::{ConnectionBudget, ConnectionPermit, PooledConnection};
@@ -13,30 +13,39 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Idle connections are closed after this fraction of the endpoint's own idle timeout.
+/// The fraction of the endpoints' own idle timeout after which the gateway closes idle connections.
 ///
-/// A request that is sent while the endpoint closes the connection ends with a reset, and may have been
-/// processed. A lower fraction would cost a large fleet, whose gateways use each endpoint only every few
+/// A request that is sent while the endpoint closes the connection ends with a reset, and may have run. A
+/// lower fraction would cost a large fleet, whose gateways use each endpoint only every few
 /// seconds, additional handshakes.
 const IDLE_TIMEOUT_FRACTION: f64 = 0.8;
 /// How often idle connections are checked.
 pub(crate) const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(1000);
 
+/// An endpoint of the endpoint list.
 struct Endpoint {
+    /// The address that the endpoint accepts connections on.
     addr: SocketAddr,
+    /// The state that discovery published last.
     state: EndpointState,
+    /// The idle connections to this address.
     idle: IdleConnections,
 }
 
 /// The known endpoints and the idle connections to them.
 pub(crate) struct UpstreamPool {
+    /// All endpoints of the list, whatever their state.
     endpoints: RefCell<HashMap<EndpointId, Endpoint>>,
-    /// When the endpoint list's lease ends, after which nothing is sent. `None` if the list has no lease.
+    /// When the endpoint list's lease expires and requests are no longer sent; `None` if the list has no
+    /// lease.
     lease_end: Cell<Option<Instant>>,
+    /// Limits the connections to all endpoints together.
     budget: ConnectionBudget,
+    /// How long establishing a connection may take.
     connect_timeout: Duration,
+    /// How long a connection may be idle before it is closed.
     idle_timeout: Duration,
-    /// Whether connections pause before they are reused.
+    /// Decides how soon after a response a connection may be reused.
     pub(super) reuse_delay: ReuseDelay,
 }
 
@@ -53,12 +62,13 @@
         }
     }
 
-    /// Whether any endpoint accepts requests.
+    /// Returns whether any endpoint accepts requests.
     pub(crate) fn has_ready_endpoint(&self) -> bool {
         self.endpoints.borrow().values().any(|endpoint| endpoint.state == EndpointState::Ready)
     }
 
-    /// Applies an endpoint list. Idle connections to endpoints that no longer accept requests are closed.
+    /// Applies an endpoint list. Closes idle connections to endpoints that no longer accept requests or that
+    /// have another address.
     pub(crate) fn apply_list(&self, kind: ListKind, discovered: &[DiscoveredEndpoint]) {
         let mut endpoints = self.endpoints.borrow_mut();
         if kind != ListKind::Changes {
@@ -82,31 +92,31 @@
         }
     }
 
-    /// Sets the end of the endpoint list's lease.
+    /// Sets when the endpoint list's lease expires.
     pub(crate) fn set_lease_end(&self, until: Instant) {
         self.lease_end.set(Some(until));
     }
 
-    /// Whether the endpoint list's lease has run out, so that nothing may be sent.
+    /// Returns whether the endpoint list's lease has expired, so that no request may be sent.
     pub(super) fn is_lease_expired(&self) -> bool {
         self.lease_end.get().is_some_and(|until| Instant::now() >= until)
     }
 
-    /// Closes connections that have been idle for too long or that their endpoint has closed.
+    /// Closes connections that have been idle for too long or that are not usable.
     pub(crate) fn close_stale_connections(&self) {
         for endpoint in self.endpoints.borrow_mut().values_mut() {
             endpoint.idle.close_stale(|connection| self.is_usable(connection));
         }
     }
 
-    /// The address of an endpoint, if it accepts requests.
+    /// Returns the address of an endpoint, or `None` if the endpoint accepts no requests.
     pub(super) fn ready_addr(&self, endpoint: EndpointId) -> Option<SocketAddr> {
         let endpoints = self.endpoints.borrow();
         endpoints.get(&endpoint).filter(|e| e.state == EndpointState::Ready).map(|e| e.addr)
     }
 
-    /// Returns an idle connection to an endpoint, or else a new one. Returns `None` if a new one cannot be
-    /// established in time or all permitted connections are in use.
+    /// Returns an idle connection to an endpoint, or else a new one. Returns `None` if all permitted
+    /// connections are in use, or if a new one is not established within the connect timeout.
     pub(super) async fn acquire(&self, endpoint: EndpointId, addr: SocketAddr) -> Option<PooledConnection> {
         if let Some(pooled) = self.take_idle(endpoint) {
             return Some(pooled);
@@ -115,7 +125,7 @@
         PooledConnection::connect(addr, permit, Instant::now() + self.connect_timeout).await
     }
 
-    /// Takes the most recently used idle connection that may be reused.
+    /// Takes the most recently used idle connection to an endpoint, among those that may be reused.
     fn take_idle(&self, endpoint: EndpointId) -> Option<PooledConnection> {
         let mut endpoints = self.endpoints.borrow_mut();
         let endpoint = endpoints.get_mut(&endpoint)?;
@@ -123,8 +133,8 @@
         endpoint.idle.take(allows_reuse, |connection| self.is_usable(connection))
     }
 
-    /// Whether a connection can carry another request, now or after the reuse delay. Surplus bytes begin
-    /// the delay.
+    /// Returns whether a connection can carry another request, now or after the reuse delay. Begins the delay
+    /// for all connections if this one has received surplus bytes.
     pub(super) fn is_usable(&self, connection: &mut HttpConnection) -> bool {
         let check = connection.check_idle();
         if check == IdleCheck::SurplusReceived {
@@ -133,8 +143,8 @@
         check == IdleCheck::Usable
     }
 
-    /// Returns a connection to the pool, or closes it if it is not usable, or if its endpoint accepts no more
-    /// requests or has another address.
+    /// Puts a connection back into the pool, or closes it if it is not usable, or if its endpoint no longer
+    /// accepts requests or has another address.
     pub(super) fn release(&self, endpoint: EndpointId, addr: SocketAddr, mut pooled: PooledConnection) {
         if let Some(endpoint) = self.endpoints.borrow_mut().get_mut(&endpoint) {
             let accepts = endpoint.state == EndpointState::Ready && endpoint.addr == addr;
@@ -144,8 +154,8 @@
         }
     }
 
-    /// Returns a permit for one more connection. If the budget is exhausted, the longest idle connection is
-    /// closed.
+    /// Returns a permit for one more connection. If the budget is exhausted, closes the longest idle
+    /// connection, or returns `None` if no connection is idle.
     fn acquire_permit(&self) -> Option<ConnectionPermit> {
         if self.budget.is_exhausted() {
             let mut endpoints = self.endpoints.borrow_mut();
--- a/crates/gateway/src/upstream/tests/connections.rs
+++ b/crates/gateway/src/upstream/tests/connections.rs
@@ -1,7 +1,7 @@
-//! Connections to endpoints: the delay before reuse, surplus bytes, and expired endpoint lists.
+//! Tests of connections to endpoints: the reuse delay, surplus bytes, and expired endpoint lists.
 use crate::discovery::DiscoveredEndpoint;
 use crate::http_connection::HttpConnection;
-use crate::upstream::reuse_delay::{ReuseDelay, DELAY_PERIOD, REUSE_DELAY};
+use crate::upstream::reuse_delay::{ReuseDelay, REUSE_DELAY, REUSE_DELAY_ACTIVE_FOR};
 use crate::upstream::{UpstreamPool, UpstreamRequest};
 use bytes::Bytes;
 use hyper::header::HeaderValue;
@@ -39,60 +39,60 @@
     }
 }
 
-/// A response arrives twice, its copy some milliseconds later. If the connection were reused at once, the
-/// copy would be taken for the next response. Expected: after surplus bytes every reuse is delayed for a
-/// while, and not before or after that.
+/// A response arrives twice, the copy some milliseconds after the first. If the connection were reused at
+/// once, the copy would be taken for the next response. Expected: each reuse is delayed for a period after
+/// surplus bytes were received; before and after that period, none is.
 #[test]
-fn reuse_is_delayed_for_a_period_after_surplus_bytes_and_not_otherwise() {
+fn reuse_is_delayed_only_for_a_period_after_surplus_bytes() {
     let reuse_delay = ReuseDelay::default();
     let now = Instant::now();
-    assert!(reuse_delay.allows_reuse(now, now), "nothing has happened");
+    assert!(reuse_delay.allows_reuse(now, now), "no surplus bytes were received");
     reuse_delay.begin(now);
     let answered = now + Duration::from_secs(1);
     assert!(!reuse_delay.allows_reuse(answered, answered));
     assert!(!reuse_delay.allows_reuse(answered, answered + REUSE_DELAY / 2));
     assert!(reuse_delay.allows_reuse(answered, answered + REUSE_DELAY));
-    let later = now + DELAY_PERIOD;
-    assert!(reuse_delay.allows_reuse(later, later), "it is over");
+    let later = now + REUSE_DELAY_ACTIVE_FOR;
+    assert!(reuse_delay.allows_reuse(later, later), "the period is over");
 }
 
-/// Surplus bytes are there when a connection becomes idle, or arrive while it is idle, or are no response
-/// at all. If one of these were missed, copies on other connections could be taken for responses. Expected:
-/// the connection closes and the delay begins; a plain close does not begin it.
+/// A connection receives surplus bytes, which need not be a response, before it becomes idle or while it is
+/// idle. If they were missed, copies of responses on other connections could be taken for responses. The
+/// connection must close and the reuse delay begin; a close without surplus bytes must not begin the delay.
 #[tokio::test]
 async fn surplus_bytes_begin_the_reuse_delay_whenever_they_arrive() {
-    for more in [false, true] {
+    for has_surplus in [false, true] {
         let pool = pool();
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let addr = listener.local_addr().expect("bound");
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind a loopback port");
+        let addr = listener.local_addr().expect("the listener is bound");
         let (connection, accepted) = tokio::join!(HttpConnection::connect(addr), listener.accept());
-        let mut connection = connection.expect("a connection");
-        let (far, _) = accepted.expect("a connection");
-        let mut far = far.into_std().expect("a socket");
-        far.set_nonblocking(false).expect("a socket");
+        let mut connection = connection.expect("connect to the listener");
+        let (server, _) = accepted.expect("accept the connection");
+        let mut server = server.into_std().expect("convert the stream");
+        server.set_nonblocking(false).expect("make the stream blocking");
         assert!(pool.is_usable(&mut connection));
-        if more {
-            far.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").expect("written");
+        if has_surplus {
+            server.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").expect("write surplus bytes");
         }
-        // The close follows it: once it is seen, all has arrived.
-        far.shutdown(std::net::Shutdown::Write).expect("a close");
+        // Once the gateway's end has seen the close, it has received all bytes before it.
+        server.shutdown(std::net::Shutdown::Write).expect("shut down the stream");
         while pool.is_usable(&mut connection) {
             tokio::task::yield_now().await;
         }
         drop(connection);
-        assert!(matches!(far.read(&mut [0; 16]), Ok(0) | Err(_)));
+        assert!(matches!(server.read(&mut [0; 16]), Ok(0) | Err(_)));
         let now = Instant::now();
-        assert_eq!(pool.reuse_delay.allows_reuse(now, now), !more);
+        assert_eq!(pool.reuse_delay.allows_reuse(now, now), !has_surplus);
     }
 }
 
-/// The list expires while a connection is being established, or just before a pooled one is used. Sent all
-/// the same, the request could go to an endpoint that is draining. Expected: nothing is written, the
-/// endpoint is not blamed, and the same attempt is sent while the list is valid.
+/// The endpoint list expires while a connection is being established, or just before a pooled connection is
+/// used. If the request were sent, it could go to an endpoint that is draining. Expected: nothing is written,
+/// the outcome does not count as the endpoint's failure, and the attempt is sent while the list is valid.
 #[tokio::test]
-async fn nothing_is_sent_by_an_expired_list() {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let addr = listener.local_addr().expect("bound");
+async fn attempt_is_not_sent_once_the_list_has_expired() {
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind a loopback port");
+    let addr = listener.local_addr().expect("the listener is bound");
     let (pool, id) = (pool(), EndpointId(1));
     let list_endpoint_as = |state| {
         let entry = EndpointEntry {
@@ -108,30 +108,31 @@
     list_endpoint_as(EndpointState::Ready);
     let request = request();
     let until = Instant::now() + Duration::from_secs(60);
-    // The list expires once the attempt has begun, whose connection is then pooled for the next.
+    // The list expires after the attempt has begun. The first attempt's connection is then pooled, and the
+    // second attempt uses it.
     for pooled in [false, true] {
         pool.set_lease_end(until);
         let attempt = pool.attempt(id, &request, until, || true);
         pool.set_lease_end(Instant::now());
         assert_eq!(attempt.await.outcome, Outcome::TooLate, "pooled: {pooled}");
     }
-    let (far, _) = listener.accept().await.expect("a connection");
+    let (server, _) = listener.accept().await.expect("accept the connection");
     list_endpoint_as(EndpointState::Draining);
-    let mut far = far.into_std().expect("a socket");
-    far.set_nonblocking(false).expect("a socket");
-    assert!(matches!(far.read(&mut [0; 16]), Ok(0)), "nothing was written");
-    // While the list holds, the same attempt is sent.
+    let mut server = server.into_std().expect("convert the stream");
+    server.set_nonblocking(false).expect("make the stream blocking");
+    assert!(matches!(server.read(&mut [0; 16]), Ok(0)), "no request is written");
+    // While the list is valid, the same attempt is sent.
     list_endpoint_as(EndpointState::Ready);
     pool.set_lease_end(until);
     let (attempt, answered) = tokio::join!(pool.attempt(id, &request, until, || true), async {
-        let (far, _) = listener.accept().await?;
-        // It may be reported readable before it is.
-        while far.try_read(&mut [0; 4096]).is_err() {
-            far.readable().await?;
+        let (server, _) = listener.accept().await?;
+        // The socket may be reported readable before it is.
+        while server.try_read(&mut [0; 4096]).is_err() {
+            server.readable().await?;
             tokio::task::yield_now().await;
         }
-        far.try_write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+        server.try_write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
     });
-    answered.expect("a socket");
+    answered.expect("receive the request and write the response");
     assert_eq!(attempt.outcome, Outcome::Ok);
 }
--- a/crates/gateway/src/upstream/tests/mod.rs
+++ b/crates/gateway/src/upstream/tests/mod.rs
@@ -1,3 +1,3 @@
-//! The tests of the upstream side, by concern.
+//! Tests of the upstream side.
 mod connections;
 mod outcomes;
--- a/crates/gateway/src/upstream/tests/outcomes.rs
+++ b/crates/gateway/src/upstream/tests/outcomes.rs
@@ -1,4 +1,4 @@
-//! How an attempt ended, and why one is not sent, branch by branch.
+//! Tests of attempt outcomes and of the reasons not to send an attempt.
 use crate::http_connection::ExchangeError::{ConnectionLost, InvalidResponse};
 use crate::upstream::outcomes::{
     failure_outcome, reason_not_to_send, response_outcome, timeout_outcome, SendCheck,
@@ -7,14 +7,14 @@
 use irishinge_admission::Outcome;
 
 #[test]
-fn a_request_is_sent_only_by_a_valid_list_to_a_ready_endpoint_and_while_it_is_wanted() {
-    let sound = SendCheck { is_lease_expired: false, is_endpoint_ready: true, is_wanted: true };
+fn sends_only_with_a_valid_list_a_ready_endpoint_and_a_waiting_client() {
+    let sendable = SendCheck { is_lease_expired: false, is_endpoint_ready: true, is_wanted: true };
     let cases = [
-        (sound, None),
-        (SendCheck { is_wanted: false, ..sound }, Some(Outcome::ConnectFailed)),
-        (SendCheck { is_endpoint_ready: false, ..sound }, Some(Outcome::ConnectFailed)),
-        (SendCheck { is_lease_expired: true, ..sound }, Some(Outcome::TooLate)),
-        (SendCheck { is_lease_expired: true, is_endpoint_ready: false, ..sound }, Some(Outcome::TooLate)),
+        (sendable, None),
+        (SendCheck { is_wanted: false, ..sendable }, Some(Outcome::ConnectFailed)),
+        (SendCheck { is_endpoint_ready: false, ..sendable }, Some(Outcome::ConnectFailed)),
+        (SendCheck { is_lease_expired: true, ..sendable }, Some(Outcome::TooLate)),
+        (SendCheck { is_lease_expired: true, is_endpoint_ready: false, ..sendable }, Some(Outcome::TooLate)),
     ];
     for (check, outcome) in cases {
         assert_eq!(reason_not_to_send(&check), outcome, "{check:?}");
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_response_is_a_rejection_only_with_its_status_and_its_mark() {
+fn response_is_a_rejection_only_with_503_or_504_and_x_rejected() {
     let cases = [
         (StatusCode::OK, false, Outcome::Ok),
         (StatusCode::OK, true, Outcome::Ok),
@@ -33,15 +33,15 @@
         (StatusCode::INTERNAL_SERVER_ERROR, true, Outcome::Error),
         (StatusCode::CREATED, false, Outcome::Error),
     ];
-    for (status, is_marked_rejected, outcome) in cases {
-        assert_eq!(response_outcome(status, is_marked_rejected), outcome, "{status} {is_marked_rejected}");
+    for (status, has_rejected_header, outcome) in cases {
+        assert_eq!(response_outcome(status, has_rejected_header), outcome, "{status} {has_rejected_header}");
     }
 }
 
-/// An attempt of which nothing was written never ran, and may be repeated whatever its class. One of which
-/// a byte was written may have run.
+/// If no byte of an attempt was written, the request never ran and may be retried whatever its class. If a
+/// byte was written, the request may have run, and a retry could run it twice.
 #[test]
-fn an_attempt_never_ran_only_if_nothing_of_it_was_written() {
+fn attempt_counts_as_never_run_only_if_nothing_was_written() {
     for error in [ConnectionLost, InvalidResponse] {
         assert_eq!(failure_outcome(false, &error), Outcome::ConnectFailed, "{error:?}");
     }
--- a/crates/gateway/src/upstream/upstream_request.rs
+++ b/crates/gateway/src/upstream/upstream_request.rs
@@ -6,27 +6,27 @@
 use hyper::{Method, Request, Uri};
 use tokio::time::Instant;
 
-/// What of a client's request is sent to an endpoint.
+/// The parts of a client's request that are sent to an endpoint.
 pub(crate) struct UpstreamRequest {
-    /// The method.
+    /// The method, unchanged.
     pub method: Method,
-    /// Path and query, unchanged.
+    /// The path and query, unchanged.
     pub uri: Uri,
-    /// `Host`, unchanged.
+    /// The `Host` header, unchanged.
     pub host: HeaderValue,
-    /// `X-Call-Id`, unchanged.
+    /// The `X-Call-Id` header, unchanged.
     pub call_id: HeaderValue,
-    /// `Idempotency-Key`, unchanged.
+    /// The `Idempotency-Key` header, unchanged.
     pub idempotency_key: Option<HeaderValue>,
-    /// `Content-Type`, unchanged.
+    /// The `Content-Type` header, unchanged.
     pub content_type: Option<HeaderValue>,
     /// The body, unchanged.
     pub body: Bytes,
 }
 
 impl UpstreamRequest {
-    /// Creates the HTTP request of one attempt. Its `X-Budget` is the time that remains until `deadline`,
-    /// in seconds.
+    /// Creates the HTTP request of one attempt. The `X-Budget` header is the time that remains until
+    /// `deadline`, in seconds.
     pub(super) fn to_http(&self, deadline: Instant) -> Request<Full<Bytes>> {
         let seconds_left = deadline.saturating_duration_since(Instant::now()).as_secs_f64();
         let mut request = Request::new(Full::new(self.body.clone()));
