--- a/crates/gateway/tests/it/attempts.rs
+++ b/crates/gateway/tests/it/attempts.rs
@@ -32,7 +32,7 @@
 fn a_request_that_found_no_connection_is_rejected_as_never_run() {
     // Nobody listens at a port that was bound and closed.
     let gone = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).and_then(|l| l.local_addr()).expect("a port");
-    let discovery = Discovery::start();
+    let discovery = SequentialDiscovery::start();
     let gateway = GatewayProcess::start(&config(discovery.addr, &[endpoint_entry("s-0", gone, "up")]));
     assert_eq!(gateway.client().request(&ClientRequest::new("once")).status(), 503);
 }
--- a/crates/gateway/tests/it/client_connections.rs
+++ b/crates/gateway/tests/it/client_connections.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 /// A gateway that may open few descriptors: 32 are for connections, 19 of them clients'. No quota binds.
-fn start_with_64_descriptors(endpoint: &ScriptedServer) -> (GatewayProcess, Discovery) {
+fn start_with_64_descriptors(endpoint: &ScriptedServer) -> (GatewayProcess, SequentialDiscovery) {
     start_gateway_with(&[endpoint.addr], |config| {
         config["limits"]["sockets"] = json!(64);
         config["settings"]["tiersOfService"][0]["peakUnits"] = json!(1000.0);
--- a/crates/gateway/tests/it/client_disconnects.rs
+++ b/crates/gateway/tests/it/client_disconnects.rs
@@ -65,8 +65,8 @@
 /// up, and run for nobody. Expected: the connection carries the next client's request first.
 #[test]
 fn never_sends_a_request_whose_client_disconnected_before_its_connection_was_up() {
-    let listener = LateListener::start();
-    let discovery = Discovery::start();
+    let listener = FullBacklogListener::start();
+    let discovery = SequentialDiscovery::start();
     let mut config = config(discovery.addr, &[endpoint_entry("s-0", listener.addr(), "up")]);
     config["settings"]["ceilings"]["cancel"] = json!(false);
     config["settings"]["ceilings"]["connectTimeoutMs"] = json!(25_000.0);
--- a/crates/gateway/tests/it/common/discovery_agent.rs
+++ b/crates/gateway/tests/it/common/concurrent_discovery.rs
@@ -39,17 +39,17 @@
     }
 }
 
-pub(crate) struct DiscoveryAgent {
+pub(crate) struct ConcurrentDiscovery {
     pub(crate) addr: SocketAddr,
     calls: Receiver<DiscoveryCall>,
 }
 
-impl DiscoveryAgent {
-    pub(crate) fn start() -> DiscoveryAgent {
-        DiscoveryAgent::start_on(TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a port"))
+impl ConcurrentDiscovery {
+    pub(crate) fn start() -> ConcurrentDiscovery {
+        ConcurrentDiscovery::start_on(TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a port"))
     }
 
-    pub(crate) fn start_on(listener: TcpListener) -> DiscoveryAgent {
+    pub(crate) fn start_on(listener: TcpListener) -> ConcurrentDiscovery {
         let addr = listener.local_addr().expect("bound");
         let (sender, calls) = channel();
         thread::spawn(move || {
@@ -58,7 +58,7 @@
                 thread::spawn(move || serve(stream, &sender));
             }
         });
-        DiscoveryAgent { addr, calls }
+        ConcurrentDiscovery { addr, calls }
     }
 
     pub(crate) fn next_call(&self) -> DiscoveryCall {
--- a/crates/gateway/tests/it/common/late_listener.rs
+++ b/crates/gateway/tests/it/common/full_backlog_listener.rs
@@ -8,7 +8,7 @@
 const FILLING_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Its queue of connections is full until it takes one out.
-pub(crate) struct LateListener {
+pub(crate) struct FullBacklogListener {
     listener: TcpListener,
     /// The connections that fill the queue.
     filling: Vec<Socket>,
@@ -16,8 +16,8 @@
     filling_ports: Vec<u16>,
 }
 
-impl LateListener {
-    pub(crate) fn start() -> LateListener {
+impl FullBacklogListener {
+    pub(crate) fn start() -> FullBacklogListener {
         let socket = loopback_socket();
         socket.listen(0).expect("a listener");
         let listener = TcpListener::from(socket);
@@ -33,7 +33,7 @@
             filling.push(socket);
             assert!(filling.len() < 10, "the queue never fills");
         }
-        LateListener { listener, filling, filling_ports }
+        FullBacklogListener { listener, filling, filling_ports }
     }
 
     pub(crate) fn addr(&self) -> SocketAddr {
--- a/crates/gateway/tests/it/common/gateway_process.rs
+++ b/crates/gateway/tests/it/common/gateway_process.rs
@@ -1,5 +1,7 @@
 //! The gateway as a process; ended with the test.
-use super::{config, endpoint_entry, unique_number, use_counter, Client, Discovery, ScriptedServer};
+use super::{
+    config, endpoint_entry, unique_number, use_counter, Client, ScriptedServer, SequentialDiscovery,
+};
 use serde_json::Value;
 use std::io::{BufRead, BufReader};
 use std::net::{SocketAddr, TcpStream};
@@ -40,7 +42,7 @@
 }
 
 /// A gateway that knows these endpoints; discovery is silent unless the test speaks.
-pub(crate) fn start_gateway(endpoints: &[&ScriptedServer]) -> (GatewayProcess, Discovery) {
+pub(crate) fn start_gateway(endpoints: &[&ScriptedServer]) -> (GatewayProcess, SequentialDiscovery) {
     let addrs: Vec<_> = endpoints.iter().map(|endpoint| endpoint.addr).collect();
     start_gateway_with(&addrs, |_| {})
 }
@@ -49,8 +51,8 @@
 pub(crate) fn start_gateway_with(
     endpoints: &[SocketAddr],
     change: impl Fn(&mut Value),
-) -> (GatewayProcess, Discovery) {
-    let discovery = Discovery::start();
+) -> (GatewayProcess, SequentialDiscovery) {
+    let discovery = SequentialDiscovery::start();
     let known: Vec<_> = endpoints
         .iter()
         .enumerate()
@@ -65,7 +67,7 @@
 pub(crate) fn start_gateway_with_counter(
     endpoint: &ScriptedServer,
     counter: &ScriptedServer,
-) -> (GatewayProcess, Discovery) {
+) -> (GatewayProcess, SequentialDiscovery) {
     start_gateway_with(&[endpoint.addr], |config| use_counter(config, counter.addr))
 }
 
--- a/crates/gateway/tests/it/common/mod.rs
+++ b/crates/gateway/tests/it/common/mod.rs
@@ -1,26 +1,26 @@
 //! What the tests have in common: the gateway as a process, and the parties around it that a test plays
 //! itself, all on loopback.
 mod client;
+mod concurrent_discovery;
 mod config;
-mod discovery;
-mod discovery_agent;
+mod full_backlog_listener;
 mod gateway_process;
 mod http_message;
-mod late_listener;
 mod quota_owner;
 mod scripted_server;
+mod sequential_discovery;
 
 pub(crate) use client::{Client, ClientRequest, HEALTH_CHECK};
+pub(crate) use concurrent_discovery::{ConcurrentDiscovery, DiscoveryCall};
 pub(crate) use config::{changes, complete_list, config, endpoint_entry, use_counter};
-pub(crate) use discovery::Discovery;
-pub(crate) use discovery_agent::{DiscoveryAgent, DiscoveryCall};
+pub(crate) use full_backlog_listener::FullBacklogListener;
 pub(crate) use gateway_process::{
     spawn, start_gateway, start_gateway_with, start_gateway_with_counter, GatewayProcess,
 };
 pub(crate) use http_message::{http_response, read_message};
-pub(crate) use late_listener::LateListener;
 pub(crate) use quota_owner::{use_quota_owner, QuotaOwner};
 pub(crate) use scripted_server::{respond, Received, Reply, ScriptedServer};
+pub(crate) use sequential_discovery::SequentialDiscovery;
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
--- a/crates/gateway/tests/it/common/discovery.rs
+++ b/crates/gateway/tests/it/common/sequential_discovery.rs
@@ -17,16 +17,16 @@
     Broken,
 }
 
-pub(crate) struct Discovery {
+pub(crate) struct SequentialDiscovery {
     pub(crate) addr: SocketAddr,
     calls: Receiver<String>,
     ends: Sender<CallEnd>,
 }
 
-impl Discovery {
+impl SequentialDiscovery {
     /// Each call for the complete list takes the next of the pushed values too: the test says what comes
     /// when.
-    pub(crate) fn start() -> Discovery {
+    pub(crate) fn start() -> SequentialDiscovery {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a port");
         let addr = listener.local_addr().expect("bound");
         let (call_sender, calls) = channel();
@@ -47,7 +47,7 @@
                 }
             }
         });
-        Discovery { addr, calls, ends }
+        SequentialDiscovery { addr, calls, ends }
     }
 
     /// Answers a call with a list.
--- a/crates/gateway/tests/it/descriptors.rs
+++ b/crates/gateway/tests/it/descriptors.rs
@@ -11,7 +11,7 @@
 fn idle_clients_cannot_take_the_descriptors_of_discovery_and_endpoints() {
     for sockets in [64, 256] {
         let endpoint = ScriptedServer::serving("new");
-        let discovery = Discovery::start();
+        let discovery = SequentialDiscovery::start();
         let mut config = config(discovery.addr, &[]);
         config["limits"]["sockets"] = json!(sockets);
         let gateway = GatewayProcess::start_with_descriptor_limit(&config);
@@ -42,7 +42,7 @@
 /// would exceed its descriptors. Expected: it never has more open than its configuration permits.
 #[test]
 fn clients_with_half_sent_bodies_stay_within_the_bound() {
-    let discovery = Discovery::start();
+    let discovery = SequentialDiscovery::start();
     let mut config = config(discovery.addr, &[]);
     config["limits"]["sockets"] = json!(64);
     let gateway = GatewayProcess::start(&config);
@@ -70,7 +70,7 @@
 /// taken for dead. Expected: health checks are served.
 #[test]
 fn silent_clients_beyond_the_bound_are_evicted_for_others() {
-    let (endpoint, discovery) = (ScriptedServer::silent(), Discovery::start());
+    let (endpoint, discovery) = (ScriptedServer::silent(), SequentialDiscovery::start());
     let mut config = config(discovery.addr, &[endpoint_entry("s-0", endpoint.addr, "up")]);
     config["limits"]["sockets"] = json!(64);
     config["settings"]["tiersOfService"][0]["peakUnits"] = json!(1000.0);
--- a/crates/gateway/tests/it/disconnect_variants.rs
+++ b/crates/gateway/tests/it/disconnect_variants.rs
@@ -73,7 +73,7 @@
 fn start_with_large_quota(
     endpoints: &[SocketAddr],
     change: impl Fn(&mut Value),
-) -> (GatewayProcess, Discovery) {
+) -> (GatewayProcess, SequentialDiscovery) {
     start_gateway_with(endpoints, |config| {
         config["settings"]["tiersOfService"][0]["peakUnits"] = json!(1000.0);
         change(config);
@@ -200,7 +200,7 @@
 #[test]
 fn never_sends_a_request_that_waited_for_its_connection() {
     for kind in disconnect_kinds() {
-        let listener = LateListener::start();
+        let listener = FullBacklogListener::start();
         let addr = listener.addr();
         let (gateway, _discovery) = start_with_large_quota(&[addr], |config| {
             config["settings"]["ceilings"]["cancel"] = json!(false);
--- a/crates/gateway/tests/it/discovery_push.rs
+++ b/crates/gateway/tests/it/discovery_push.rs
@@ -4,8 +4,8 @@
 
 /// A gateway of a fleet so large that no pause which grows with it would end while a test waits; lists are
 /// pushed.
-fn start_in_large_pushed_fleet(known: &[&ScriptedServer]) -> (GatewayProcess, DiscoveryAgent) {
-    let agent = DiscoveryAgent::start();
+fn start_in_large_pushed_fleet(known: &[&ScriptedServer]) -> (GatewayProcess, ConcurrentDiscovery) {
+    let agent = ConcurrentDiscovery::start();
     let known: Vec<_> =
         known.iter().enumerate().map(|(n, e)| endpoint_entry(&format!("s-{n}"), e.addr, "up")).collect();
     let mut config = config(agent.addr, &known);
--- a/crates/gateway/tests/it/list_lease.rs
+++ b/crates/gateway/tests/it/list_lease.rs
@@ -26,7 +26,7 @@
 /// Discovery is up and each call ends like this: the gateway sends for a while and then no more, and a
 /// request that waits is served once there is a list, even one without changes.
 fn assert_sends_nothing_while_calls_end(end_call: fn(DiscoveryCall)) {
-    let (endpoint, agent) = (ScriptedServer::serving(""), DiscoveryAgent::start());
+    let (endpoint, agent) = (ScriptedServer::serving(""), ConcurrentDiscovery::start());
     let gateway = GatewayProcess::start(&config(agent.addr, &[up(&endpoint)]));
     let start = Instant::now();
     end_call(agent.next_call());
@@ -61,7 +61,7 @@
 /// checked by the unit tests of the lease.)
 #[test]
 fn goes_on_sending_while_discovery_answers_503() {
-    let (endpoint, agent) = (ScriptedServer::serving(""), DiscoveryAgent::start());
+    let (endpoint, agent) = (ScriptedServer::serving(""), ConcurrentDiscovery::start());
     let gateway = GatewayProcess::start(&config(agent.addr, &[up(&endpoint)]));
     let start = Instant::now();
     while start.elapsed() < LEASE {
@@ -106,7 +106,7 @@
     endpoint.next_request();
     // What it has at its return is applied: the endpoint is gone.
     port.listen(16).expect("a listener");
-    let agent = DiscoveryAgent::start_on(port.into());
+    let agent = ConcurrentDiscovery::start_on(port.into());
     agent.answer_until_watch(&complete_list(2, &[]));
     assert_serves_nothing(&gateway, &endpoint);
 }
@@ -117,7 +117,7 @@
 #[test]
 fn stops_sending_sooner_when_a_new_discovery_address_gives_no_list() {
     let endpoint = ScriptedServer::serving("");
-    let (old, new) = (DiscoveryAgent::start(), DiscoveryAgent::start());
+    let (old, new) = (ConcurrentDiscovery::start(), ConcurrentDiscovery::start());
     let mut config = config(old.addr, &[up(&endpoint)]);
     let gateway = GatewayProcess::start(&config);
     let watch = old.answer_first_watch(&complete_list(2, &[up(&endpoint)]));
@@ -141,7 +141,7 @@
 #[test]
 fn fetches_the_complete_list_after_a_truncated_one() {
     let (old, new) = (ScriptedServer::serving("old"), ScriptedServer::serving("new"));
-    let agent = DiscoveryAgent::start();
+    let agent = ConcurrentDiscovery::start();
     let gateway = GatewayProcess::start(&config(agent.addr, &[up(&old)]));
     let watch = agent.answer_first_watch(&complete_list(7, &[up(&old)]));
     watch.write("HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{\"rev\":");
--- a/crates/gateway/tests/it/peers.rs
+++ b/crates/gateway/tests/it/peers.rs
@@ -9,7 +9,7 @@
 #[test]
 fn sends_messages_to_peers_and_ignores_strangers() {
     let endpoint = ScriptedServer::serving("");
-    let discovery = Discovery::start();
+    let discovery = SequentialDiscovery::start();
     let peer = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).expect("a port");
     peer.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time-out");
     let stranger = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).expect("a port");
--- a/crates/gateway/tests/it/reload.rs
+++ b/crates/gateway/tests/it/reload.rs
@@ -14,7 +14,7 @@
     first.next_call();
     let to = |addr| config(addr, &[]).to_string();
     // During a call, and before any answer.
-    let second = Discovery::start();
+    let second = SequentialDiscovery::start();
     gateway.reload(&to(second.addr));
     assert_eq!(second.next_call(), "GET /v1/servers HTTP/1.1");
     assert_eq!(gateway.client().request(&ClientRequest::new("read")).body, b"old");
@@ -27,7 +27,7 @@
     let nobody = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).and_then(|l| l.local_addr()).expect("a port");
     gateway.reload(&to(nobody));
     let new = ScriptedServer::serving("new");
-    let last = Discovery::start();
+    let last = SequentialDiscovery::start();
     gateway.reload(&to(last.addr));
     assert_eq!(last.next_call(), "GET /v1/servers HTTP/1.1");
     assert_eq!(gateway.client().request(&ClientRequest::new("read")).body, b"old");
@@ -44,7 +44,7 @@
 fn sighup_moves_the_counter_and_finishes_a_call_at_the_old_one() {
     let endpoint = ScriptedServer::serving("");
     let (old, new) = (ScriptedServer::silent(), ScriptedServer::serving("1"));
-    let discovery = Discovery::start();
+    let discovery = SequentialDiscovery::start();
     let mut config = config(discovery.addr, &[endpoint_entry("s-0", endpoint.addr, "up")]);
     use_counter(&mut config, old.addr);
     let gateway = GatewayProcess::start(&config);
--- a/crates/gateway/tests/it/requests.rs
+++ b/crates/gateway/tests/it/requests.rs
@@ -135,7 +135,7 @@
 fn rejections_carry_retry_after_only_where_clients_honour_it() {
     let endpoint = ScriptedServer::serving("");
     for honoured in [false, true] {
-        let discovery = Discovery::start();
+        let discovery = SequentialDiscovery::start();
         let mut config = config(discovery.addr, &[endpoint_entry("s-0", endpoint.addr, "up")]);
         config["settings"]["ceilings"]["retryAfter"] = json!(honoured);
         config["settings"]["tiersOfService"][0]["refill"] = json!(0.01);
--- a/crates/gateway/tests/it/startup.rs
+++ b/crates/gateway/tests/it/startup.rs
@@ -6,7 +6,7 @@
 /// later, at a request. Expected: it ends at once with one line and a non-zero exit code.
 #[test]
 fn a_wrong_configuration_ends_the_start_with_one_line() {
-    let discovery = Discovery::start();
+    let discovery = SequentialDiscovery::start();
     for (pointer, value) in [
         ("/settings/me", json!(7)),
         ("/settings/zone", json!("nowhere")),
