--- a/crates/gateway/tests/it/client_connections.rs
+++ b/crates/gateway/tests/it/client_connections.rs
@@ -1,10 +1,11 @@
-//! Connections of clients: how long a new one may take, and which are closed beyond the bound on their
-//! number.
+//! Tests of client connections: how long a new one may take to send a request, and which are closed when
+//! their number reaches the limit.
 use crate::common::*;
 use serde_json::json;
 use std::time::{Duration, Instant};
 
-/// A gateway that may open few descriptors: 32 are for connections, 19 of them clients'. No quota binds.
+/// Starts a gateway with a limit of 64 descriptors, 32 of which are for connections and 19 of those for
+/// clients. Its quota is too large to reject any request.
 fn start_with_64_descriptors(endpoint: &ScriptedServer) -> (GatewayProcess, SequentialDiscovery) {
     start_gateway_with(&[endpoint.addr], |config| {
         config["limits"]["sockets"] = json!(64);
@@ -12,9 +13,9 @@
     })
 }
 
-/// Clients connect and send nothing, half a head, or half a body. Without a deadline they would take
-/// connections for as long as they like. Expected: each gets an error or a close within 3 s, while a
-/// connection that has been served may stay idle.
+/// Clients connect and send nothing, half a head, or half a body. Without a deadline they could hold their
+/// connections for ever. Expected: each gets an error or a close within 3 s, while a connection that has
+/// carried a request may stay idle.
 #[test]
 fn closes_a_new_connection_without_a_complete_request_within_3_s() {
     let endpoint = ScriptedServer::serving("");
@@ -35,20 +36,24 @@
             assert!(client.closes_within(TEST_TIMEOUT));
         }
     }
-    assert!(start.elapsed() < Duration::from_secs(3), "it took {:?}", start.elapsed());
+    assert!(
+        start.elapsed() < Duration::from_secs(3),
+        "the connections were closed only after {:?}",
+        start.elapsed()
+    );
     assert_eq!(served.request(&ClientRequest::new("read")).status(), 200);
 }
 
-/// Clients that have been served stay connected until the limit is reached. If new ones were closed, the
-/// gateway would serve nobody else. Expected: every new client is served, and the connection that is idle
-/// for longest is closed.
+/// Clients that have been served stay connected until the limit is reached. If new connections were closed,
+/// the gateway would serve no other client. Expected: every new client is served, and the connection that has
+/// been idle longest is closed.
 #[test]
-fn closes_the_longest_idle_connection_beyond_the_bound() {
+fn closes_the_longest_idle_connection_beyond_the_limit() {
     let endpoint = ScriptedServer::serving("");
     let (gateway, _discovery) = start_with_64_descriptors(&endpoint);
     let mut first = gateway.client();
     assert_eq!(first.health_status(), 200);
-    // All that come are answered, and in the end the one that stood idle longest is closed.
+    // Every new client is served. Once the limit is reached, the first connection is closed.
     let (start, mut others) = (Instant::now(), Vec::new());
     while !first.closes_within(Duration::from_millis(5)) {
         assert!(start.elapsed() < TEST_TIMEOUT, "the first connection stays open");
@@ -56,14 +61,14 @@
         assert_eq!(other.health_status(), 200);
         others.push(other);
     }
-    assert!(others.len() >= 19, "no connection is closed before the bound is reached");
+    assert!(others.len() >= 19, "a connection was closed before the limit was reached");
 }
 
 /// A hundred silent connections are opened faster than they time out. If they evicted connections that have
-/// been served, usual clients would lose theirs. Expected: requests over new connections are served, and a
-/// served connection stays open.
+/// carried requests, well-behaved clients would lose theirs. Expected: requests over new connections are
+/// served, and a connection that has carried a request stays open.
 #[test]
-fn closes_silent_connections_before_served_ones_beyond_the_bound() {
+fn closes_silent_connections_before_served_ones_beyond_the_limit() {
     let endpoint = ScriptedServer::serving("");
     let (gateway, _discovery) = start_with_64_descriptors(&endpoint);
     let mut served = gateway.client();
@@ -76,10 +81,11 @@
     drop(silent);
 }
 
-/// Every connection within the limit has a request in progress, and another client sends a request. Left
-/// unaccepted, it would wait for nothing. Expected: 503 at once, and its connection closes.
+/// Every connection within the limit has a request in progress, and another client sends a request. If its
+/// connection were not accepted, the client would wait in vain. Expected: 503 at once, and the connection
+/// closes.
 #[test]
-fn rejects_a_request_at_once_beyond_the_bound_when_none_is_idle() {
+fn rejects_a_request_at_once_beyond_the_limit_if_none_is_idle() {
     let endpoint = ScriptedServer::silent();
     let (gateway, _discovery) = start_with_64_descriptors(&endpoint);
     let mut busy = Vec::new();
--- a/crates/gateway/tests/it/client_disconnects.rs
+++ b/crates/gateway/tests/it/client_disconnects.rs
@@ -1,11 +1,12 @@
-//! Clients that disconnect while their request is active: its attempt ends, or it is never sent.
+//! Tests of clients that disconnect while their request is active: the attempt is cancelled, or the request
+//! is never sent.
 use crate::common::*;
 use serde_json::json;
 use std::io::BufReader;
 use std::time::{Duration, Instant};
 
-/// A client disconnects while its request is at an endpoint. Without cancellation, the endpoint would work
-/// for nobody. Expected: the attempt's connection closes.
+/// A client disconnects while an endpoint processes its request. Without cancellation, the endpoint would
+/// produce a response that no client reads. Expected: the attempt's connection closes.
 #[test]
 fn cancels_the_attempt_of_a_client_that_disconnects() {
     let endpoint = ScriptedServer::silent();
@@ -17,35 +18,35 @@
     assert_eq!(endpoint.next_close(), connection);
 }
 
-/// A client disconnects after it has written more bytes behind its request: a few, another request, or a
-/// flood. hyper does not read them before the response, and the unread bytes hide the disconnect, so that
-/// the endpoint would work for nobody until the budget ends. Expected: the attempt's connection closes long
-/// before that.
+/// A client writes more bytes after its request and disconnects: one byte, another request, or a flood.
+/// hyper does not read these bytes before the response, and unread bytes hide the disconnect. The endpoint
+/// would work until the request's deadline for a client that is gone. Expected: the attempt's connection
+/// closes long before the deadline.
 #[test]
-fn cancels_the_attempt_when_more_bytes_follow_the_request() {
+fn cancels_the_attempt_although_unread_bytes_follow_the_request() {
     let endpoint = ScriptedServer::silent();
     let (gateway, _discovery) = start_gateway(&[&endpoint]);
-    for behind in ["x".to_string(), ClientRequest::new("read").text(), "noise\r\n".repeat(20_000)] {
+    for trailing_bytes in ["x".to_string(), ClientRequest::new("read").text(), "noise\r\n".repeat(20_000)] {
         let start = Instant::now();
         let mut client = gateway.client();
         client.write(&ClientRequest { budget: "20.0", ..ClientRequest::new("read") }.text());
         let connection = endpoint.next_request().connection;
-        client.write(&behind);
+        client.write(&trailing_bytes);
         drop(client);
         assert_eq!(endpoint.next_close(), connection);
-        // Its time is 20 s: the attempt ended because of the client.
+        // The request's deadline is after 20 s, so the attempt ended because of the disconnect.
         assert!(start.elapsed() < Duration::from_secs(10), "{:?}", start.elapsed());
     }
 }
 
-/// A client disconnects while its request waits for the quota counter, whose response is delayed until the
-/// gateway has noticed. Without the check the request would be sent once the counter permits it, and run
-/// for nobody. Expected: it is never sent.
+/// A client disconnects while its request waits for the quota counter, which responds only after the gateway
+/// has noticed the disconnect. Without a check, the request would be sent once the counter permits it, and an
+/// endpoint would process it for a client that is gone. Expected: the request is never sent.
 #[test]
-fn never_sends_a_request_whose_client_disconnected_during_its_quota_check() {
+fn never_sends_a_request_after_a_disconnect_during_its_quota_check() {
     let endpoint = ScriptedServer::serving("");
     let counter = ScriptedServer::silent();
-    let (gateway, _discovery) = start_gateway_with_counter(&endpoint, &counter);
+    let (gateway, _discovery) = start_gateway_with_quota_counter(&endpoint, &counter);
     let request = || ClientRequest { metering: "units=1,spread=2,first=0", ..ClientRequest::new("once") };
     let mut client = gateway.client();
     client.write(&request().text());
@@ -54,17 +55,18 @@
     (0..5).for_each(|_| assert_eq!(gateway.client().health_status(), 200));
     counter.set_reply(respond("200 OK", "", "1"));
     counter.write(connection, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n1");
-    // The next customer's request passes; that it comes first shows that the other was not sent.
+    // Another customer's request is sent. The endpoint receives it first, so the abandoned one was not sent.
     let next = ClientRequest { customer: "0000000000000007", ..request() };
     assert_eq!(gateway.client().request(&next).status(), 200);
     assert_eq!(endpoint.next_request().message.header("x-call-id"), Some(next.id.as_str()));
 }
 
-/// A client disconnects while the connection for its attempt is being established, where the settings
-/// forbid cancelling. Without a check before the write, the request would be sent once the connection is
-/// up, and run for nobody. Expected: the connection carries the next client's request first.
+/// A client disconnects while the connection for its attempt is being established, and the settings forbid
+/// cancelling. Without a check before the write, the request would be sent once the connection is
+/// established, for a client that is gone. Expected: the first request on the connection is the next
+/// client's.
 #[test]
-fn never_sends_a_request_whose_client_disconnected_before_its_connection_was_up() {
+fn never_sends_a_request_after_a_disconnect_during_connect() {
     let listener = FullBacklogListener::start();
     let discovery = SequentialDiscovery::start();
     let mut config = config(discovery.addr, &[endpoint_entry("s-0", listener.addr(), "up")]);
@@ -76,12 +78,12 @@
     (0..5).for_each(|_| assert_eq!(gateway.client().health_status(), 200));
     client.disconnect(&gateway);
     (0..5).for_each(|_| assert_eq!(gateway.client().health_status(), 200));
-    // The gateway's connection comes up now, when its handshake is next repeated.
+    // Now the gateway's connection is established, when its handshake is next repeated.
     let stream = listener.accept();
-    // The next request goes over it, and is the first that comes.
+    // The next client's request is sent on this connection, and is the first on it.
     let next = ClientRequest::new("once");
     let mut other = gateway.client();
     other.write(&next.text());
-    let first = read_message(&mut BufReader::new(stream)).expect("a request");
+    let first = read_message(&mut BufReader::new(stream)).expect("the gateway sends a request");
     assert_eq!(first.header("x-call-id"), Some(next.id.as_str()));
 }
--- a/crates/gateway/tests/it/common/client.rs
+++ b/crates/gateway/tests/it/common/client.rs
@@ -1,81 +1,92 @@
-//! A client of the gateway, and the requests it writes.
+//! A client of the gateway, and the requests that it writes.
 use super::http_message::{read_message, Message};
 use super::{unique_number, GatewayProcess, TEST_TIMEOUT};
 use std::io::{BufRead, BufReader, ErrorKind, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
+/// A complete health check request.
 pub(crate) const HEALTH_CHECK: &str = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n";
 
+/// A client with one connection to the gateway.
 pub(crate) struct Client {
     reader: BufReader<TcpStream>,
 }
 
 impl Client {
+    /// Connects to the gateway at `addr`.
     pub(crate) fn connect(addr: SocketAddr) -> Client {
-        let stream = TcpStream::connect(addr).expect("the gateway accepts");
-        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time-out");
+        let stream = TcpStream::connect(addr).expect("connect to the gateway");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("set the read timeout");
         Client { reader: BufReader::new(stream) }
     }
 
-    /// Closes the connection, and waits until the gateway has closed its end too.
+    /// Closes the connection and waits until the gateway has closed its end too.
     pub(crate) fn disconnect(self, gateway: &GatewayProcess) {
-        let gateway_end = gateway.socket_of(self.reader.get_ref());
+        let gateway_end = gateway.accepted_socket_of(self.reader.get_ref());
         drop(self);
-        gateway.wait_until_closed(&gateway_end, "a close");
+        gateway.wait_until_closed(&gateway_end, "close");
     }
 
+    /// Writes `text` to the connection.
     pub(crate) fn write(&mut self, text: &str) {
-        self.reader.get_mut().write_all(text.as_bytes()).expect("the gateway reads");
+        self.reader.get_mut().write_all(text.as_bytes()).expect("write to the gateway");
     }
 
+    /// Reads the next response. Returns `None` if the connection ends before it is complete.
     pub(crate) fn read(&mut self) -> Option<Message> {
         read_message(&mut self.reader)
     }
 
-    /// Writes a request and reads its response.
+    /// Writes a request and returns the response.
     pub(crate) fn request(&mut self, request: &ClientRequest) -> Message {
         self.request_raw(&request.text())
     }
 
-    /// Writes a text in place of a request and reads the response.
+    /// Writes `text`, which need not be a valid request, and returns the response.
     pub(crate) fn request_raw(&mut self, text: &str) -> Message {
         self.write(text);
-        self.read().expect("a response")
+        self.read().expect("the gateway responds")
     }
 
-    /// The status of a health check.
+    /// Sends a health check and returns the status of the response.
     pub(crate) fn health_status(&mut self) -> u16 {
         self.request_raw(HEALTH_CHECK).status()
     }
 
-    /// Whether the gateway closes the connection within this time, with nothing more to read.
+    /// Returns whether the gateway closes the connection within `time` without writing anything more.
     pub(crate) fn closes_within(&mut self, time: Duration) -> bool {
-        self.reader.get_mut().set_read_timeout(Some(time)).expect("a time-out");
+        self.reader.get_mut().set_read_timeout(Some(time)).expect("set the read timeout");
         let closed = match self.reader.fill_buf() {
             Ok(rest) => rest.is_empty(),
             Err(error) => error.kind() == ErrorKind::ConnectionReset,
         };
-        self.reader.get_mut().set_read_timeout(Some(TEST_TIMEOUT)).expect("a time-out");
+        self.reader.get_mut().set_read_timeout(Some(TEST_TIMEOUT)).expect("set the read timeout");
         closed
     }
 }
 
-/// A request, with what a test adds or omits.
+/// A request to the gateway. A test changes the fields that it needs to differ.
 pub(crate) struct ClientRequest {
-    /// `read` may be repeated, `post` carries an idempotency key, `once` must not run twice.
+    /// The request class: `read` may be repeated, `post` carries an idempotency key, and `once` must not run
+    /// twice.
     pub(crate) class: &'static str,
-    /// Seconds until the client stops waiting.
+    /// The `X-Budget` header: how long the client waits for a response, in seconds.
     pub(crate) budget: &'static str,
+    /// The `X-Call-Id` header.
     pub(crate) id: String,
+    /// The customer's id, which is part of the path.
     pub(crate) customer: &'static str,
+    /// The `X-Metering` header.
     pub(crate) metering: &'static str,
-    /// Complete lines.
+    /// Further headers, as complete lines.
     pub(crate) extra_headers: &'static str,
+    /// The body. A request of class `read` is sent without `Content-Length`.
     pub(crate) body: &'static str,
 }
 
 impl ClientRequest {
+    /// Creates a valid request of this class with an id of its own.
     pub(crate) fn new(class: &'static str) -> ClientRequest {
         ClientRequest {
             class,
@@ -88,6 +99,7 @@
         }
     }
 
+    /// Returns the request as it is written to the connection.
     pub(crate) fn text(&self) -> String {
         let method = if self.class == "read" { "GET" } else { "POST" };
         let length =
--- a/crates/gateway/tests/it/common/concurrent_discovery.rs
+++ b/crates/gateway/tests/it/common/concurrent_discovery.rs
@@ -1,5 +1,5 @@
-//! A discovery that takes any number of connections at once, so that one call may stay silent while the
-//! next comes.
+//! A discovery that serves any number of connections at once, so that one call may stay unanswered while the
+//! next arrives.
 use super::http_message::{http_response, read_message};
 use super::TEST_TIMEOUT;
 use serde_json::Value;
@@ -8,49 +8,57 @@
 use std::sync::mpsc::{channel, Receiver, Sender};
 use std::thread;
 
-/// A call that the test answers, breaks off, or drops to leave it without an answer.
+/// A call to discovery. The test answers it, breaks its connection, or drops it to leave it unanswered.
 pub(crate) struct DiscoveryCall {
     pub(crate) request_line: String,
-    /// What is written; none ends the connection.
+    /// The texts to write to the connection; `None` closes it.
     reply: Sender<Option<String>>,
 }
 
 impl DiscoveryCall {
+    /// Responds with `list`.
     pub(crate) fn answer(&self, list: &Value) {
         self.write(&http_response("200 OK", "", &list.to_string()));
     }
 
-    /// Writes this and nothing more.
+    /// Writes `text` as it is, which need not be a complete response.
     pub(crate) fn write(&self, text: &str) {
-        self.reply.send(Some(text.to_string())).expect("the agent runs");
+        self.reply.send(Some(text.to_string())).expect("the discovery thread runs");
     }
 
-    /// Ends the connection.
-    pub(crate) fn break_off(&self) {
-        self.reply.send(None).expect("the agent runs");
+    /// Closes the connection without a response.
+    pub(crate) fn break_connection(&self) {
+        self.reply.send(None).expect("the discovery thread runs");
     }
 
+    /// Returns whether the call fetches the complete list rather than waits for changes.
     pub(crate) fn is_for_complete_list(&self) -> bool {
         self.request_line == "GET /v1/servers HTTP/1.1"
     }
 
+    /// Asserts that the call waits for changes after the revision of `list`.
     fn assert_watches_after(&self, list: &Value) {
         assert!(self.request_line.contains(&format!("after={}&", list["rev"])), "{}", self.request_line);
     }
 }
 
+/// A discovery that serves any number of connections at once.
 pub(crate) struct ConcurrentDiscovery {
     pub(crate) addr: SocketAddr,
     calls: Receiver<DiscoveryCall>,
 }
 
 impl ConcurrentDiscovery {
+    /// Starts discovery on a free port.
     pub(crate) fn start() -> ConcurrentDiscovery {
-        ConcurrentDiscovery::start_on(TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a port"))
+        ConcurrentDiscovery::start_on(
+            TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("bind a loopback port"),
+        )
     }
 
+    /// Starts discovery on `listener`.
     pub(crate) fn start_on(listener: TcpListener) -> ConcurrentDiscovery {
-        let addr = listener.local_addr().expect("bound");
+        let addr = listener.local_addr().expect("the socket is bound");
         let (sender, calls) = channel();
         thread::spawn(move || {
             for stream in listener.incoming() {
@@ -61,18 +69,19 @@
         ConcurrentDiscovery { addr, calls }
     }
 
+    /// Waits for the next call.
     pub(crate) fn next_call(&self) -> DiscoveryCall {
-        self.calls.recv_timeout(TEST_TIMEOUT).expect("a call")
+        self.calls.recv_timeout(TEST_TIMEOUT).expect("the gateway calls discovery")
     }
 
-    /// The next call, which must be for the complete list.
+    /// Waits for the next call and asserts that it is for the complete list.
     pub(crate) fn next_call_for_complete_list(&self) -> DiscoveryCall {
         let call = self.next_call();
         assert!(call.is_for_complete_list(), "{}", call.request_line);
         call
     }
 
-    /// Answers the first call of a process that was started with a list, and returns the watch that follows.
+    /// Answers the first call of a gateway that was started with a list, and returns the watch that follows.
     pub(crate) fn answer_first_watch(&self, list: &Value) -> DiscoveryCall {
         let call = self.next_call();
         assert!(!call.is_for_complete_list(), "{}", call.request_line);
@@ -82,8 +91,8 @@
         watch
     }
 
-    /// Answers calls for the complete list until the watch that follows, and returns it. There may be several
-    /// calls: on a busy machine an answer may come after the call has timed out at the gateway.
+    /// Answers calls for the complete list until a watch follows, and returns the watch. There may be several
+    /// calls, because on a busy machine the gateway may receive an answer after the call has timed out.
     pub(crate) fn answer_until_watch(&self, list: &Value) -> DiscoveryCall {
         loop {
             let call = self.next_call();
@@ -96,8 +105,9 @@
     }
 }
 
+/// Passes the calls on one connection to the test, and writes what the test replies.
 fn serve(mut stream: TcpStream, calls: &Sender<DiscoveryCall>) {
-    let mut reader = BufReader::new(stream.try_clone().expect("a clone"));
+    let mut reader = BufReader::new(stream.try_clone().expect("clone the stream"));
     while let Some(message) = read_message(&mut reader) {
         let (reply, replies) = channel();
         if calls.send(DiscoveryCall { request_line: message.start_line, reply }).is_err() {
@@ -106,7 +116,7 @@
         match replies.recv() {
             Ok(Some(text)) => stream.write_all(text.as_bytes()).unwrap_or_default(),
             Ok(None) => return,
-            // The test dropped the call.
+            // The test has dropped the call, which stays unanswered.
             Err(_) => {}
         }
     }
--- a/crates/gateway/tests/it/common/full_backlog_listener.rs
+++ b/crates/gateway/tests/it/common/full_backlog_listener.rs
@@ -1,62 +1,64 @@
-//! An endpoint whose connections come up late.
+//! An endpoint to which connections are established late.
 use super::TEST_TIMEOUT;
 use socket2::{Domain, Socket, Type};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
 use std::time::Duration;
 
-/// How long a connection may take before the queue counts as full.
-const FILLING_TIMEOUT: Duration = Duration::from_millis(300);
+/// How long a connection may take to establish before the backlog counts as full.
+const FILL_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Its queue of connections is full until it takes one out.
+/// A listener whose backlog is full until the test accepts, so that further connections wait.
 pub(crate) struct FullBacklogListener {
     listener: TcpListener,
-    /// The connections that fill the queue.
-    filling: Vec<Socket>,
-    /// The ports of all attempts to fill it. On a busy machine one that timed out may have come up after all.
-    filling_ports: Vec<u16>,
+    /// The connections that fill the backlog.
+    fillers: Vec<Socket>,
+    /// The local ports of all connections that were tried to fill the backlog. On a busy machine, one that
+    /// timed out may have been established after all.
+    filler_ports: Vec<u16>,
 }
 
 impl FullBacklogListener {
+    /// Opens a listener and fills its backlog.
     pub(crate) fn start() -> FullBacklogListener {
         let socket = loopback_socket();
-        socket.listen(0).expect("a listener");
+        socket.listen(0).expect("listen on the socket");
         let listener = TcpListener::from(socket);
-        let addr = listener.local_addr().expect("bound").into();
-        let (mut filling, mut filling_ports) = (Vec::new(), Vec::new());
+        let addr = listener.local_addr().expect("the socket is bound").into();
+        let (mut fillers, mut filler_ports) = (Vec::new(), Vec::new());
         loop {
             let socket = loopback_socket();
-            let local_addr = socket.local_addr().expect("bound");
-            filling_ports.push(local_addr.as_socket().expect("an IP address").port());
-            if socket.connect_timeout(&addr, FILLING_TIMEOUT).is_err() {
+            let local_addr = socket.local_addr().expect("the socket is bound");
+            filler_ports.push(local_addr.as_socket().expect("the address is an IP address").port());
+            if socket.connect_timeout(&addr, FILL_TIMEOUT).is_err() {
                 break;
             }
-            filling.push(socket);
-            assert!(filling.len() < 10, "the queue never fills");
+            fillers.push(socket);
+            assert!(fillers.len() < 10, "the backlog does not fill up");
         }
-        FullBacklogListener { listener, filling, filling_ports }
+        FullBacklogListener { listener, fillers, filler_ports }
     }
 
     pub(crate) fn addr(&self) -> SocketAddr {
-        self.listener.local_addr().expect("bound")
+        self.listener.local_addr().expect("the socket is bound")
     }
 
-    /// Empties the queue, so that the gateway's connection comes up when its handshake is next repeated,
-    /// and returns that connection.
+    /// Empties the backlog, so that the gateway's connection is established when its handshake is next
+    /// repeated, and returns that connection.
     pub(crate) fn accept(&self) -> TcpStream {
-        self.filling.iter().for_each(|_| drop(self.listener.accept().expect("a connection")));
+        self.fillers.iter().for_each(|_| drop(self.listener.accept().expect("accept a connection")));
         loop {
-            let (stream, peer) = self.listener.accept().expect("a connection");
-            if !self.filling_ports.contains(&peer.port()) {
-                stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time-out");
+            let (stream, peer) = self.listener.accept().expect("accept a connection");
+            if !self.filler_ports.contains(&peer.port()) {
+                stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("set the read timeout");
                 return stream;
             }
         }
     }
 }
 
-/// A socket with a port of its own.
+/// Returns a loopback socket that is bound to a port of its own.
 fn loopback_socket() -> Socket {
-    let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
-    socket.bind(&SocketAddr::from((Ipv4Addr::LOCALHOST, 0)).into()).expect("a port");
+    let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("create a socket");
+    socket.bind(&SocketAddr::from((Ipv4Addr::LOCALHOST, 0)).into()).expect("bind a loopback port");
     socket
 }
--- a/crates/gateway/tests/it/common/gateway_process.rs
+++ b/crates/gateway/tests/it/common/gateway_process.rs
@@ -1,6 +1,6 @@
-//! The gateway as a process; ended with the test.
+//! The gateway as a process, which ends with its test.
 use super::{
-    config, endpoint_entry, unique_number, use_counter, Client, ScriptedServer, SequentialDiscovery,
+    config, endpoint_entry, unique_number, use_quota_counter, Client, ScriptedServer, SequentialDiscovery,
 };
 use serde_json::Value;
 use std::io::{BufRead, BufReader};
@@ -9,20 +9,24 @@
 use std::thread::{self, yield_now};
 use std::time::{Duration, Instant};
 
+/// The path of the gateway's program.
 const PROGRAM: &str = env!("CARGO_BIN_EXE_irishinge");
 
+/// A running gateway. Dropping it kills the process.
 pub(crate) struct GatewayProcess {
     child: Child,
     config_path: String,
+    /// The address that clients connect to.
     pub(crate) addr: SocketAddr,
+    /// The address that receives messages from peers; `None` if the configuration has none.
     pub(crate) peer_addr: Option<SocketAddr>,
 }
 
-/// Writes a configuration to a file of its own, and gives its path.
+/// Writes a configuration to a file of its own and returns the path.
 fn write_config(config: &Value) -> String {
     let (process, number) = (std::process::id(), unique_number());
     let path = format!("{}/config-{process}-{number}.json", env!("CARGO_TARGET_TMPDIR"));
-    std::fs::write(&path, config.to_string()).expect("a file");
+    std::fs::write(&path, config.to_string()).expect("write the configuration file");
     path
 }
 
@@ -33,21 +37,21 @@
         .stdout(Stdio::null())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("the gateway starts")
+        .expect("start the gateway")
 }
 
-/// Starts a gateway that need not get as far as listening.
+/// Starts a gateway without waiting until it listens, for a configuration that it may refuse.
 pub(crate) fn spawn(config: &Value) -> Child {
     spawn_command(Command::new(PROGRAM), &write_config(config))
 }
 
-/// A gateway that knows these endpoints; discovery is silent unless the test speaks.
+/// Starts a gateway whose initial list has these endpoints. Discovery responds only when the test says so.
 pub(crate) fn start_gateway(endpoints: &[&ScriptedServer]) -> (GatewayProcess, SequentialDiscovery) {
     let addrs: Vec<_> = endpoints.iter().map(|endpoint| endpoint.addr).collect();
     start_gateway_with(&addrs, |_| {})
 }
 
-/// The same with a change to its configuration.
+/// Does the same as [`start_gateway`], after `change` has changed the configuration.
 pub(crate) fn start_gateway_with(
     endpoints: &[SocketAddr],
     change: impl Fn(&mut Value),
@@ -63,22 +67,24 @@
     (GatewayProcess::start(&config), discovery)
 }
 
-/// A gateway that knows this endpoint, may call this counter, and may not send messages to its peer.
-pub(crate) fn start_gateway_with_counter(
+/// Starts a gateway that knows this endpoint and may call this quota counter, but must not send messages to
+/// its peer.
+pub(crate) fn start_gateway_with_quota_counter(
     endpoint: &ScriptedServer,
     counter: &ScriptedServer,
 ) -> (GatewayProcess, SequentialDiscovery) {
-    start_gateway_with(&[endpoint.addr], |config| use_counter(config, counter.addr))
+    start_gateway_with(&[endpoint.addr], |config| use_quota_counter(config, counter.addr))
 }
 
 impl GatewayProcess {
+    /// Starts a gateway and waits until it listens.
     pub(crate) fn start(config: &Value) -> GatewayProcess {
         let path = write_config(config);
         let child = spawn_command(Command::new(PROGRAM), &path);
         GatewayProcess::wait_until_it_listens(path, child)
     }
 
-    /// Starts one that can open no more descriptors than `limits.sockets` says.
+    /// Starts a gateway whose descriptor limit (`ulimit -n`) is the value of `limits.sockets`.
     pub(crate) fn start_with_descriptor_limit(config: &Value) -> GatewayProcess {
         let path = write_config(config);
         let script = format!("ulimit -n {} && exec \"$0\"", config["limits"]["sockets"]);
@@ -88,54 +94,67 @@
         GatewayProcess::wait_until_it_listens(path, child)
     }
 
-    /// The gateway's end of a client's connection, as the process's descriptor names it.
-    pub(crate) fn socket_of(&self, client_end: &TcpStream) -> String {
-        let client_port = client_end.local_addr().expect("connected").port();
-        // By both addresses, as the kernel writes them.
+    /// Returns the socket that the gateway has accepted a client's connection on, in the form of the links in
+    /// `/proc/PID/fd`.
+    pub(crate) fn accepted_socket_of(&self, client_end: &TcpStream) -> String {
+        let client_port = client_end.local_addr().expect("the stream is connected").port();
+        // The gateway's address and the client's address, as the kernel writes them into the table.
         let ends = format!(" 0100007F:{:04X} 0100007F:{client_port:04X} ", self.addr.port());
-        let table = std::fs::read_to_string("/proc/net/tcp").expect("a table");
-        let line = table.lines().find(|line| line.contains(&ends)).expect("the gateway's end");
-        let inode = line.split_whitespace().nth(9).expect("an inode");
-        assert_ne!(inode, "0", "the gateway has accepted it");
+        let table = std::fs::read_to_string("/proc/net/tcp").expect("read the table of TCP sockets");
+        let line =
+            table.lines().find(|line| line.contains(&ends)).expect("the table has the accepted socket");
+        let inode = line.split_whitespace().nth(9).expect("the line has an inode");
+        assert_ne!(inode, "0", "the gateway has not accepted the connection yet");
         format!("socket:[{inode}]")
     }
 
-    /// Waits until the gateway has closed one of its sockets. That a client has closed its end does not
-    /// show that the gateway was notified: while another test starts a process, that process holds the
-    /// client's end open too.
+    /// Waits until the gateway has closed one of its sockets; `what` names the way of disconnecting in the
+    /// failure message.
+    ///
+    /// A test cannot conclude from its own close that the gateway was notified: while another test starts a
+    /// process, that process holds the client's end open too.
     pub(crate) fn wait_until_closed(&self, socket: &str, what: &str) {
         let start = Instant::now();
         while self.has_descriptor(socket) {
-            assert!(start.elapsed() < Duration::from_secs(10), "{what}: the gateway does not see it");
+            assert!(
+                start.elapsed() < Duration::from_secs(10),
+                "{what}: the gateway does not close its socket"
+            );
             yield_now();
         }
     }
 
+    /// Returns whether the process has a descriptor whose link in `/proc/PID/fd` is `name`.
     fn has_descriptor(&self, name: &str) -> bool {
-        let mut descriptors =
-            std::fs::read_dir(format!("/proc/{}/fd", self.process_id())).expect("descriptors");
+        let mut descriptors = std::fs::read_dir(format!("/proc/{}/fd", self.process_id()))
+            .expect("list the descriptors of the gateway");
         descriptors.any(|descriptor| {
-            let path = descriptor.expect("an entry").path();
+            let path = descriptor.expect("read the directory entry").path();
             std::fs::read_link(path).is_ok_and(|link| link.as_os_str() == name)
         })
     }
 
+    /// Reads the log until the gateway listens, and takes the addresses from that line.
     fn wait_until_it_listens(config_path: String, mut child: Child) -> GatewayProcess {
-        let mut log = BufReader::new(child.stderr.take().expect("piped"));
+        let mut log = BufReader::new(child.stderr.take().expect("standard error is piped"));
         let mut line = String::new();
         let (addr, peer_addr) = loop {
             line.clear();
-            assert!(log.read_line(&mut line).expect("a log") > 0, "the gateway ended");
+            assert!(
+                log.read_line(&mut line).expect("read the log") > 0,
+                "the gateway ended before it listened"
+            );
             let Some(rest) = line.split("listening on ").nth(1) else { continue };
             let mut addrs = rest.split_whitespace().map(str::parse);
-            let addr = addrs.next().expect("an address").expect("an address");
+            let addr = addrs.next().expect("the log line has an address").expect("the address is valid");
             break (addr, addrs.next().and_then(Result::ok));
         };
-        // The log is read on, so that the gateway never waits for it.
+        // Reads the rest of the log, because the gateway would block once the pipe is full.
         thread::spawn(move || std::io::copy(&mut log, &mut std::io::sink()));
         GatewayProcess { child, config_path, addr, peer_addr }
     }
 
+    /// Connects a new client.
     pub(crate) fn client(&self) -> Client {
         Client::connect(self.addr)
     }
@@ -149,17 +168,18 @@
         self.signal("-TERM");
     }
 
-    /// Replaces the configuration and sends SIGHUP.
+    /// Replaces the configuration file and sends SIGHUP.
     pub(crate) fn reload(&self, config: &str) {
-        std::fs::write(&self.config_path, config).expect("a file");
+        std::fs::write(&self.config_path, config).expect("write the configuration file");
         self.signal("-HUP");
     }
 
     fn signal(&self, signal: &str) {
         let kill = Command::new("kill").arg(signal).arg(self.child.id().to_string()).status();
-        assert!(kill.expect("kill runs").success());
+        assert!(kill.expect("run kill").success());
     }
 
+    /// Waits until the process has ended.
     pub(crate) fn wait(&mut self) -> ExitStatus {
         self.child.wait().expect("the gateway ends")
     }
--- a/crates/gateway/tests/it/common/mod.rs
+++ b/crates/gateway/tests/it/common/mod.rs
@@ -1,5 +1,5 @@
-//! What the tests have in common: the gateway as a process, and the parties around it that a test plays
-//! itself, all on loopback.
+//! Helpers of the integration tests: the gateway as a process, and the clients and servers around it that a
+//! test plays itself, all on loopback.
 mod client;
 mod concurrent_discovery;
 mod config;
@@ -12,10 +12,10 @@
 
 pub(crate) use client::{Client, ClientRequest, HEALTH_CHECK};
 pub(crate) use concurrent_discovery::{ConcurrentDiscovery, DiscoveryCall};
-pub(crate) use config::{changes, complete_list, config, endpoint_entry, use_counter};
+pub(crate) use config::{changes, complete_list, config, endpoint_entry, use_quota_counter};
 pub(crate) use full_backlog_listener::FullBacklogListener;
 pub(crate) use gateway_process::{
-    spawn, start_gateway, start_gateway_with, start_gateway_with_counter, GatewayProcess,
+    spawn, start_gateway, start_gateway_with, start_gateway_with_quota_counter, GatewayProcess,
 };
 pub(crate) use http_message::{http_response, read_message};
 pub(crate) use quota_owner::{use_quota_owner, QuotaOwner};
@@ -25,12 +25,14 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-/// Far beyond what anything here takes: a test that waits for so long has failed.
+/// How long a test waits for something that must happen. It is far longer than any step takes, so that a test
+/// that waits for this long has failed.
 pub(crate) const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
-static LAST_NUMBER: AtomicU64 = AtomicU64::new(1);
+/// The number that [`unique_number`] returns next.
+static NEXT_NUMBER: AtomicU64 = AtomicU64::new(1);
 
-/// A number that no other call in this process gives.
+/// Returns a number that no other call in this process returns.
 fn unique_number() -> u64 {
-    LAST_NUMBER.fetch_add(1, Ordering::Relaxed)
+    NEXT_NUMBER.fetch_add(1, Ordering::Relaxed)
 }
--- a/crates/gateway/tests/it/common/scripted_server.rs
+++ b/crates/gateway/tests/it/common/scripted_server.rs
@@ -1,4 +1,4 @@
-//! An HTTP server that a test scripts: an endpoint, or the counter.
+//! An HTTP server whose replies the test sets: an endpoint or the quota counter.
 use super::http_message::{http_response, read_message, Message};
 use super::TEST_TIMEOUT;
 use std::io::{BufReader, Write};
@@ -12,7 +12,7 @@
 pub(crate) enum Reply {
     /// Writes this response.
     Response(String),
-    /// Writes it and then closes the connection, unasked.
+    /// Writes this response and then closes the connection, without announcing it in a header.
     ResponseAndClose(String),
     /// Closes the connection without a response.
     Close,
@@ -20,12 +20,12 @@
     Silence,
 }
 
-/// Replies with this response; `headers` are complete lines.
+/// Returns a reply that writes this response; `headers` are complete lines.
 pub(crate) fn respond(status: &str, headers: &str, body: &str) -> Reply {
     Reply::Response(http_response(status, headers, body))
 }
 
-/// What the server has received. Connections are numbered from 0 as they come.
+/// What the server has received. Connections are numbered from 0 in the order in which they were accepted.
 #[derive(Debug)]
 pub(crate) enum Received {
     Connection,
@@ -33,23 +33,30 @@
     Close { connection: usize },
 }
 
+/// A request that the server has received.
 #[derive(Debug)]
 pub(crate) struct ReceivedRequest {
+    /// The number of the connection that carried the request.
     pub(crate) connection: usize,
     pub(crate) message: Message,
 }
 
+/// An HTTP server that replies to every request as the test has set last.
 pub(crate) struct ScriptedServer {
     pub(crate) addr: SocketAddr,
+    /// Everything received that the test has not taken yet.
     pub(crate) received: Receiver<Received>,
+    /// The reply to the next request, on any connection.
     reply: Arc<Mutex<Reply>>,
+    /// All accepted connections, by number.
     streams: Arc<Mutex<Vec<TcpStream>>>,
 }
 
 impl ScriptedServer {
+    /// Starts a server that replies with `reply`.
     pub(crate) fn start(reply: Reply) -> ScriptedServer {
-        let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a port");
-        let addr = listener.local_addr().expect("bound");
+        let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("bind a loopback port");
+        let addr = listener.local_addr().expect("the socket is bound");
         let reply = Arc::new(Mutex::new(reply));
         let (sender, received) = channel();
         let shared_reply = reply.clone();
@@ -59,9 +66,12 @@
             for (connection, stream) in listener.incoming().enumerate() {
                 let Ok(stream) = stream else { return };
                 let (sender, reply) = (sender.clone(), shared_reply.clone());
-                // What the server writes goes out at once.
-                stream.set_nodelay(true).expect("a socket");
-                accepted.lock().expect("a lock").push(stream.try_clone().expect("a clone"));
+                // Without this, Nagle's algorithm could delay what the server writes.
+                stream.set_nodelay(true).expect("set TCP_NODELAY");
+                accepted
+                    .lock()
+                    .expect("lock is not poisoned")
+                    .push(stream.try_clone().expect("clone the stream"));
                 let _ = sender.send(Received::Connection);
                 thread::spawn(move || serve(connection, stream, &sender, &reply));
             }
@@ -69,51 +79,55 @@
         ScriptedServer { addr, received, reply, streams }
     }
 
-    /// A server that answers 200 with this body.
+    /// Starts a server that responds with 200 and this body.
     pub(crate) fn serving(body: &str) -> ScriptedServer {
         ScriptedServer::start(respond("200 OK", "", body))
     }
 
-    /// A server that answers nothing.
+    /// Starts a server that does not respond.
     pub(crate) fn silent() -> ScriptedServer {
         ScriptedServer::start(Reply::Silence)
     }
 
+    /// Sets the reply to all further requests.
     pub(crate) fn set_reply(&self, reply: Reply) {
-        *self.reply.lock().expect("a lock") = reply;
+        *self.reply.lock().expect("lock is not poisoned") = reply;
     }
 
-    /// Writes unasked on the connection of this number.
+    /// Writes `text` to the connection with this number, whether or not a request waits for it.
     pub(crate) fn write(&self, connection: usize, text: &str) {
-        let mut streams = self.streams.lock().expect("a lock");
-        streams[connection].write_all(text.as_bytes()).expect("the gateway reads");
+        let mut streams = self.streams.lock().expect("lock is not poisoned");
+        streams[connection].write_all(text.as_bytes()).expect("write to the gateway");
     }
 
-    /// Waits for the next request.
+    /// Waits for the next request and returns it.
     pub(crate) fn next_request(&self) -> ReceivedRequest {
         loop {
-            if let Received::Request(request) = self.received.recv_timeout(TEST_TIMEOUT).expect("a request") {
+            if let Received::Request(request) =
+                self.received.recv_timeout(TEST_TIMEOUT).expect("the gateway sends a request")
+            {
                 return request;
             }
         }
     }
 
-    /// Waits until a connection is closed, and gives its number.
+    /// Waits until a connection is closed and returns its number.
     pub(crate) fn next_close(&self) -> usize {
         loop {
-            if let Received::Close { connection } = self.received.recv_timeout(TEST_TIMEOUT).expect("a close")
+            if let Received::Close { connection } =
+                self.received.recv_timeout(TEST_TIMEOUT).expect("a connection is closed")
             {
                 return connection;
             }
         }
     }
 
-    /// Whether nothing has come since it was last looked, not even a connection.
+    /// Returns whether nothing is received that the test has not taken yet, not even a connection.
     pub(crate) fn has_received_nothing(&self) -> bool {
         self.received.try_recv().is_err()
     }
 
-    /// Takes out the requests that have come until now.
+    /// Takes everything received so far and returns the requests.
     pub(crate) fn requests_so_far(&self) -> impl Iterator<Item = ReceivedRequest> + '_ {
         self.received.try_iter().filter_map(|received| match received {
             Received::Request(request) => Some(request),
@@ -122,11 +136,12 @@
     }
 }
 
+/// Replies to the requests on one connection.
 fn serve(connection: usize, mut stream: TcpStream, sender: &Sender<Received>, reply: &Mutex<Reply>) {
-    let mut reader = BufReader::new(stream.try_clone().expect("a clone"));
+    let mut reader = BufReader::new(stream.try_clone().expect("clone the stream"));
     while let Some(message) = read_message(&mut reader) {
         let _ = sender.send(Received::Request(ReceivedRequest { connection, message }));
-        let reply = reply.lock().expect("a lock").clone();
+        let reply = reply.lock().expect("lock is not poisoned").clone();
         match reply {
             Reply::Response(text) => stream.write_all(text.as_bytes()).unwrap_or_default(),
             Reply::ResponseAndClose(text) => {
--- a/crates/gateway/tests/it/common/sequential_discovery.rs
+++ b/crates/gateway/tests/it/common/sequential_discovery.rs
@@ -1,5 +1,4 @@
-//! A discovery that serves one connection at a time and answers each call with the next list that the test
-//! pushes.
+//! A discovery that serves one connection at a time. The test decides how each call ends.
 use super::http_message::{http_response, read_message};
 use super::TEST_TIMEOUT;
 use serde_json::Value;
@@ -8,73 +7,76 @@
 use std::sync::mpsc::{channel, Receiver, Sender};
 use std::thread;
 
-/// How a call ends.
+/// How discovery ends a call.
 enum CallEnd {
+    /// Discovery responds with this list.
     List(Value),
-    /// Discovery is overloaded.
+    /// Discovery responds with 503, because it is overloaded.
     Rejected,
-    /// The connection breaks: an outage.
-    Broken,
+    /// Discovery closes the connection without a response, as in an outage.
+    ConnectionBroken,
 }
 
+/// A discovery that serves one connection at a time.
 pub(crate) struct SequentialDiscovery {
     pub(crate) addr: SocketAddr,
+    /// The request line of each call, in the order received.
     calls: Receiver<String>,
-    ends: Sender<CallEnd>,
+    /// How calls end, in the order of the calls.
+    call_ends: Sender<CallEnd>,
 }
 
 impl SequentialDiscovery {
-    /// Each call for the complete list takes the next of the pushed values too: the test says what comes
-    /// when.
+    /// Starts discovery. Every call, including one for the complete list, ends as the test pushes next.
     pub(crate) fn start() -> SequentialDiscovery {
-        let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a port");
-        let addr = listener.local_addr().expect("bound");
+        let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("bind a loopback port");
+        let addr = listener.local_addr().expect("the socket is bound");
         let (call_sender, calls) = channel();
-        let (ends, pushed) = channel();
+        let (call_ends, pushed) = channel();
         thread::spawn(move || {
             for stream in listener.incoming() {
                 let Ok(mut stream) = stream else { return };
-                let mut reader = BufReader::new(stream.try_clone().expect("a clone"));
+                let mut reader = BufReader::new(stream.try_clone().expect("clone the stream"));
                 while let Some(message) = read_message(&mut reader) {
                     let _ = call_sender.send(message.start_line);
                     let text = match pushed.recv() {
                         Ok(CallEnd::List(list)) => http_response("200 OK", "", &list.to_string()),
                         Ok(CallEnd::Rejected) => http_response("503 Service Unavailable", "", "null"),
-                        Ok(CallEnd::Broken) => break,
+                        Ok(CallEnd::ConnectionBroken) => break,
                         Err(_) => return,
                     };
                     let _ = stream.write_all(text.as_bytes());
                 }
             }
         });
-        SequentialDiscovery { addr, calls, ends }
+        SequentialDiscovery { addr, calls, call_ends }
     }
 
-    /// Answers a call with a list.
+    /// Responds to a call with `list`.
     pub(crate) fn push(&self, list: Value) {
         self.end_call(CallEnd::List(list));
     }
 
-    /// Breaks the connection of a call.
+    /// Closes the connection of a call without a response.
     pub(crate) fn break_connection(&self) {
-        self.end_call(CallEnd::Broken);
+        self.end_call(CallEnd::ConnectionBroken);
     }
 
-    /// Answers a call with 503.
+    /// Responds to a call with 503.
     pub(crate) fn reject(&self) {
         self.end_call(CallEnd::Rejected);
     }
 
     fn end_call(&self, end: CallEnd) {
-        self.ends.send(end).expect("discovery runs");
+        self.call_ends.send(end).expect("the discovery thread runs");
     }
 
-    /// Waits for the next call, and gives its request line.
+    /// Waits for the next call and returns its request line.
     pub(crate) fn next_call(&self) -> String {
-        self.calls.recv_timeout(TEST_TIMEOUT).expect("a call")
+        self.calls.recv_timeout(TEST_TIMEOUT).expect("the gateway calls discovery")
     }
 
-    /// Whether no call has come since the last one that the test waited for.
+    /// Returns whether no call has arrived since the last one that the test waited for.
     pub(crate) fn has_no_call(&self) -> bool {
         self.calls.try_recv().is_err()
     }
--- a/crates/gateway/tests/it/descriptors.rs
+++ b/crates/gateway/tests/it/descriptors.rs
@@ -1,14 +1,14 @@
-//! Idle clients take all descriptors they can get.
+//! Tests of the descriptor limit, with clients that hold as many connections as they can.
 use crate::common::*;
 use serde_json::json;
 use std::io::{Read, Write};
 use std::net::TcpStream;
 
-/// More idle clients connect than the process may have descriptors. If they took all of them, neither
-/// discovery nor an endpoint could be reached any more. Expected: discovery can return after an outage, and
-/// a request is served by the endpoint that it names.
+/// More idle clients connect than the process may have descriptors. If they took all descriptors, the gateway
+/// could connect neither to discovery nor to an endpoint. Expected: discovery is reached again after its
+/// connection broke, and a request is served by the endpoint of its new list.
 #[test]
-fn idle_clients_cannot_take_the_descriptors_of_discovery_and_endpoints() {
+fn idle_clients_leave_descriptors_for_discovery_and_endpoints() {
     for sockets in [64, 256] {
         let endpoint = ScriptedServer::serving("new");
         let discovery = SequentialDiscovery::start();
@@ -18,7 +18,7 @@
         discovery.next_call();
         discovery.push(complete_list(4, &[]));
         discovery.next_call();
-        // Served ones and silent ones, more than there are descriptors.
+        // There are twice as many clients as descriptors. Half of them send a health check, and half nothing.
         let mut idle = Vec::new();
         for n in 0..2 * sockets {
             let mut client = gateway.client();
@@ -27,7 +27,7 @@
             }
             idle.push(client);
         }
-        // Its connection breaks and must be established again.
+        // Discovery's connection breaks, and the gateway must establish a new one.
         discovery.break_connection();
         discovery.next_call();
         discovery.push(complete_list(5, &[endpoint_entry("s-0", endpoint.addr, "up")]));
@@ -37,11 +37,11 @@
     }
 }
 
-/// Clients that have been served begin a request with a body and stop halfway, so that an evicted
-/// connection stays open until its body times out. If evicted connections were not counted, the process
-/// would exceed its descriptors. Expected: it never has more open than its configuration permits.
+/// Clients that have been served begin a request with a body and stop halfway, so that an evicted connection
+/// stays open until the body times out. If evicted connections did not count, the process would exceed its
+/// descriptor limit. Expected: the process never has more descriptors open than its configuration permits.
 #[test]
-fn clients_with_half_sent_bodies_stay_within_the_bound() {
+fn half_sent_bodies_keep_open_descriptors_within_the_limit() {
     let discovery = SequentialDiscovery::start();
     let mut config = config(discovery.addr, &[]);
     config["limits"]["sockets"] = json!(64);
@@ -51,25 +51,26 @@
         .replace("Content-Length: 4", "Content-Length: 9");
     let mut clients = Vec::new();
     for _ in 0..200 {
-        let mut stream = TcpStream::connect(gateway.addr).expect("the gateway accepts");
-        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time-out");
-        // Beyond the bound it may be closed at once.
+        let mut stream = TcpStream::connect(gateway.addr).expect("connect to the gateway");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("set the read timeout");
+        // Beyond the limit, the gateway may close the connection at once.
         let _ = stream.write_all(HEALTH_CHECK.as_bytes());
         if stream.read(&mut [0; 512]).is_ok_and(|n| n > 0) {
             let _ = stream.write_all(body.as_bytes());
         }
         clients.push(stream);
-        let open =
-            std::fs::read_dir(format!("/proc/{}/fd", gateway.process_id())).expect("descriptors").count();
-        assert!(open <= 64, "{open} descriptors");
+        let open = std::fs::read_dir(format!("/proc/{}/fd", gateway.process_id()))
+            .expect("list the descriptors of the gateway")
+            .count();
+        assert!(open <= 64, "{open} descriptors are open");
     }
 }
 
-/// Every connection within the limit has a request in progress, and silent connections take all places
-/// beyond it. If those could not be evicted, a health check would not get in, and the gateway would be
-/// taken for dead. Expected: health checks are served.
+/// Every connection within the limit has a request in progress, and silent connections take all the
+/// connections that are accepted beyond it. If silent connections could not be evicted, health checks would
+/// get no response, and the gateway would be taken for dead. Expected: health checks are served.
 #[test]
-fn silent_clients_beyond_the_bound_are_evicted_for_others() {
+fn silent_clients_beyond_the_limit_are_evicted_for_others() {
     let (endpoint, discovery) = (ScriptedServer::silent(), SequentialDiscovery::start());
     let mut config = config(discovery.addr, &[endpoint_entry("s-0", endpoint.addr, "up")]);
     config["limits"]["sockets"] = json!(64);
--- a/crates/gateway/tests/it/disconnect_variants.rs
+++ b/crates/gateway/tests/it/disconnect_variants.rs
@@ -1,19 +1,20 @@
-//! Each way in which a client may disconnect, whatever its request waits for. What it waits for comes only
-//! once the gateway has closed the client's connection, so that nothing here depends on the machine's
-//! speed.
+//! Tests of every way in which a client may disconnect, for each thing that its request may wait for. The
+//! tests hold back what the request waits for until the gateway has closed the client's connection, so that
+//! the result does not depend on the machine's speed.
 use crate::common::*;
 use serde_json::{json, Value};
 use std::io::{BufReader, ErrorKind, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// A way to disconnect, and what the client writes behind its request before it does.
+/// A way to disconnect, and what the client writes after its request before it disconnects.
 struct DisconnectKind {
+    /// The name that failure messages show.
     name: &'static str,
     trailing_bytes: fn() -> Vec<u8>,
     disconnect: fn(&TcpStream),
-    /// The client's end stays open for reading.
-    keeps_reading: bool,
+    /// Whether the client's end stays open for reading.
+    stays_open_for_reading: bool,
 }
 
 fn disconnect_kinds() -> [DisconnectKind; 5] {
@@ -21,55 +22,55 @@
         name,
         trailing_bytes,
         disconnect: |_| {},
-        keeps_reading: false,
+        stays_open_for_reading: false,
     };
     [
         kind("close", Vec::new),
         DisconnectKind {
-            disconnect: |s| socket2::SockRef::from(s).set_linger(Some(Duration::ZERO)).expect("a socket"),
+            disconnect: |s| socket2::SockRef::from(s).set_linger(Some(Duration::ZERO)).expect("set linger"),
             ..kind("reset", Vec::new)
         },
         DisconnectKind {
-            disconnect: |s| s.shutdown(Shutdown::Write).expect("a socket"),
-            keeps_reading: true,
+            disconnect: |s| s.shutdown(Shutdown::Write).expect("shut down writing"),
+            stays_open_for_reading: true,
             ..kind("half-close", Vec::new)
         },
-        kind("behind a request", || ClientRequest::new("read").text().into()),
-        kind("behind a flood", || vec![b'x'; 8 << 20]),
+        kind("close after a second request", || ClientRequest::new("read").text().into()),
+        kind("close after a flood of bytes", || vec![b'x'; 8 << 20]),
     ]
 }
 
-/// A client that has submitted a request, and will disconnect.
+/// A client that has sent a request and will disconnect before the response.
 struct DisconnectingClient(TcpStream);
 
 impl DisconnectingClient {
     fn submit(gateway: &GatewayProcess, request: &ClientRequest) -> DisconnectingClient {
-        let mut stream = TcpStream::connect(gateway.addr).expect("the gateway accepts");
-        stream.write_all(request.text().as_bytes()).expect("the gateway reads");
+        let mut stream = TcpStream::connect(gateway.addr).expect("connect to the gateway");
+        stream.write_all(request.text().as_bytes()).expect("write to the gateway");
         DisconnectingClient(stream)
     }
 
     fn assert_unanswered(&self, kind: &DisconnectKind) {
-        self.0.set_nonblocking(true).expect("a socket");
+        self.0.set_nonblocking(true).expect("make the stream non-blocking");
         let unanswered = self.0.peek(&mut [0]).is_err_and(|e| e.kind() == ErrorKind::WouldBlock);
-        assert!(unanswered, "{}: its request waits", kind.name);
+        assert!(unanswered, "{}: the request was answered before the disconnect", kind.name);
     }
 
-    /// Disconnects while its request is active, and waits until the gateway has closed its end.
+    /// Disconnects while the request is active, and waits until the gateway has closed its end.
     fn disconnect(mut self, gateway: &GatewayProcess, kind: &DisconnectKind) {
-        let gateway_end = gateway.socket_of(&self.0);
+        let gateway_end = gateway.accepted_socket_of(&self.0);
         self.assert_unanswered(kind);
-        // A flood is written for as long as the gateway takes it at once.
+        // Of a flood, only as much is written as the socket accepts without blocking.
         let _ = self.0.write(&(kind.trailing_bytes)());
         (kind.disconnect)(&self.0);
-        let reading_end = kind.keeps_reading.then(|| self.0.try_clone().expect("a clone"));
+        let reading_end = kind.stays_open_for_reading.then(|| self.0.try_clone().expect("clone the stream"));
         drop(self.0);
         gateway.wait_until_closed(&gateway_end, kind.name);
         drop(reading_end);
     }
 }
 
-/// A gateway whose quotas bind nobody, so that a request's fate depends on its client alone.
+/// Starts a gateway whose quota is too large to delay or reject any request.
 fn start_with_large_quota(
     endpoints: &[SocketAddr],
     change: impl Fn(&mut Value),
@@ -80,8 +81,8 @@
     })
 }
 
-/// Submits one more request; returns the ids of all others that have come to the endpoint.
-fn other_request_ids(
+/// Sends `request` and returns the ids of the requests that the endpoint received before it.
+fn ids_received_before(
     gateway: &GatewayProcess,
     endpoint: &ScriptedServer,
     request: ClientRequest,
@@ -91,27 +92,27 @@
         .requests_so_far()
         .filter_map(|received| received.message.header("x-call-id").map(str::to_string))
         .collect();
-    assert_eq!(ids.pop(), Some(request.id), "the last to come");
+    assert_eq!(ids.pop(), Some(request.id), "the endpoint received another request last");
     ids
 }
 
-/// A client disconnects, in each way there is, while its request is queued because there is no endpoint.
-/// Without the check the request would be sent as soon as an endpoint appears, and run for nobody.
+/// A client disconnects, in each possible way, while its request is queued because there is no endpoint.
+/// Without a check, the request would be sent as soon as an endpoint appears, for a client that is gone.
 /// Expected: only another client's request is sent.
 #[test]
-fn never_sends_a_request_that_was_queued_without_an_endpoint() {
+fn never_sends_a_request_abandoned_while_it_is_queued() {
     for kind in disconnect_kinds() {
         let endpoint = ScriptedServer::serving("");
         let (gateway, discovery) = start_with_large_quota(&[], |_| {});
         discovery.next_call();
         let client = DisconnectingClient::submit(&gateway, &ClientRequest::new("read"));
-        // It waits: the health check was read behind it.
+        // The gateway has read the request, because it reads the health check after it.
         assert_eq!(gateway.client().health_status(), 503);
         client.disconnect(&gateway, &kind);
         discovery.push(complete_list(4, &[endpoint_entry("s-0", endpoint.addr, "up")]));
         discovery.next_call();
         assert_eq!(
-            other_request_ids(&gateway, &endpoint, ClientRequest::new("read")),
+            ids_received_before(&gateway, &endpoint, ClientRequest::new("read")),
             [""; 0],
             "{}",
             kind.name
@@ -119,13 +120,14 @@
     }
 }
 
-/// The same while the request waits for the quota counter, which permits it after the disconnect.
+/// A client disconnects, in each possible way, while its request waits for the quota counter. The counter
+/// permits the request after the disconnect. Expected: only another client's request is sent.
 #[test]
-fn never_sends_a_request_that_waited_for_the_counter() {
+fn never_sends_a_request_abandoned_during_its_quota_counter_call() {
     for kind in disconnect_kinds() {
         let (endpoint, counter) = (ScriptedServer::serving(""), ScriptedServer::silent());
         let (gateway, _discovery) =
-            start_with_large_quota(&[endpoint.addr], |config| use_counter(config, counter.addr));
+            start_with_large_quota(&[endpoint.addr], |config| use_quota_counter(config, counter.addr));
         let request = || ClientRequest { metering: "units=1,spread=2,first=0", ..ClientRequest::new("read") };
         let client = DisconnectingClient::submit(&gateway, &request());
         let connection = counter.next_request().connection;
@@ -133,29 +135,31 @@
         counter.set_reply(respond("200 OK", "", "1"));
         counter.write(connection, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n1");
         let next = ClientRequest { customer: "0000000000000007", ..request() };
-        assert_eq!(other_request_ids(&gateway, &endpoint, next), [""; 0], "{}", kind.name);
+        assert_eq!(ids_received_before(&gateway, &endpoint, next), [""; 0], "{}", kind.name);
     }
 }
 
-/// The same while the request waits for the gateway that owns its customer's quota, which grants it after
-/// the disconnect.
+/// A client disconnects, in each possible way, while its request waits for the gateway that owns the
+/// customer's quota. The owner grants the request after the disconnect. Expected: only another client's
+/// request is sent.
 #[test]
-fn never_sends_a_request_that_waited_for_its_quota_owner() {
+fn never_sends_a_request_abandoned_during_its_quota_request() {
     for kind in disconnect_kinds() {
         let (endpoint, owner) = (ScriptedServer::serving(""), QuotaOwner::start());
         let (gateway, _discovery) =
             start_with_large_quota(&[endpoint.addr], |config| use_quota_owner(config, owner.addr()));
         let client = DisconnectingClient::submit(&gateway, &QuotaOwner::request());
-        let question = owner.next_quota_request();
+        let quota_request = owner.next_quota_request();
         client.disconnect(&gateway, &kind);
-        owner.grant(&question);
-        // The gateway owns the quota of a customer that uses no other gateway.
+        owner.grant(&quota_request);
+        // The next customer uses no other gateway, so the gateway under test owns its quota.
         let next = ClientRequest { metering: "units=1,spread=1,first=0", ..ClientRequest::new("read") };
-        assert_eq!(other_request_ids(&gateway, &endpoint, next), [""; 0], "{}", kind.name);
+        assert_eq!(ids_received_before(&gateway, &endpoint, next), [""; 0], "{}", kind.name);
     }
 }
 
-/// The counterpart: a request whose client stays is sent once the quota owner grants it, and not before.
+/// The client stays connected while its request waits for the quota owner. Expected: the request is sent once
+/// the owner grants it, and not before.
 #[test]
 fn sends_a_request_once_its_quota_owner_grants_it() {
     let (endpoint, owner) = (ScriptedServer::serving(""), QuotaOwner::start());
@@ -164,15 +168,15 @@
     let request = QuotaOwner::request();
     let mut client = gateway.client();
     client.write(&request.text());
-    let question = owner.next_quota_request();
-    assert!(endpoint.has_received_nothing(), "it waits for the owner");
-    owner.grant(&question);
+    let quota_request = owner.next_quota_request();
+    assert!(endpoint.has_received_nothing(), "the request was sent before the owner granted it");
+    owner.grant(&quota_request);
     assert_eq!(endpoint.next_request().message.header("x-call-id"), Some(request.id.as_str()));
-    assert_eq!(client.read().expect("a response").status(), 200);
+    assert_eq!(client.read().expect("the gateway responds").status(), 200);
 }
 
-/// A client disconnects, in each way there is, while its first attempt runs, which may not be cancelled and
-/// then fails. Without the check the gateway would retry for nobody. Expected: there is no second attempt.
+/// A client disconnects, in each possible way, during the first attempt, which must not be cancelled and then
+/// fails. Without a check, the gateway would retry for a client that is gone. Expected: no second attempt.
 #[test]
 fn makes_no_further_attempt_after_a_disconnect() {
     for kind in disconnect_kinds() {
@@ -186,7 +190,7 @@
         endpoint.set_reply(respond("200 OK", "", ""));
         endpoint.write(connection, "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n");
         assert_eq!(
-            other_request_ids(&gateway, &endpoint, ClientRequest::new("read")),
+            ids_received_before(&gateway, &endpoint, ClientRequest::new("read")),
             [""; 0],
             "{}",
             kind.name
@@ -194,11 +198,11 @@
     }
 }
 
-/// A client disconnects, in each way there is, while the connection for its attempt is being established.
-/// Without a check before the write the request would be sent once the connection is up. Expected: the
-/// connection carries the next client's request first.
+/// A client disconnects, in each possible way, while the connection for its attempt is being established.
+/// Without a check before the write, the request would be sent once the connection is established. Expected:
+/// the first request on the connection is the next client's.
 #[test]
-fn never_sends_a_request_that_waited_for_its_connection() {
+fn never_sends_a_request_abandoned_during_connect() {
     for kind in disconnect_kinds() {
         let listener = FullBacklogListener::start();
         let addr = listener.addr();
@@ -213,7 +217,7 @@
         let next = ClientRequest::new("once");
         let mut other = gateway.client();
         other.write(&next.text());
-        let first = read_message(&mut BufReader::new(stream)).expect("a request");
+        let first = read_message(&mut BufReader::new(stream)).expect("the gateway sends a request");
         assert_eq!(first.header("x-call-id"), Some(next.id.as_str()), "{}", kind.name);
     }
 }
--- a/crates/gateway/tests/it/discovery.rs
+++ b/crates/gateway/tests/it/discovery.rs
@@ -1,12 +1,12 @@
-//! Endpoint lists that the gateway fetches from discovery.
+//! Tests of endpoint lists that the gateway fetches from discovery.
 use crate::common::*;
 use serde_json::json;
 
 /// A gateway without endpoints cannot serve, and a load balancer that sent requests to it would lose them.
-/// Expected: health checks fail until discovery names a ready endpoint; an entry of the list that cannot be
-/// read does not matter.
+/// Expected: health checks fail until discovery lists a ready endpoint; an invalid entry in the same list has
+/// no effect.
 #[test]
-fn is_healthy_only_once_it_knows_an_endpoint() {
+fn health_checks_fail_until_a_ready_endpoint_is_known() {
     let endpoint = ScriptedServer::serving("");
     let (gateway, discovery) = start_gateway(&[]);
     assert_eq!(gateway.client().health_status(), 503);
@@ -16,11 +16,10 @@
     assert_eq!(gateway.client().health_status(), 200);
 }
 
-/// The connection to discovery breaks, and a later response cannot be read. What changed meanwhile is
-/// unknown. Expected: the complete list is fetched after both, and requests are served by the cached list
-/// until it arrives.
+/// The connection to discovery breaks, and a later response cannot be parsed. What changed meanwhile is
+/// unknown. Expected: the complete list is fetched after both, and the cached list is used until it arrives.
 #[test]
-fn fetches_the_complete_list_after_an_outage_and_serves_by_the_old_one_meanwhile() {
+fn fetches_the_complete_list_after_an_outage_and_serves_meanwhile() {
     let endpoint = ScriptedServer::serving("");
     let (gateway, discovery) = start_gateway(&[&endpoint]);
     discovery.next_call();
@@ -29,20 +28,20 @@
     discovery.break_connection();
     assert_eq!(discovery.next_call(), "GET /v1/servers HTTP/1.1");
     assert_eq!(gateway.client().request(&ClientRequest::new("read")).status(), 200);
-    // A list that cannot be read is an outage too.
+    // A list that cannot be parsed counts as an outage too.
     discovery.push(json!({"rev": "?"}));
     assert_eq!(discovery.next_call(), "GET /v1/servers HTTP/1.1");
     assert_eq!(gateway.client().request(&ClientRequest::new("read")).status(), 200);
 }
 
-/// An overloaded discovery answers with 503. If each gateway then requested the complete list, discovery
-/// would have to write it out for every gateway and stay overloaded. Expected: the watch goes on from the
+/// An overloaded discovery responds with 503. If each gateway then requested the complete list, discovery
+/// would have to write it for every gateway and stay overloaded. Expected: the watch continues from the
 /// cached revision.
 #[test]
-fn after_503_watches_again_from_the_known_version() {
+fn watches_from_the_cached_revision_after_503() {
     let endpoint = ScriptedServer::serving("");
     let (_gateway, discovery) = start_gateway(&[&endpoint]);
-    // The list that it was started with is version 1.
+    // The list that the gateway was started with has revision 1.
     assert!(discovery.next_call().starts_with("GET /v1/servers?after=1&wait_ms="));
     discovery.reject();
     assert!(discovery.next_call().starts_with("GET /v1/servers?after=1&wait_ms="));
@@ -52,11 +51,11 @@
     assert!(discovery.next_call().starts_with("GET /v1/servers?after=6&wait_ms="));
 }
 
-/// An endpoint drains while the gateway has an idle connection to it. An endpoint waits for its connections
-/// to close, and a request sent over one would be rejected or lost. Expected: the connection closes, and
-/// all requests go to the other endpoint.
+/// An endpoint is draining while the gateway has an idle connection to it. A draining endpoint waits for its
+/// connections to close, and would reject or lose a request on one. Expected: the connection closes, and all
+/// requests go to the other endpoint.
 #[test]
-fn closes_idle_connections_of_a_draining_endpoint_and_sends_it_nothing() {
+fn closes_idle_connections_to_a_draining_endpoint_and_stops_sending() {
     let (old, new) = (ScriptedServer::serving("old"), ScriptedServer::serving("new"));
     let (gateway, discovery) = start_gateway(&[&old]);
     let mut client = gateway.client();
@@ -72,5 +71,5 @@
     for _ in 0..4 {
         assert_eq!(client.request(&ClientRequest::new("read")).body, b"new");
     }
-    assert!(old.has_received_nothing(), "nothing came to the drained endpoint");
+    assert!(old.has_received_nothing(), "the draining endpoint received something");
 }
--- a/crates/gateway/tests/it/main.rs
+++ b/crates/gateway/tests/it/main.rs
@@ -1,5 +1,5 @@
-//! The gateway as a process on loopback sockets, between a discovery, endpoints, a counter and clients that
-//! the tests play; a file for each concern.
+//! Integration tests. Each test runs the gateway as a process, and plays its clients, endpoints, discovery,
+//! peers and quota counter on loopback sockets.
 mod common;
 
 mod attempts;
--- a/crates/gateway/tests/it/quota_counter.rs
+++ b/crates/gateway/tests/it/quota_counter.rs
@@ -1,36 +1,36 @@
-//! Quotas that are counted at the quota counter.
+//! Tests of quotas that the quota counter counts.
 use crate::common::*;
 
-/// The quota counter responds with totals, then with bodies that are no number, then not at all. A total
-/// decides on the request. An unreadable one decides nothing, and its connection is in an unknown state.
-/// Expected: 429 only by a total, service without one, and no further call over a connection whose response
-/// could not be read.
+/// The quota counter responds with totals, then with bodies that are not a number, then with 503, an invalid
+/// response or none. Only a readable total may reject a request. After an unreadable one, the state of the
+/// connection is unknown. Expected: 429 only on a total, service without one, and no further call on a
+/// connection whose response could not be read.
 #[test]
-fn decides_quotas_by_the_counters_total_and_admits_without_a_readable_one() {
+fn rejects_only_on_a_readable_total_of_the_quota_counter() {
     let endpoint = ScriptedServer::serving("");
     let counter = ScriptedServer::serving("1");
     let request = || ClientRequest { metering: "units=2,spread=2,first=0", ..ClientRequest::new("read") };
-    let (gateway, _discovery) = start_gateway_with_counter(&endpoint, &counter);
+    let (gateway, _discovery) = start_gateway_with_quota_counter(&endpoint, &counter);
     let mut client = gateway.client();
     assert_eq!(client.request(&request()).status(), 200);
     let call = counter.next_request();
-    let (path, amount) = call.message.start_line.split_once('?').expect("an amount");
+    let (path, amount) = call.message.start_line.split_once('?').expect("the call has an amount");
     assert!(path.starts_with("POST /counters/") && path.len() == "POST /counters/".len() + 16, "{path}");
     assert_eq!(amount, "by=2.000000&expire_ms=60000 HTTP/1.1");
     counter.set_reply(respond("200 OK", "", "1000000"));
     assert_eq!(client.request(&request()).status(), 429);
-    assert_eq!(counter.next_request().connection, call.connection, "over the same connection");
+    assert_eq!(counter.next_request().connection, call.connection, "the second call used another connection");
     for malformed in ["", "many", "NaN"] {
         let counter = ScriptedServer::start(respond("200 OK", "", malformed));
-        let (gateway, _discovery) = start_gateway_with_counter(&endpoint, &counter);
+        let (gateway, _discovery) = start_gateway_with_quota_counter(&endpoint, &counter);
         assert_eq!(gateway.client().request(&request()).status(), 200, "{malformed}");
         let connection = counter.next_request().connection;
         assert_eq!(counter.next_close(), connection, "{malformed}");
     }
     let rejected = respond("503 Service Unavailable", "", "");
-    for lost in [Reply::Close, Reply::Response("noise\r\n\r\n".into()), rejected] {
-        let counter = ScriptedServer::start(lost);
-        let (gateway, _discovery) = start_gateway_with_counter(&endpoint, &counter);
+    for reply in [Reply::Close, Reply::Response("noise\r\n\r\n".into()), rejected] {
+        let counter = ScriptedServer::start(reply);
+        let (gateway, _discovery) = start_gateway_with_quota_counter(&endpoint, &counter);
         assert_eq!(gateway.client().request(&request()).status(), 200);
         counter.next_request();
     }
--- a/crates/gateway/tests/it/requests.rs
+++ b/crates/gateway/tests/it/requests.rs
@@ -1,9 +1,10 @@
-//! Requests as clients write them: what is forwarded, and what is rejected before it can reach an endpoint.
+//! Tests of clients' requests: what is forwarded, and what is rejected before it can reach an endpoint.
 use crate::common::*;
 use serde_json::json;
 
-/// A request with path, query, body and key is sent to an endpoint unchanged, with the time that remains as
-/// its budget, and the client gets the endpoint's body and type. The next request uses the same connection.
+/// A client sends a request with path, query, body and idempotency key. Expected: the endpoint receives it
+/// unchanged, with the time that remains as its budget, the client gets the endpoint's body and content type,
+/// and the next request uses the same connection.
 #[test]
 fn forwards_a_request_unchanged_and_returns_its_response() {
     let endpoint =
@@ -20,18 +21,22 @@
     assert_eq!(sent.header("x-call-id"), Some(request.id.as_str()));
     assert_eq!(sent.header("idempotency-key"), Some("5c0f6e1a"));
     assert_eq!(sent.body, b"meter=12");
-    let budget: f64 = sent.header("x-budget").expect("a budget").parse().expect("seconds");
-    assert!(budget > 0.0 && budget <= 15.0, "the budget is the time that remains: {budget}");
-    // The pool: the next request takes the same connection.
+    let budget: f64 = sent
+        .header("x-budget")
+        .expect("the request has an X-Budget header")
+        .parse()
+        .expect("the budget is a number");
+    assert!(budget > 0.0 && budget <= 15.0, "the budget is not the time that remains: {budget}");
+    // The next request uses the pooled connection.
     assert_eq!(client.request(&ClientRequest::new("read")).status(), 200);
     assert_eq!(endpoint.next_request().connection, received.connection);
 }
 
-/// Clients send requests with missing, unknown or malformed headers. If one of them changed any state, it
-/// would take units from its customer's quota, or end up at an endpoint that cannot bill it. Expected: each
-/// gets its status, the gateway serves others as before, and the quota is untouched.
+/// Clients send requests with missing, unknown or malformed headers. If such a request were accepted, it
+/// would take units from the customer's quota, or reach an endpoint that cannot bill it. Expected: each gets
+/// its status, the gateway serves other requests as before, and the quota is not charged.
 #[test]
-fn answers_malformed_requests_with_their_status_and_goes_on() {
+fn rejects_malformed_requests_without_charging_the_quota() {
     let endpoint = ScriptedServer::serving("");
     let (gateway, _discovery) = start_gateway(&[&endpoint]);
     let good = ClientRequest::new("read").text();
@@ -57,17 +62,17 @@
     for (text, status) in cases {
         assert_eq!(gateway.client().request_raw(&text).status(), status, "{text}");
     }
-    // None of them took from the bucket of 8 units: as many are still served at once.
+    // None of the requests took a unit from the bucket of 8, so 8 requests are still served at once.
     let mut client = gateway.client();
     for _ in 0..8 {
         assert_eq!(client.request(&ClientRequest::new("read")).status(), 200);
     }
 }
 
-/// A body whose length is declared in two ways hides a second request behind what one of them counts
-/// (request smuggling). hyper reports only one of the two. If it were forwarded, an endpoint could run the
-/// hidden request. Expected: 411, the connection closes, nothing behind it is read, and the endpoint
-/// receives nothing.
+/// If the length of a body is declared in two ways, a second request can hide in the bytes that only one of
+/// them counts (request smuggling). hyper reports only one of the two. If the request were forwarded, an
+/// endpoint could run the hidden one. Expected: 411, the connection closes, nothing after the request is
+/// read, and the endpoint receives nothing.
 #[test]
 fn rejects_transfer_encoding_with_or_without_content_length() {
     let endpoint = ScriptedServer::serving("");
@@ -78,18 +83,18 @@
         let text = ClientRequest::new("post").text().replace("Content-Length: 0", &encoding);
         let mut client = gateway.client();
         client.write(&format!("{text}0\r\n\r\n{hidden}"));
-        let response = client.read().expect("a response");
+        let response = client.read().expect("the gateway responds");
         assert_eq!((response.status(), response.header("connection")), (411, Some("close")));
-        assert!(client.read().is_none(), "nothing is read after it");
+        assert!(client.read().is_none(), "the hidden request is answered");
     }
-    assert!(endpoint.has_received_nothing(), "nothing was forwarded");
+    assert!(endpoint.has_received_nothing(), "the endpoint received something");
 }
 
-/// A header that decides what a request is, or a figure in it, is given twice. Which of the two counts
-/// would be a guess, and the endpoint may guess differently. Expected: 400, the connection closes, and the
+/// A header that the gateway relies on, or a value in it, is given twice. The gateway could only guess which
+/// of the two counts, and the endpoint may guess differently. Expected: 400, the connection closes, and the
 /// endpoint receives nothing.
 #[test]
-fn rejects_duplicate_headers_and_metering_figures() {
+fn rejects_duplicate_headers_and_metering_values() {
     let endpoint = ScriptedServer::serving("");
     let (gateway, _discovery) = start_gateway(&[&endpoint]);
     for extra_headers in [
@@ -112,11 +117,11 @@
         gateway.client().request(&ClientRequest { metering, ..ClientRequest::new("read") }).status(),
         400
     );
-    assert!(endpoint.has_received_nothing(), "nothing was forwarded");
+    assert!(endpoint.has_received_nothing(), "the endpoint received something");
 }
 
-/// A client sends a request of a class that must not run twice again, while the first is still in progress.
-/// Sent on, it would run twice. Expected: 409, and the endpoint receives one request.
+/// A client repeats a request that must not run twice, while the first is still in progress. If the second
+/// were forwarded, the request would run twice. Expected: 409, and the endpoint receives one request.
 #[test]
 fn rejects_a_second_request_with_the_id_of_an_active_one() {
     let endpoint = ScriptedServer::silent();
@@ -126,13 +131,13 @@
     first.write(&request.text());
     endpoint.next_request();
     assert_eq!(gateway.client().request(&request).status(), 409);
-    assert!(endpoint.has_received_nothing(), "it reached the endpoint once");
+    assert!(endpoint.has_received_nothing(), "the endpoint received the request twice");
 }
 
 /// A customer's quota is used up. Expected: 429, with a `Retry-After` of at most the longest wait that
-/// clients honour, and without one where the settings say that they ignore it.
+/// clients honour, and without one if the settings say that clients ignore it.
 #[test]
-fn rejections_carry_retry_after_only_where_clients_honour_it() {
+fn rejections_carry_retry_after_only_if_clients_honour_it() {
     let endpoint = ScriptedServer::serving("");
     for honoured in [false, true] {
         let discovery = SequentialDiscovery::start();
@@ -146,7 +151,7 @@
             rejected = client.request(&ClientRequest::new("read"));
         }
         assert_eq!(rejected.status(), 429);
-        // The wait for a unit is 100 s; clients honour 2 s at most.
+        // The next unit is available after 100 s, and clients honour at most 2 s.
         assert_eq!(rejected.header("retry-after"), honoured.then_some("2.000"));
     }
 }
--- a/crates/gateway/tests/it/shutdown.rs
+++ b/crates/gateway/tests/it/shutdown.rs
@@ -1,10 +1,10 @@
-//! SIGTERM: active requests are answered, and the process exits with 0.
+//! Tests of SIGTERM, after which active requests are answered and the process exits with 0.
 use crate::common::*;
 
 /// SIGTERM arrives while one request waits for an endpoint that never responds, one connection is idle, and
-/// clients still connect. A process that ended at once would leave all of them without a response.
-/// Expected: the idle connection closes, a late client is served, the waiting one gets its 502 before
-/// SIGKILL, and the process exits with 0.
+/// clients still connect. If the process ended at once, clients would get no response. Expected: the idle
+/// connection closes, a late client is served, the waiting client gets 502 before SIGKILL, and the process
+/// exits with 0.
 #[test]
 fn sigterm_answers_active_requests_accepts_for_a_while_and_exits_with_0() {
     let endpoint = ScriptedServer::silent();
@@ -14,38 +14,38 @@
     active.write(&ClientRequest::new("once").text());
     endpoint.next_request();
     gateway.terminate();
-    assert!(idle.closes_within(TEST_TIMEOUT), "an idle connection is closed");
+    assert!(idle.closes_within(TEST_TIMEOUT), "the idle connection stays open");
     endpoint.set_reply(respond("200 OK", "", ""));
     let late = gateway.client().request(&ClientRequest::new("read"));
     assert_eq!((late.status(), late.header("connection")), (200, Some("close")));
-    // Its endpoint never responds, and its budget ends after SIGKILL.
-    let response = active.read().expect("a response");
+    // The endpoint never responds to the active request, whose deadline is after SIGKILL.
+    let response = active.read().expect("the gateway responds");
     assert_eq!((response.status(), response.header("connection")), (502, Some("close")));
     assert!(active.closes_within(TEST_TIMEOUT));
     assert!(gateway.wait().success());
 }
 
-/// SIGTERM arrives while a request waits for the quota counter, and its client writes another request
-/// behind it. Without draining, the first would be cut off, or the second would be started by a process
-/// that ends. Expected: the first is served, the second is never read, and the process exits with 0.
+/// SIGTERM arrives while a request waits for the quota counter, and the client writes another request after
+/// it. Without draining, the first would get no response, or the second would be started by a process that
+/// is about to end. Expected: the first is served, the second is never read, and the process exits with 0.
 #[test]
-fn sigterm_finishes_a_request_that_waits_for_its_quota_and_answers_it_once() {
+fn sigterm_finishes_a_request_that_waits_for_the_quota_counter() {
     let endpoint = ScriptedServer::serving("mine");
     let counter = ScriptedServer::silent();
-    let (mut gateway, _discovery) = start_gateway_with_counter(&endpoint, &counter);
+    let (mut gateway, _discovery) = start_gateway_with_quota_counter(&endpoint, &counter);
     let (mut waiting, mut idle) = (gateway.client(), gateway.client());
     idle.health_status();
     let request = || ClientRequest { metering: "units=1,spread=2,first=0", ..ClientRequest::new("once") };
     waiting.write(&request().text());
     let connection = counter.next_request().connection;
     gateway.terminate();
-    assert!(idle.closes_within(TEST_TIMEOUT), "the gateway has taken the signal");
+    assert!(idle.closes_within(TEST_TIMEOUT), "the gateway has not handled the signal");
     waiting.write(&request().text());
     counter.write(connection, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n1");
-    let served = waiting.read().expect("a response");
+    let served = waiting.read().expect("the gateway responds");
     assert_eq!((served.status(), served.header("connection")), (200, Some("close")));
     assert_eq!(served.body, b"mine");
-    assert!(waiting.closes_within(TEST_TIMEOUT), "with no second answer");
+    assert!(waiting.closes_within(TEST_TIMEOUT), "the second request is answered");
     assert!(gateway.wait().success());
     let sent = endpoint.requests_so_far().count();
     assert_eq!(sent, 1);
--- a/crates/gateway/tests/it/startup.rs
+++ b/crates/gateway/tests/it/startup.rs
@@ -1,11 +1,12 @@
-//! The start with a wrong configuration.
+//! Tests of the startup with an invalid configuration.
 use crate::common::*;
 use serde_json::json;
 
-/// A configuration has a wrong figure, name, address or seed. A process that started with it would fail
-/// later, at a request. Expected: it ends at once with one line and a non-zero exit code.
+/// A configuration has an invalid number, name, address or seed. If the process started with it, it would
+/// fail later, when a request arrives. Expected: the process ends at once with one line and a non-zero exit
+/// code.
 #[test]
-fn a_wrong_configuration_ends_the_start_with_one_line() {
+fn invalid_configuration_ends_startup_with_one_error_line() {
     let discovery = SequentialDiscovery::start();
     for (pointer, value) in [
         ("/settings/me", json!(7)),
@@ -16,8 +17,8 @@
         ("/seed", json!("seed")),
     ] {
         let mut config = config(discovery.addr, &[]);
-        *config.pointer_mut(pointer).expect("a key") = value;
-        let output = spawn(&config).wait_with_output().expect("it ends");
+        *config.pointer_mut(pointer).expect("the configuration has the setting") = value;
+        let output = spawn(&config).wait_with_output().expect("the gateway ends");
         assert!(!output.status.success(), "{pointer}");
         assert_eq!(String::from_utf8_lossy(&output.stderr).lines().count(), 1, "{pointer}");
     }
--- a/crates/gateway/tests/it/upstream_connections.rs
+++ b/crates/gateway/tests/it/upstream_connections.rs
@@ -1,11 +1,11 @@
-//! Connections to endpoints: when they are reused, and what malformed responses do.
+//! Tests of connections to endpoints: when they are reused, and what malformed responses cause.
 use crate::common::*;
 use serde_json::{json, Value};
 use std::time::{Duration, Instant};
 
-/// An endpoint closes its connection after each response. A request written to it would be lost, and one
-/// that must not run twice could not be retried. Expected: each request gets a new connection and is
-/// served.
+/// An endpoint closes its connection after each response. A request written to the closed connection would
+/// be lost, and one that must not run twice could not be retried. Expected: each request gets a new
+/// connection and is served.
 #[test]
 fn never_reuses_a_connection_that_its_endpoint_closed() {
     let text = http_response("200 OK", "", "");
@@ -13,20 +13,20 @@
     let (gateway, _discovery) = start_gateway(&[&endpoint]);
     let mut client = gateway.client();
     for expected in 0..3 {
-        // A non-idempotent class: a request lost on a closed connection could not be sent again.
+        // A request of this class could not be sent again if it were lost on a closed connection.
         assert_eq!(client.request(&ClientRequest::new("once")).status(), 200);
         assert_eq!(endpoint.next_request().connection, expected);
         assert_eq!(endpoint.next_close(), expected);
-        // The health check passes the gateway's event loop once more, so that it has seen the close.
+        // The health check takes the gateway through its event loop once more, in which it notices the close.
         client.health_status();
     }
 }
 
-/// An endpoint writes a second response, or noise, behind its response, at once or later. The next request
-/// on that connection would get those bytes as its response: a client would read another's data. Expected:
-/// the connection is not reused, and each client gets its own response.
+/// An endpoint writes a second response, or bytes that are not HTTP, after its response, at once or later.
+/// The next request on that connection would get these bytes as its response, and a client would read
+/// another client's data. Expected: the connection is not reused, and each client gets its own response.
 #[test]
-fn never_reuses_a_connection_with_bytes_beyond_its_response() {
+fn never_reuses_a_connection_after_surplus_bytes() {
     let text = http_response("200 OK", "", "mine");
     let endpoint = ScriptedServer::start(Reply::Response(text.clone()));
     let (gateway, _discovery) = start_gateway(&[&endpoint]);
@@ -37,18 +37,18 @@
         assert_eq!(client.request(&ClientRequest::new("once")).body, b"mine");
         let connection = endpoint.next_request().connection;
         endpoint.write(connection, after);
-        // It may not have been noticed when the next request is there.
+        // The next request may arrive before the gateway has noticed the surplus bytes.
         endpoint.set_reply(Reply::Response(text.clone()));
         assert_eq!(client.request(&ClientRequest::new("once")).body, b"mine");
         assert_ne!(endpoint.next_request().connection, connection, "{with}{after}");
     }
 }
 
-/// An endpoint writes a malformed, truncated, or endless response and leaves the connection open. A gateway
-/// that waited for the rest would use up the client's full budget. Expected: the attempt fails soon and
-/// its connection closes; the request may have run, so that only an idempotent one is attempted again.
+/// An endpoint writes a malformed, truncated or endless response and leaves the connection open. If the
+/// gateway waited for the rest, it would use up the request's budget. Expected: the attempt fails soon and
+/// its connection closes; because the request may have run, only an idempotent one is retried.
 #[test]
-fn fails_an_attempt_at_once_on_a_malformed_response_and_closes_its_connection() {
+fn malformed_response_fails_the_attempt_and_closes_its_connection() {
     let head = "HTTP/1.1 200 OK\r\n";
     let long = "x".repeat(20_000);
     let malformed = [
@@ -62,7 +62,7 @@
         "HTTP/1.1 103 Early Hints\r\n\r\n".repeat(20),
     ];
     let (bad, good) = (ScriptedServer::silent(), ScriptedServer::serving("good"));
-    // A pushed list does not expire, however long a busy machine takes for all cases.
+    // With pushed lists there is no lease that could expire while a busy machine works through the cases.
     let push_list = |config: &mut Value| config["settings"]["discovery"] = json!("pushed");
     let (alone, _discovery) = start_gateway_with(&[bad.addr], push_list);
     let (both, _discovery) = start_gateway_with(&[bad.addr, good.addr], push_list);
@@ -77,12 +77,12 @@
     }
 }
 
-/// An endpoint writes interim (1xx) responses before its response, and load reports or units that cannot be
-/// read. If those failed the attempt, or a figure were taken as it is, one endpoint could lose requests or
-/// empty a customer's quota. Expected: the client gets the response, and the quota is charged as if the
-/// figures were absent.
+/// An endpoint writes interim (1xx) responses before its response, and headers with load reports or units
+/// that are invalid. If these failed the attempt, or an invalid value were used, one endpoint could lose
+/// requests or empty a customer's quota. Expected: the client gets the response, and the quota is charged as
+/// if the invalid headers were absent.
 #[test]
-fn accepts_a_response_after_interim_ones_and_with_unreadable_reports() {
+fn accepts_interim_responses_and_ignores_unreadable_reports() {
     let endpoint = ScriptedServer::silent();
     let (gateway, _discovery) = start_gateway(&[&endpoint]);
     let mut client = gateway.client();
@@ -100,6 +100,6 @@
         )));
         assert_eq!(client.request(&ClientRequest::new("read")).body, b"good", "{headers}");
     }
-    // None of the figures has emptied the bucket of 8 units, of which 6 are spent.
+    // The 6 requests took 6 of the bucket's 8 units, and no invalid value took more.
     assert_eq!(client.request(&ClientRequest::new("read")).status(), 200);
 }
