--- a/crates/gateway/src/upstream/pool.rs
+++ b/crates/gateway/src/upstream/pool.rs
@@ -16,8 +16,8 @@
 /// The fraction of the endpoints' own idle timeout after which the gateway closes idle connections.
 ///
 /// A request that is sent while the endpoint closes the connection ends with a reset, and may have run. A
-/// lower fraction would cost a large fleet, whose gateways use each endpoint only every few
-/// seconds, additional handshakes.
+/// lower fraction would cost a large fleet, whose gateways use each endpoint only every few seconds,
+/// additional handshakes.
 const IDLE_TIMEOUT_FRACTION: f64 = 0.8;
 /// How often idle connections are checked.
 pub(crate) const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(1000);
--- a/crates/gateway/src/upstream/reuse_delay.rs
+++ b/crates/gateway/src/upstream/reuse_delay.rs
@@ -1,6 +1,6 @@
 //! Protects clients from an endpoint's response that arrives twice.
 //!
-//! An endpoint, or a proxy between it and the gateway, may send a response twice, the second copy some
+//! An endpoint, or an intermediary in front of it, may send a response twice, the second copy some
 //! milliseconds after the first. If the next request has been written by then, the copy is taken for its
 //! response, and a client gets the response to another client's request.
 //!
--- a/crates/gateway/tests/it/common/client.rs
+++ b/crates/gateway/tests/it/common/client.rs
@@ -33,7 +33,7 @@
         self.reader.get_mut().write_all(text.as_bytes()).expect("write to the gateway");
     }
 
-    /// Reads the next response. Returns `None` if the connection ends before it is complete.
+    /// Reads the next response. Returns `None` if the connection ends before the response is complete.
     pub(crate) fn read(&mut self) -> Option<Message> {
         read_message(&mut self.reader)
     }
--- a/crates/gateway/tests/it/reload.rs
+++ b/crates/gateway/tests/it/reload.rs
@@ -39,9 +39,9 @@
     assert!(second.has_no_call(), "the previous address received a call");
 }
 
-/// SIGHUP gives the quota counter a new address while a call to the old one is in progress. If that call were
-/// dropped, its request would lose the units that the call added. Expected: the call finishes and its request
-/// is served, further calls go to the new address, and the old connection closes.
+/// SIGHUP gives the quota counter a new address while a call to the old one is in progress. If that call
+/// were dropped, its request would lose the units that it had requested. Expected: the call finishes and its
+/// request is served, further calls go to the new address, and the old connection closes.
 #[test]
 fn sighup_moves_the_quota_counter_and_finishes_the_call_in_progress() {
     let endpoint = ScriptedServer::serving("");
--- a/crates/gateway/tests/it/requests.rs
+++ b/crates/gateway/tests/it/requests.rs
@@ -32,7 +32,7 @@
     assert_eq!(endpoint.next_request().connection, received.connection);
 }
 
-/// Clients send requests with missing, unknown or malformed headers. If such a request were accepted, it
+/// Clients send requests with missing, unknown or malformed headers. If such a request changed any state, it
 /// would take units from the customer's quota, or reach an endpoint that cannot bill it. Expected: each gets
 /// its status, the gateway serves other requests as before, and the quota is not charged.
 #[test]
