--- a/crates/admission/tests/it/admission.rs
+++ b/crates/admission/tests/it/admission.rs
@@ -10,8 +10,8 @@
     let mut gateway = SingleGateway::new(broadcast_settings(Idempotency::Idempotent), 0);
     let Submitted { id, mut actions } = gateway.submit();
     actions.extend(gateway.advance(2990.0));
-    assert!(sends(&actions).is_empty());
-    assert_eq!(final_answers(&actions, id), 1);
+    assert!(sent_attempts(&actions).is_empty());
+    assert_eq!(final_response_count(&actions, id), 1);
 }
 
 /// A request is sent to the only endpoint, which hangs, so that the attempt never ends. A gateway that waits
@@ -21,9 +21,9 @@
 fn answers_before_the_deadline_when_an_attempt_never_ends() {
     let mut gateway = SingleGateway::new(broadcast_settings(Idempotency::Idempotent), 1);
     let submitted = gateway.submit();
-    assert_eq!(submitted.sends().len(), 1);
+    assert_eq!(submitted.sent_attempts().len(), 1);
     let actions = gateway.advance(2990.0);
-    assert_eq!(final_answers(&actions, submitted.id), 1);
+    assert_eq!(final_response_count(&actions, submitted.id), 1);
 }
 
 /// A request comes with little more time left than a response takes, which at the start is taken to be 150
@@ -35,11 +35,11 @@
 fn rejects_for_little_time_left_only_while_saturated() {
     for (in_flight, sent) in [(0, 1), (3, 0)] {
         let mut gateway = SingleGateway::new(broadcast_settings(Idempotency::Idempotent), 2);
-        assert_eq!(sends(&gateway.submit_as_new_customers(in_flight)).len(), in_flight);
+        assert_eq!(sent_attempts(&gateway.submit_as_new_customers(in_flight)).len(), in_flight);
         gateway.advance(20.0);
         let submitted = gateway.submit_with(|r| r.time_left_ms = 300.0);
-        let answers = final_answers(&submitted.actions, submitted.id);
-        assert_eq!((submitted.sends().len(), answers), (sent, 1 - sent), "{in_flight} in flight");
+        let answers = final_response_count(&submitted.actions, submitted.id);
+        assert_eq!((submitted.sent_attempts().len(), answers), (sent, 1 - sent), "{in_flight} in flight");
     }
 }
 
@@ -50,8 +50,8 @@
 fn rejects_at_once_when_deadline_cannot_be_met() {
     let mut gateway = SingleGateway::new(broadcast_settings(Idempotency::Idempotent), 3);
     let submitted = gateway.submit_with(|r| r.time_left_ms = 4.0);
-    assert!(submitted.sends().is_empty());
-    assert_eq!(final_answers(&submitted.actions, submitted.id), 1);
+    assert!(submitted.sent_attempts().is_empty());
+    assert_eq!(final_response_count(&submitted.actions, submitted.id), 1);
 }
 
 /// The same in a gossip fleet, where every request is queued and waits for its quota. Without a check at its
@@ -125,7 +125,7 @@
     settings.plans = vec![PlanSettings { concurrency_limit: 2, ..plan(0.0, 0.0) }];
     let mut gateway = SingleGateway::new(settings, 4);
     let submitted = gateway.submit_with(|r| (r.first_gateway, r.gateway_count) = (GatewayIndex(99), 0));
-    assert_eq!(submitted.sends().len(), 1);
+    assert_eq!(submitted.sent_attempts().len(), 1);
     let Submitted { id, actions } = gateway.submit_with(|r| r.plan = PlanIndex(7));
     assert_eq!(actions, vec![Action::Fail { request: id }]);
 }
--- a/crates/admission/tests/it/ceiling.rs
+++ b/crates/admission/tests/it/ceiling.rs
@@ -26,20 +26,20 @@
         for me in 0..2 {
             if round % 100 == 50 + me as i32 * 7 {
                 let settings = broadcast_settings_with_ceiling(me);
-                gateways[me] = SingleGateway::started_at(settings, SEED + now_ms as u64, now_ms);
-                gateways[me].update_endpoints((0..20).map(endpoint_of_two_zones).collect());
+                gateways[me] = SingleGateway::new_without_endpoints(settings, SEED + now_ms as u64, now_ms);
+                gateways[me].update_endpoints((0..20).map(endpoint_in_zone_by_parity).collect());
             }
             gateways[me].now_ms = now_ms;
-            let mut actions = gateways[me].event(Event::Timer { token: 0 });
+            let mut actions = gateways[me].handle_event(Event::Timer { token: 0 });
             gateways[me].last_request += 1000 * round as u64;
             actions.extend(gateways[me].submit().actions);
             for body in peer_messages(&actions) {
                 let from = GatewayIndex(me);
-                gateways[1 - me].event(Event::PeerMessage { from, body });
+                gateways[1 - me].handle_event(Event::PeerMessage { from, body });
             }
             bucket = (bucket + 4.0 * (now_ms - filled_ms) / 1000.0).min(8.0);
             filled_ms = now_ms;
-            for sent in sends(&actions) {
+            for sent in sent_attempts(&actions) {
                 bucket -= 1.0;
                 spent += 1;
                 assert!(bucket > -1.0, "the ceiling is passed at {now_ms} ms");
@@ -65,11 +65,11 @@
         fleet.advance(40.0);
         if step % 100 == 50 {
             for me in 0..60 {
-                fleet.start(me);
+                fleet.start_gateway(me);
             }
         }
         if step % 10 == 0 {
-            fleet.start(step * 7 % 60);
+            fleet.start_gateway(step * 7 % 60);
         }
     }
     let times: Vec<f64> = fleet.sent.iter().map(|s| s.at_ms).collect();
--- a/crates/admission/tests/it/common/builders.rs
+++ b/crates/admission/tests/it/common/builders.rs
@@ -1,10 +1,11 @@
-//! Builders of settings, endpoints, requests and attempt ends with ordinary values, and readers of actions.
+//! Builders of settings, endpoints, requests and attempt ends with default values, and functions that read
+//! actions.
 use irishinge_admission::*;
 
-/// A latency objective of all classes here unless a test sets its own.
+/// Latency objective of each class, in ms, unless a test sets another.
 pub(crate) const OBJECTIVE_MS: f64 = 1000.0;
 
-/// A plan with a quota on the rate and no other limit.
+/// Returns a plan with a quota and no other limit. A rate of 0 means that there is no quota.
 pub(crate) fn plan(rate_per_second: f64, burst_units: f64) -> PlanSettings {
     PlanSettings {
         rate_per_second,
@@ -18,7 +19,7 @@
     }
 }
 
-/// A request class with an objective of a second and a deadline of three.
+/// Returns a request class with a latency objective of 1 s and a deadline of 3 s.
 pub(crate) fn class(idempotency: Idempotency) -> ClassSettings {
     ClassSettings {
         latency_objective_ms: OBJECTIVE_MS,
@@ -28,6 +29,8 @@
     }
 }
 
+/// Returns settings with these gateways, classes and plans. All other values are the same unless a test
+/// changes them.
 fn settings(gateways: usize, classes: Vec<ClassSettings>, plans: Vec<PlanSettings>) -> Settings {
     Settings {
         gateways,
@@ -49,18 +52,18 @@
     }
 }
 
-/// One of two gateways that broadcast their counts to each other, with one class and one plan.
+/// Returns the settings of the first of two gateways in broadcast mode, with one class and one plan.
 pub(crate) fn broadcast_settings(idempotency: Idempotency) -> Settings {
     settings(2, vec![class(idempotency)], vec![plan(10.0, 40.0)])
 }
 
-/// A fleet of `gateways` gateways, with two classes and two plans that are alike.
+/// Returns the settings of a fleet of this many gateways, with two equal classes and two equal plans.
 pub(crate) fn fleet_settings(gateways: usize, plan: PlanSettings) -> Settings {
     let class = class(Idempotency::Idempotent);
     settings(gateways, vec![class.clone(), class], vec![plan.clone(), plan])
 }
 
-/// A ready endpoint of the first zone that started long ago.
+/// Returns a ready endpoint of the first zone whose process started long ago.
 pub(crate) fn endpoint(id: u64) -> EndpointEntry {
     EndpointEntry {
         id: EndpointId(id),
@@ -72,12 +75,12 @@
     }
 }
 
-/// Ready endpoints of the first zone that started long ago.
+/// Returns ready endpoints of the first zone, with ids from 0, whose processes started long ago.
 pub(crate) fn warm_endpoints(count: u64) -> Vec<EndpointEntry> {
     (0..count).map(endpoint).collect()
 }
 
-/// A request of one unit by a customer whose requests come through one gateway, the first.
+/// Returns a request of one unit by a customer whose requests come through the first gateway only.
 pub(crate) fn request(id: RequestId, customer: CustomerId) -> Request {
     Request {
         id,
@@ -92,7 +95,7 @@
     }
 }
 
-/// The end of an attempt that reports nothing but its outcome.
+/// Returns the end of an attempt whose response carries no true units.
 pub(crate) fn attempt_end(
     request: RequestId,
     attempt: u32,
@@ -111,7 +114,7 @@
     }
 }
 
-/// An attempt that a gateway had its host program start.
+/// An attempt that a gateway asked its host program to send.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct SentAttempt {
     pub(crate) request: RequestId,
@@ -119,25 +122,25 @@
     pub(crate) timeout_ms: f64,
 }
 
-/// The attempts among these actions, in their order.
-pub(crate) fn sends(actions: &[Action]) -> Vec<SentAttempt> {
-    let sent = |action: &Action| match *action {
+/// Returns the attempts that these actions send, in order.
+pub(crate) fn sent_attempts(actions: &[Action]) -> Vec<SentAttempt> {
+    let sent_attempt = |action: &Action| match *action {
         Action::Send { request, endpoint, timeout_ms } => Some(SentAttempt { request, endpoint, timeout_ms }),
         _ => None,
     };
-    actions.iter().filter_map(sent).collect()
+    actions.iter().filter_map(sent_attempt).collect()
 }
 
-/// How many final answers a request got from the gateway itself.
-pub(crate) fn final_answers(actions: &[Action], id: RequestId) -> usize {
-    let answers = |action: &&Action| match action {
+/// Returns the number of final responses that these actions give a request.
+pub(crate) fn final_response_count(actions: &[Action], id: RequestId) -> usize {
+    let is_final_response = |action: &&Action| match action {
         Action::Reject { request, .. } | Action::Fail { request } => *request == id,
         _ => false,
     };
-    actions.iter().filter(answers).count()
+    actions.iter().filter(is_final_response).count()
 }
 
-/// The bodies of messages to peers.
+/// Returns the bodies of the messages to peers among these actions.
 pub(crate) fn peer_messages(actions: &[Action]) -> Vec<String> {
     let body = |action: &Action| match action {
         Action::SendPeerMessage { body, .. } => Some(body.clone()),
@@ -146,28 +149,31 @@
     actions.iter().filter_map(body).collect()
 }
 
-/// What the head of a gossip message reports, at a mean rate of 12 responses a second.
-pub(crate) struct GossipReport {
-    /// The mean stock of a gateway, in 64ths of an attempt.
-    pub(crate) mean_stock_64ths: u32,
+/// The means at the head of a gossip message. The third mean, the response rate, is always 12 per second.
+pub(crate) struct GossipMeans {
+    /// Mean attempts in flight of a gateway, in 64ths of an attempt.
+    pub(crate) in_flight_64ths: u32,
+    /// Mean watermark, in attempts in flight per ready endpoint.
     pub(crate) watermark: u32,
 }
 
-/// A gossip message that carries its head only.
-pub(crate) fn gossip_report(report: GossipReport) -> String {
-    let stock = message_digits(report.mean_stock_64ths, 2);
-    let watermark = message_digits(report.watermark * 32, 2);
-    let response_rate = message_digits(12 * 32, 2);
-    format!("w{stock}{watermark}{response_rate}")
+/// Returns a gossip message that carries only means. On the wire, the watermark and the response rate are
+/// in 32nds.
+pub(crate) fn gossip_message(means: GossipMeans) -> String {
+    let in_flight = base64_digits(means.in_flight_64ths, 2);
+    let watermark = base64_digits(means.watermark * 32, 2);
+    let response_rate = base64_digits(12 * 32, 2);
+    format!("w{in_flight}{watermark}{response_rate}")
 }
 
-/// A number in the digits of the messages' text: six bits each, the highest first.
-fn message_digits(value: u32, count: u32) -> String {
+/// Returns a number as `count` base-64 digits of six bits each, the highest first.
+fn base64_digits(value: u32, count: u32) -> String {
     const DIGITS: &[u8; 64] = b"0123456789ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz-_";
     (0..count).rev().map(|place| DIGITS[(value >> (6 * place) & 63) as usize] as char).collect()
 }
 
-/// A ready endpoint that started long ago, of the first zone and cell where `id` is even, else of the second.
-pub(crate) fn endpoint_of_two_zones(id: u64) -> EndpointEntry {
+/// Returns a ready endpoint whose process started long ago. An even id puts it in the first zone and cell,
+/// an odd id in the second.
+pub(crate) fn endpoint_in_zone_by_parity(id: u64) -> EndpointEntry {
     EndpointEntry { zone: ZoneIndex((id % 2) as usize), cell: id % 2, ..endpoint(id) }
 }
--- a/crates/admission/tests/it/common/mod.rs
+++ b/crates/admission/tests/it/common/mod.rs
@@ -1,5 +1,9 @@
-//! What the tests share: builders of settings and events, and the harnesses that drive gateways through their
+//! Shared test support: builders of settings and events, and harnesses that drive gateways through their
 //! public interface.
+//!
+//! Tests take customer ids such as `n + (5 << 40)`: the high bits keep one group of customers apart from
+//! the other groups of the test. Indexes such as `step * 17 % 120` spread consecutive requests over the
+//! gateways.
 mod builders;
 mod event_queue;
 mod fleet;
--- a/crates/admission/tests/it/common/single_gateway.rs
+++ b/crates/admission/tests/it/common/single_gateway.rs
@@ -1,72 +1,76 @@
-//! One gateway that a test drives event by event, on a clock that the test moves.
+//! A single gateway, which a test sends events one by one at times that the test sets.
 use super::builders::*;
 use irishinge_admission::*;
 
-/// The seed of the gateway's random numbers.
+/// Seed of the gateway's random numbers.
 pub(crate) const SEED: u64 = 7;
 
-/// Time between two timer events while the clock is moved.
-const TIMER_MS: f64 = 20.0;
+/// Time between two timer events while `advance` lets time pass, in ms.
+const TIMER_INTERVAL_MS: f64 = 20.0;
 
+/// A gateway and the clock of its events.
 pub(crate) struct SingleGateway {
     gateway: Gateway,
     pub(crate) now_ms: f64,
-    /// The id of the last request.
+    /// Id of the last request; ids count up from 1.
     pub(crate) last_request: u64,
-    /// The customer whose requests `submit` makes.
+    /// Customer of the requests that `submit` creates.
     pub(crate) customer: u64,
 }
 
-/// A request that was submitted, and what the gateway did at once.
+/// A submitted request and the actions that the gateway returned for it.
 pub(crate) struct Submitted {
     pub(crate) id: RequestId,
     pub(crate) actions: Vec<Action>,
 }
 
 impl Submitted {
-    pub(crate) fn sends(&self) -> Vec<SentAttempt> {
-        sends(&self.actions)
+    /// Returns the attempts that were sent at once, in order.
+    pub(crate) fn sent_attempts(&self) -> Vec<SentAttempt> {
+        sent_attempts(&self.actions)
     }
 }
 
 impl SingleGateway {
-    /// A gateway that knows this many warm endpoints, alternating between two zones.
+    /// Creates a gateway that knows this many warm endpoints, alternately in two zones.
     pub(crate) fn new(settings: Settings, endpoints: u64) -> Self {
-        let mut gateway = Self::started_at(settings, SEED, 0.0);
-        gateway.update_endpoints((0..endpoints).map(endpoint_of_two_zones).collect());
+        let mut gateway = Self::new_without_endpoints(settings, SEED, 0.0);
+        gateway.update_endpoints((0..endpoints).map(endpoint_in_zone_by_parity).collect());
         gateway
     }
 
-    /// A gateway that has just started and knows no endpoint.
-    pub(crate) fn started_at(settings: Settings, seed: u64, now_ms: f64) -> Self {
-        let gateway = Gateway::new(settings, seed, now_ms).expect("sound settings");
+    /// Creates a gateway that starts at `now_ms` and knows no endpoint.
+    pub(crate) fn new_without_endpoints(settings: Settings, seed: u64, now_ms: f64) -> Self {
+        let gateway = Gateway::new(settings, seed, now_ms).expect("valid settings");
         SingleGateway { gateway, now_ms, last_request: 0, customer: 1 }
     }
 
-    pub(crate) fn event(&mut self, event: Event) -> Vec<Action> {
+    pub(crate) fn handle_event(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.gateway.on_event(self.now_ms, event, &mut actions);
         actions
     }
 
+    /// Sends the gateway a change of the endpoint list.
     pub(crate) fn update_endpoints(&mut self, entries: Vec<EndpointEntry>) -> Vec<Action> {
-        self.event(Event::EndpointList { kind: ListUpdateKind::Changes, entries })
+        self.handle_event(Event::EndpointList { kind: ListUpdateKind::Changes, entries })
     }
 
-    /// Submits a request that the test has changed.
+    /// Submits a request of the current customer after `change` has modified it.
     pub(crate) fn submit_with(&mut self, change: impl FnOnce(&mut Request)) -> Submitted {
         self.last_request += 1;
         let id = RequestId(self.last_request);
         let mut request = Request { gateway_count: 2, ..request(id, CustomerId(self.customer)) };
         change(&mut request);
-        Submitted { id: request.id, actions: self.event(Event::Request(request)) }
+        Submitted { id: request.id, actions: self.handle_event(Event::Request(request)) }
     }
 
+    /// Submits a request of the current customer.
     pub(crate) fn submit(&mut self) -> Submitted {
         self.submit_with(|_| {})
     }
 
-    /// Submits requests of as many customers, so that no quota binds.
+    /// Submits one request each of `count` new customers, so that no quota limits them.
     pub(crate) fn submit_as_new_customers(&mut self, count: usize) -> Vec<Action> {
         let mut all = Vec::new();
         for _ in 0..count {
@@ -76,6 +80,7 @@
         all
     }
 
+    /// Ends an attempt; `attempt` is its number among those of its request.
     pub(crate) fn end_attempt(
         &mut self,
         sent: SentAttempt,
@@ -84,27 +89,28 @@
         took_ms: f64,
     ) -> Vec<Action> {
         let end = attempt_end(sent.request, attempt, sent.endpoint, outcome, took_ms);
-        self.event(Event::AttemptEnded(end))
+        self.handle_event(Event::AttemptEnded(end))
     }
 
-    /// Lets time pass, with a timer event every 20 ms.
+    /// Lets time pass, with a timer event every 20 ms and one at the end.
     pub(crate) fn advance(&mut self, ms: f64) -> Vec<Action> {
         let mut all = Vec::new();
         let end_ms = self.now_ms + ms;
         while self.now_ms < end_ms {
-            self.now_ms = (self.now_ms + TIMER_MS).min(end_ms);
-            all.extend(self.event(Event::Timer { token: 0 }));
+            self.now_ms = (self.now_ms + TIMER_INTERVAL_MS).min(end_ms);
+            all.extend(self.handle_event(Event::Timer { token: 0 }));
         }
         all
     }
 
-    /// Delivers a message of the other gateway.
+    /// Delivers a message from the second gateway.
     pub(crate) fn receive(&mut self, body: &str) {
-        self.event(Event::PeerMessage { from: GatewayIndex(1), body: body.into() });
+        self.handle_event(Event::PeerMessage { from: GatewayIndex(1), body: body.into() });
     }
 
-    /// How many requests of one unit are sent at once for a customer.
+    /// Submits 60 requests of one unit by the current customer and returns how many of them are sent at
+    /// once.
     pub(crate) fn admitted_at_once(&mut self) -> usize {
-        (0..60).map(|_| self.submit().sends().len()).sum()
+        (0..60).map(|_| self.submit().sent_attempts().len()).sum()
     }
 }
--- a/crates/admission/tests/it/concurrency_limit.rs
+++ b/crates/admission/tests/it/concurrency_limit.rs
@@ -10,9 +10,13 @@
     let mut settings = broadcast_settings(Idempotency::Idempotent);
     settings.plans = vec![PlanSettings { concurrency_limit: 2, ..plan(0.0, 0.0) }];
     let mut gateway = SingleGateway::new(settings, 10);
-    let sent = [gateway.submit().sends(), gateway.submit().sends(), gateway.submit().sends()];
+    let sent = [
+        gateway.submit().sent_attempts(),
+        gateway.submit().sent_attempts(),
+        gateway.submit().sent_attempts(),
+    ];
     assert_eq!(sent.iter().map(Vec::len).collect::<Vec<_>>(), vec![1, 1, 0]);
-    assert_eq!(sends(&gateway.end_attempt(sent[0][0], 0, Outcome::Ok, 50.0)).len(), 1);
+    assert_eq!(sent_attempts(&gateway.end_attempt(sent[0][0], 0, Outcome::Ok, 50.0)).len(), 1);
 }
 
 /// Eight gateways serve a customer with three slots, and each has recently received reports of all others.
@@ -32,15 +36,15 @@
                 SingleGateway::new(Settings { this_gateway: GatewayIndex(peer), ..settings.clone() }, 10);
             let submitted = other.submit_with(|r| r.gateway_count = 8);
             let mut bodies = vec![];
-            for sent in submitted.sends() {
+            for sent in submitted.sent_attempts() {
                 other.end_attempt(sent, 0, Outcome::Ok, 5.0);
                 bodies.extend(peer_messages(&other.advance(400.0)));
             }
             bodies.into_iter().for_each(|body| {
-                gateway.event(Event::PeerMessage { from: GatewayIndex(peer), body });
+                gateway.handle_event(Event::PeerMessage { from: GatewayIndex(peer), body });
             });
         }
-        owners += gateway.submit_with(|r| r.gateway_count = 8).sends().len();
+        owners += gateway.submit_with(|r| r.gateway_count = 8).sent_attempts().len();
     }
     assert_eq!(owners, 4);
 }
@@ -74,6 +78,10 @@
     let settings = Settings { peer_messages_allowed: false, ..fleet_settings(40, limits) };
     let mut gateway = SingleGateway::new(settings, 10);
     gateway.customer = (1 << 33) - 1;
-    let sent = [gateway.submit().sends(), gateway.submit().sends(), gateway.submit().sends()];
+    let sent = [
+        gateway.submit().sent_attempts(),
+        gateway.submit().sent_attempts(),
+        gateway.submit().sent_attempts(),
+    ];
     assert_eq!(sent.iter().map(Vec::len).collect::<Vec<_>>(), vec![1, 1, 0]);
 }
--- a/crates/admission/tests/it/determinism.rs
+++ b/crates/admission/tests/it/determinism.rs
@@ -48,14 +48,14 @@
             let state = random.one_of(&STATES);
             let started_at_ms = if random.below(2) == 0 { None } else { Some(gateway.now_ms) };
             let id = random.below(8);
-            let entry = EndpointEntry { state, started_at_ms, ..endpoint_of_two_zones(id) };
+            let entry = EndpointEntry { state, started_at_ms, ..endpoint_in_zone_by_parity(id) };
             gateway.update_endpoints(vec![entry])
         }
-        8 => gateway.event(Event::PeerMessage {
+        8 => gateway.handle_event(Event::PeerMessage {
             from: GatewayIndex(random.below(4) as usize),
             body: format!("h00{}0{}000W", random.below(9), random.below(9)),
         }),
-        _ => gateway.event(Event::Timer { token: 0 }),
+        _ => gateway.handle_event(Event::Timer { token: 0 }),
     }
 }
 
@@ -70,7 +70,7 @@
     for _ in 0..6000 {
         gateway.now_ms += random.below(8) as f64;
         let actions = random_event(&mut gateway, &mut random, &mut in_flight);
-        for sent in sends(&actions) {
+        for sent in sent_attempts(&actions) {
             let number = attempts.entry(sent.request).or_insert(0u32);
             in_flight.push(InFlight { sent, number: *number });
             *number += 1;
--- a/crates/admission/tests/it/dispatch.rs
+++ b/crates/admission/tests/it/dispatch.rs
@@ -9,7 +9,7 @@
 #[test]
 fn dispatches_by_virtual_finish_time_and_in_order_within_a_customer() {
     let mut gateway = SingleGateway::new(broadcast_settings(Idempotency::Idempotent), 10);
-    let first = sends(&gateway.submit_as_new_customers(22));
+    let first = sent_attempts(&gateway.submit_as_new_customers(22));
     gateway.customer = 1000;
     let heavy: Vec<RequestId> = (0..3).map(|_| gateway.submit().id).collect();
     gateway.customer = 2000;
@@ -17,7 +17,7 @@
     gateway.now_ms += 100.0;
     let mut order = Vec::new();
     for sent in first {
-        let dispatched = sends(&gateway.end_attempt(sent, 0, Outcome::Ok, 100.0));
+        let dispatched = sent_attempts(&gateway.end_attempt(sent, 0, Outcome::Ok, 100.0));
         order.extend(dispatched.iter().map(|attempt| attempt.request));
     }
     assert_eq!(order, vec![heavy[0], light, heavy[1], heavy[2]]);
@@ -33,19 +33,23 @@
     settings.classes[0].priority_weight = 1.0;
     settings.classes[1].priority_weight = 3.0;
     settings.classes.iter_mut().for_each(|c| c.idempotency = Idempotency::NonIdempotent);
-    let mut gateway =
-        SingleGateway::started_at(Settings { this_gateway: GatewayIndex(3), ..settings }, SEED, 0.0);
+    let mut gateway = SingleGateway::new_without_endpoints(
+        Settings { this_gateway: GatewayIndex(3), ..settings },
+        SEED,
+        0.0,
+    );
     let entries = warm_endpoints(40);
-    let mut actions = gateway.event(Event::EndpointList { kind: ListUpdateKind::Complete, entries });
+    let mut actions = gateway.handle_event(Event::EndpointList { kind: ListUpdateKind::Complete, entries });
     // The band is over-full: 6 attempts in flight at each endpoint, at a watermark of 4.
-    let body = gossip_report(GossipReport { mean_stock_64ths: 240 * 64 / 100, watermark: 4 });
+    let body = gossip_message(GossipMeans { in_flight_64ths: 240 * 64 / 100, watermark: 4 });
     let (mut submitted, mut sent, mut rejected) = ([0; 2], [0; 2], [0; 2]);
     for round in 0..300usize {
         gateway.now_ms = 20.0 * round as f64;
         actions.extend(
-            gateway.event(Event::PeerMessage { from: GatewayIndex(4 + round % 90), body: body.clone() }),
+            gateway
+                .handle_event(Event::PeerMessage { from: GatewayIndex(4 + round % 90), body: body.clone() }),
         );
-        actions.extend(gateway.event(Event::Timer { token: 0 }));
+        actions.extend(gateway.handle_event(Event::Timer { token: 0 }));
         // 5 requests a second of each class; credit for a send is earned every third of a second.
         if round > 50 && round % 5 == 0 {
             let class = round / 5 % 2;
@@ -54,7 +58,7 @@
             let customer = CustomerId(round as u64 + (3 << 40));
             let request =
                 Request { class: ClassIndex(class), first_gateway: GatewayIndex(3), ..request(id, customer) };
-            actions.extend(gateway.event(Event::Request(request)));
+            actions.extend(gateway.handle_event(Event::Request(request)));
         }
         for action in actions.drain(..) {
             match action {
--- a/crates/admission/tests/it/endpoint_list.rs
+++ b/crates/admission/tests/it/endpoint_list.rs
@@ -10,10 +10,10 @@
 fn sends_nothing_to_draining_or_removed_endpoints() {
     let mut gateway = SingleGateway::new(broadcast_settings(Idempotency::Idempotent), 3);
     gateway.update_endpoints(vec![
-        EndpointEntry { state: EndpointState::Draining, ..endpoint_of_two_zones(0) },
-        EndpointEntry { state: EndpointState::Gone, ..endpoint_of_two_zones(1) },
+        EndpointEntry { state: EndpointState::Draining, ..endpoint_in_zone_by_parity(0) },
+        EndpointEntry { state: EndpointState::Gone, ..endpoint_in_zone_by_parity(1) },
     ]);
-    let sent = sends(&gateway.submit_as_new_customers(6));
+    let sent = sent_attempts(&gateway.submit_as_new_customers(6));
     assert!(!sent.is_empty());
     assert!(sent.iter().all(|attempt| attempt.endpoint.0 == 2));
 }
@@ -24,10 +24,10 @@
 #[test]
 fn drops_endpoints_that_a_complete_list_does_not_name() {
     let mut gateway = SingleGateway::new(broadcast_settings(Idempotency::Idempotent), 3);
-    let entries = vec![endpoint_of_two_zones(2)];
-    gateway.event(Event::EndpointList { kind: ListUpdateKind::Complete, entries });
+    let entries = vec![endpoint_in_zone_by_parity(2)];
+    gateway.handle_event(Event::EndpointList { kind: ListUpdateKind::Complete, entries });
     let all = gateway.submit_as_new_customers(4);
-    assert!(sends(&all).iter().all(|attempt| attempt.endpoint.0 == 2));
+    assert!(sent_attempts(&all).iter().all(|attempt| attempt.endpoint.0 == 2));
 }
 
 /// Discovery has not confirmed the list in time, so that any endpoint may be draining or gone. A gateway that
@@ -48,7 +48,7 @@
             plans: vec![plan(100.0, 100.0)],
             ..Settings::default()
         };
-        let mut gateway = Gateway::new(settings, 7, 0.0).expect("sound settings");
+        let mut gateway = Gateway::new(settings, 7, 0.0).expect("valid settings");
         let mut at = |now: f64, event: Event| {
             let mut actions = Vec::new();
             gateway.on_event(now, event, &mut actions);
@@ -57,7 +57,7 @@
         let update = |kind, entries| Event::EndpointList { kind, entries };
         let submit =
             |id| Event::Request(Request { time_left_ms: 2000.0, ..request(RequestId(id), CustomerId(5)) });
-        let has_sends = |actions: &[Action]| !sends(actions).is_empty();
+        let has_sends = |actions: &[Action]| !sent_attempts(actions).is_empty();
         at(0.0, update(ListUpdateKind::Complete, warm_endpoints(9)));
         assert!(has_sends(&at(5000.0, submit(1))), "{gateways}");
         at(5100.0, Event::EndpointListExpired);
--- a/crates/admission/tests/it/endpoint_selection.rs
+++ b/crates/admission/tests/it/endpoint_selection.rs
@@ -58,7 +58,7 @@
     for me in 0..60 {
         let settings =
             Settings { this_gateway: GatewayIndex(me), zone: ZoneIndex(me % 3), ..fleet.settings.clone() };
-        fleet.start_with(settings, 5 + me as u64);
+        fleet.start_gateway_with(settings, 5 + me as u64);
     }
     let mut local = 0;
     for step in 0..1500usize {
--- a/crates/admission/tests/it/gossip.rs
+++ b/crates/admission/tests/it/gossip.rs
@@ -47,7 +47,10 @@
     for me in 0..40 {
         for body in bodies {
             for from in [0, 7, 39, 40, usize::MAX] {
-                fleet.event(me, Event::PeerMessage { from: GatewayIndex(from), body: body.to_string() });
+                fleet.handle_event(
+                    me,
+                    Event::PeerMessage { from: GatewayIndex(from), body: body.to_string() },
+                );
             }
         }
     }
--- a/crates/admission/tests/it/limits.rs
+++ b/crates/admission/tests/it/limits.rs
@@ -6,7 +6,7 @@
 const MAX_CUSTOMERS: u64 = 50_000;
 
 fn is_rejected(submitted: &Submitted) -> bool {
-    final_answers(&submitted.actions, submitted.id) == 1
+    final_response_count(&submitted.actions, submitted.id) == 1
 }
 
 /// Fills the queue of a gateway that knows no endpoint with requests of as many customers.
@@ -26,25 +26,25 @@
 #[test]
 fn broadcast_gateway_queues_4000_requests_and_rejects_the_next() {
     let settings = broadcast_settings(Idempotency::Idempotent);
-    assert_rejects_at_once_only_beyond_the_bound(SingleGateway::started_at(settings, SEED, 0.0));
+    assert_rejects_at_once_only_beyond_the_bound(SingleGateway::new_without_endpoints(settings, SEED, 0.0));
 }
 
 /// The same in a gossip fleet, whose gateways queue every request before they know its quota.
 #[test]
 fn gossip_gateway_queues_4000_requests_and_rejects_the_next() {
     let settings = fleet_settings(100, plan(10.0, 40.0));
-    assert_rejects_at_once_only_beyond_the_bound(SingleGateway::started_at(settings, SEED, 0.0));
+    assert_rejects_at_once_only_beyond_the_bound(SingleGateway::new_without_endpoints(settings, SEED, 0.0));
 }
 
 /// Whether the first customer's bucket is full again once so many customers have been idle for 3 s. A gateway without
 /// messages and counter enforces each customer's quota by itself: here one request each, for a long time.
 fn forgets_the_first_of(customers: u64) -> bool {
     let settings = Settings { peer_messages_allowed: false, ..fleet_settings(2, plan(0.001, 1.0)) };
-    let mut gateway = SingleGateway::started_at(settings, SEED, 0.0);
+    let mut gateway = SingleGateway::new_without_endpoints(settings, SEED, 0.0);
     gateway.update_endpoints(warm_endpoints(4));
     for customer in 0..customers {
         gateway.customer = customer;
-        let sent = gateway.submit().sends();
+        let sent = gateway.submit().sent_attempts();
         assert_eq!(sent.len(), 1, "customer {customer}");
         gateway.end_attempt(sent[0], 0, Outcome::Ok, 5.0);
     }
--- a/crates/admission/tests/it/main.rs
+++ b/crates/admission/tests/it/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the decision library through its public interface, a file for each concern.
+//! Tests of the admission library through its public interface, with one module for each subject.
 mod common;
 
 mod admission;
--- a/crates/admission/tests/it/outlier_detection.rs
+++ b/crates/admission/tests/it/outlier_detection.rs
@@ -11,10 +11,10 @@
     let mut gateway = SingleGateway::new(broadcast_settings(Idempotency::Idempotent), 4);
     // It has not answered for long.
     gateway.advance(3000.0);
-    let sent = gateway.submit().sends()[0];
+    let sent = gateway.submit().sent_attempts()[0];
     let failing = sent.endpoint;
     gateway.end_attempt(sent, 0, Outcome::ConnectFailed, 1.0);
-    let hits = |actions: &[Action]| sends(actions).iter().filter(|a| a.endpoint == failing).count();
+    let hits = |actions: &[Action]| sent_attempts(actions).iter().filter(|a| a.endpoint == failing).count();
     assert_eq!(hits(&gateway.submit_as_new_customers(6)), 0);
     gateway.advance(900.0);
     let again = gateway.submit_as_new_customers(20);
@@ -29,12 +29,12 @@
     for (broken, ejected) in [(1, false), (3, false), (12, true)] {
         let mut gateway = SingleGateway::new(broadcast_settings(Idempotency::NonIdempotent), 2);
         gateway.advance(3000.0);
-        let first = gateway.submit().sends()[0];
+        let first = gateway.submit().sent_attempts()[0];
         gateway.end_attempt(first, 0, Outcome::Ok, 50.0);
         let is_suspect = |sent: &&SentAttempt| sent.endpoint == first.endpoint;
         let mut breaks = 0;
         while breaks < broken {
-            let Some(sent) = sends(&gateway.submit_as_new_customers(1)).pop() else { break };
+            let Some(sent) = sent_attempts(&gateway.submit_as_new_customers(1)).pop() else { break };
             if !is_suspect(&&sent) && ejected {
                 break;
             }
@@ -43,7 +43,7 @@
             let outcome = if breaking { Outcome::Reset } else { Outcome::Ok };
             gateway.end_attempt(sent, 0, outcome, 50.0);
         }
-        let hits = sends(&gateway.submit_as_new_customers(6)).iter().filter(is_suspect).count();
+        let hits = sent_attempts(&gateway.submit_as_new_customers(6)).iter().filter(is_suspect).count();
         assert_eq!(hits == 0, ejected, "{hits} after {broken} broken connections");
     }
 }
@@ -56,13 +56,13 @@
     let mut gateway = SingleGateway::new(broadcast_settings(Idempotency::Idempotent), 3);
     for n in 0..12 {
         gateway.customer = 100 + n;
-        let (mut sent, mut attempt) = (gateway.submit().sends(), 0);
+        let (mut sent, mut attempt) = (gateway.submit().sent_attempts(), 0);
         while let Some(last) = sent.pop() {
-            sent = sends(&gateway.end_attempt(last, attempt, Outcome::ConnectFailed, 1.0));
+            sent = sent_attempts(&gateway.end_attempt(last, attempt, Outcome::ConnectFailed, 1.0));
             attempt += 1;
         }
     }
-    assert!(!sends(&gateway.advance(20.0)).is_empty());
+    assert!(!sent_attempts(&gateway.advance(20.0)).is_empty());
 }
 
 /// The fraction of these attempts that went to the first 16 endpoints.
--- a/crates/admission/tests/it/quota.rs
+++ b/crates/admission/tests/it/quota.rs
@@ -12,7 +12,7 @@
     let mut gateway = SingleGateway::new(settings, 10);
     gateway.advance(1100.0);
     for _ in 0..4 {
-        assert_eq!(gateway.submit().sends().len(), 1);
+        assert_eq!(gateway.submit().sent_attempts().len(), 1);
     }
     let Submitted { id, actions } = gateway.submit();
     assert_eq!(actions, vec![Action::Reject { request: id, retry_after_ms: Some(500.0) }]);
@@ -28,14 +28,14 @@
     settings.plans = vec![soft, plan(10.0, 40.0)];
     let mut gateway = SingleGateway::new(settings, 10);
     gateway.advance(1100.0);
-    let sent: usize = (0..5).map(|_| gateway.submit().sends().len()).sum();
+    let sent: usize = (0..5).map(|_| gateway.submit().sent_attempts().len()).sum();
     assert_eq!(sent, 5, "three of them beyond the quota");
     for _ in 0..40 {
         gateway.customer += 1;
         gateway.submit_with(|r| r.plan = PlanIndex(1));
     }
     gateway.customer = 1;
-    assert!(gateway.submit().sends().is_empty());
+    assert!(gateway.submit().sent_attempts().is_empty());
 }
 
 /// An endpoint reports the units that a request really used. If the estimate counted for good, the bucket
@@ -50,8 +50,8 @@
         let mut gateway = SingleGateway::new(settings, 10);
         gateway.advance(1100.0);
         let submitted = gateway.submit_with(|r| r.units = 2.0);
-        let endpoint = submitted.sends()[0].endpoint;
-        gateway.event(Event::AttemptEnded(AttemptEnd {
+        let endpoint = submitted.sent_attempts()[0].endpoint;
+        gateway.handle_event(Event::AttemptEnded(AttemptEnd {
             true_units: Some(true_units),
             ..attempt_end(submitted.id, 0, endpoint, Outcome::Ok, 50.0)
         }));
--- a/crates/admission/tests/it/quota_counter.rs
+++ b/crates/admission/tests/it/quota_counter.rs
@@ -54,7 +54,7 @@
         let request = fleet.submit(me, |r| r.units = 2.0);
         if me % 4 > 0 {
             // Its client disconnects before the counter has replied.
-            fleet.event(me, Event::ClientDisconnected { request });
+            fleet.handle_event(me, Event::ClientDisconnected { request });
         }
         fleet.advance(1000.0);
     }
@@ -116,7 +116,7 @@
         assert!(calls > 200, "{calls}");
         // While it answers, all requests are counted; as much again comes on top for what was rejected.
         fleet.counter.behaviour =
-            |call| if call <= 3 { CounterBehaviour::Answers } else { CounterBehaviour::Silent };
+            |call| if call <= 3 { CounterBehaviour::Replies } else { CounterBehaviour::Silent };
         calls_and_sends(&mut fleet, 400);
         let (calls, sent) = calls_and_sends(&mut fleet, 400);
         assert!(calls < 600, "{calls} calls for 800 requests");
@@ -145,13 +145,13 @@
     fn new(plan: PlanSettings) -> Self {
         let settings =
             Settings { peer_messages_allowed: false, counter_allowed: true, ..fleet_settings(12, plan) };
-        let mut gateway = SingleGateway::started_at(settings, SEED, 0.0);
+        let mut gateway = SingleGateway::new_without_endpoints(settings, SEED, 0.0);
         gateway.update_endpoints(warm_endpoints(40));
         CountingGateway { gateway }
     }
 
     fn reply(&mut self, call: CounterCall, outcome: CounterOutcome) -> Vec<Action> {
-        self.gateway.event(Event::CounterReply { name: call.name, outcome })
+        self.gateway.handle_event(Event::CounterReply { name: call.name, outcome })
     }
 }
 
@@ -209,7 +209,7 @@
             calls += usize::from(n >= 200);
             actions.extend(counting.reply(call, CounterOutcome::Unanswered));
         }
-        for sent in sends(&actions) {
+        for sent in sent_attempts(&actions) {
             counting.gateway.end_attempt(sent, 0, Outcome::Ok, 5.0);
         }
     }
--- a/crates/admission/tests/it/quota_owner.rs
+++ b/crates/admission/tests/it/quota_owner.rs
@@ -112,9 +112,9 @@
     let mut owned = Vec::new();
     for n in 0..2400 {
         let customer = CustomerId(n + (9 << 40));
-        fleet.last_message_to = None;
+        fleet.last_message_receiver = None;
         fleet.submit((BUSY + 1 + n as usize % 119) % 120, |r| r.customer = customer);
-        if fleet.last_message_to == Some(BUSY) {
+        if fleet.last_message_receiver == Some(BUSY) {
             owned.push(customer);
         }
         fleet.advance(2.0);
--- a/crates/admission/tests/it/retry.rs
+++ b/crates/admission/tests/it/retry.rs
@@ -8,12 +8,12 @@
 fn does_not_retry_after_the_client_has_gone() {
     let mut gateway = SingleGateway::new(broadcast_settings(Idempotency::Idempotent), 3);
     let submitted = gateway.submit();
-    let sent = submitted.sends()[0];
-    gateway.event(Event::ClientDisconnected { request: submitted.id });
+    let sent = submitted.sent_attempts()[0];
+    gateway.handle_event(Event::ClientDisconnected { request: submitted.id });
     gateway.now_ms += 10.0;
     let after = gateway.end_attempt(sent, 0, Outcome::ConnectFailed, 10.0);
-    assert!(sends(&after).is_empty());
-    assert_eq!(final_answers(&after, submitted.id), 0);
+    assert!(sent_attempts(&after).is_empty());
+    assert_eq!(final_response_count(&after, submitted.id), 0);
 }
 
 /// A connection breaks while a request that must not run twice is in flight, so that it may have run. A retry
@@ -23,8 +23,8 @@
     let mut gateway = SingleGateway::new(broadcast_settings(Idempotency::NonIdempotent), 3);
     let submitted = gateway.submit();
     gateway.now_ms += 50.0;
-    let after = gateway.end_attempt(submitted.sends()[0], 0, Outcome::Reset, 50.0);
-    assert!(sends(&after).is_empty());
+    let after = gateway.end_attempt(submitted.sent_attempts()[0], 0, Outcome::Reset, 50.0);
+    assert!(sent_attempts(&after).is_empty());
     assert!(after.contains(&Action::Fail { request: submitted.id }));
 }
 
@@ -35,8 +35,8 @@
     let mut gateway = SingleGateway::new(broadcast_settings(Idempotency::NonIdempotent), 3);
     let submitted = gateway.submit();
     gateway.now_ms += 5.0;
-    let after = gateway.end_attempt(submitted.sends()[0], 0, Outcome::ConnectFailed, 5.0);
-    assert_eq!(sends(&after).len(), 1);
+    let after = gateway.end_attempt(submitted.sent_attempts()[0], 0, Outcome::ConnectFailed, 5.0);
+    assert_eq!(sent_attempts(&after).len(), 1);
 }
 
 /// A request with an idempotency key whose first attempt was reset.
@@ -51,13 +51,13 @@
     let idempotency = Idempotency::IdempotencyKey { group, window_ms };
     let mut gateway = SingleGateway::new(broadcast_settings(idempotency), 4);
     let submitted = gateway.submit();
-    let first = submitted.sends()[0];
+    let first = submitted.sent_attempts()[0];
     gateway.now_ms += after_ms;
     let after_reset = gateway.end_attempt(first, 0, Outcome::Reset, after_ms);
     RequestWithKey {
         id: submitted.id,
         first_endpoint: first.endpoint.0,
-        second_endpoint: sends(&after_reset).first().map(|sent| sent.endpoint.0),
+        second_endpoint: sent_attempts(&after_reset).first().map(|sent| sent.endpoint.0),
         after_reset,
     }
 }
@@ -92,9 +92,9 @@
     let mut settings = broadcast_settings(Idempotency::Idempotent);
     settings.hedging_allowed = false;
     let mut gateway = SingleGateway::new(settings, 4);
-    assert_eq!(gateway.submit().sends().len(), 1);
+    assert_eq!(gateway.submit().sent_attempts().len(), 1);
     let stalled = gateway.advance(900.0);
-    assert!(sends(&stalled).is_empty());
+    assert!(sent_attempts(&stalled).is_empty());
     assert!(stalled.iter().any(|a| matches!(a, Action::Cancel { .. })), "a hung attempt is cancelled");
 }
 
@@ -103,7 +103,7 @@
 #[test]
 fn hedges_an_attempt_stalled_on_a_silent_endpoint() {
     let mut gateway = SingleGateway::new(broadcast_settings(Idempotency::Idempotent), 6);
-    let sent = sends(&gateway.submit_as_new_customers(6));
+    let sent = sent_attempts(&gateway.submit_as_new_customers(6));
     gateway.now_ms += 100.0;
     for &attempt in &sent[1..] {
         gateway.end_attempt(attempt, 0, Outcome::Ok, 100.0);
@@ -113,7 +113,7 @@
         hedges.extend(gateway.advance(20.0));
     }
     let stalled = sent[0];
-    assert!(sends(&hedges)
+    assert!(sent_attempts(&hedges)
         .iter()
         .any(|hedge| hedge.request == stalled.request && hedge.endpoint != stalled.endpoint));
 }
--- a/crates/admission/tests/it/slow_start.rs
+++ b/crates/admission/tests/it/slow_start.rs
@@ -3,7 +3,7 @@
 use irishinge_admission::*;
 
 fn warming_endpoint(id: u64) -> EndpointEntry {
-    EndpointEntry { started_at_ms: Some(0.0), ..endpoint_of_two_zones(id) }
+    EndpointEntry { started_at_ms: Some(0.0), ..endpoint_in_zone_by_parity(id) }
 }
 
 /// The only endpoint has just started and rejects everything as overloaded. Rejecting costs it work too: if
@@ -17,10 +17,10 @@
     for _ in 0..250 {
         let mut actions = gateway.advance(20.0);
         actions.extend(gateway.submit_as_new_customers(1));
-        for sent in sends(&actions) {
+        for sent in sent_attempts(&actions) {
             times.push(gateway.now_ms);
             let again = gateway.end_attempt(sent, 0, Outcome::Overloaded, 1.0);
-            times.extend(sends(&again).iter().map(|_| gateway.now_ms));
+            times.extend(sent_attempts(&again).iter().map(|_| gateway.now_ms));
         }
     }
     // A warm endpoint of one core answers 1000 / 150 a second; in the first two seconds this one does at most
@@ -43,7 +43,7 @@
     for _ in 0..100 {
         let mut actions = gateway.advance(20.0);
         actions.extend(gateway.submit_as_new_customers(1));
-        for sent in sends(&actions) {
+        for sent in sent_attempts(&actions) {
             if sent.endpoint.0 == 9 {
                 warming += 1;
                 gateway.end_attempt(sent, 0, Outcome::Ok, 5.0);
--- a/crates/admission/tests/it/slow_start_fleet/simulation.rs
+++ b/crates/admission/tests/it/slow_start_fleet/simulation.rs
@@ -75,7 +75,7 @@
     gateways: Vec<Gateway>,
     pub(super) endpoints: Vec<SimulatedEndpoint>,
     now_ms: f64,
-    due: EventQueue<DueEvent>,
+    events: EventQueue<DueEvent>,
     requests: BTreeMap<RequestId, SubmittedRequest>,
     /// Requests that came while endpoints warmed up, and those of them answered within the objective.
     pub(super) submitted: f64,
@@ -130,7 +130,7 @@
                     0.0,
                 )
             })
-            .map(|gateway| gateway.expect("sound settings"));
+            .map(|gateway| gateway.expect("valid settings"));
         let mut simulation = Simulation {
             scenario,
             gateways: gateways.collect(),
@@ -138,7 +138,7 @@
             random,
             endpoints,
             now_ms: 0.0,
-            due: EventQueue::new(),
+            events: EventQueue::new(),
             requests: BTreeMap::new(),
             submitted: 0.0,
             within_objective: 0.0,
@@ -162,7 +162,7 @@
     }
 
     fn schedule(&mut self, after_ms: f64, event: DueEvent) {
-        self.due.schedule(self.now_ms + after_ms, event);
+        self.events.schedule(self.now_ms + after_ms, event);
     }
 
     /// The fraction of its capacity that an endpoint has at a time.
@@ -195,7 +195,7 @@
     }
 
     fn submit(&mut self, gateway: usize) {
-        let number = self.due.next_number();
+        let number = self.events.next_number();
         let request = Request {
             time_left_ms: DEADLINE_MS,
             gateway_count: self.scenario.gateways,
@@ -269,7 +269,7 @@
 
     pub(super) fn run(&mut self) {
         let end_ms = JOIN_MS + JOIN_SPAN_MS + WARM_UP_MS + AFTER_WARM_UP_MS;
-        while let Some((at_ms, event)) = self.due.pop_until(end_ms) {
+        while let Some((at_ms, event)) = self.events.pop_until(end_ms) {
             self.now_ms = self.now_ms.max(at_ms);
             match event {
                 DueEvent::ClientRequest { gateway } => {
