--- a/crates/admission/tests/it/slow_start.rs
+++ b/crates/admission/tests/it/slow_start.rs
@@ -2,15 +2,16 @@
 use crate::common::*;
 use irishinge_admission::*;
 
+/// Returns an endpoint whose process started at 0 ms, in a zone by the parity of its id.
 fn warming_endpoint(id: u64) -> EndpointEntry {
     EndpointEntry { started_at_ms: Some(0.0), ..endpoint_in_zone_by_parity(id) }
 }
 
-/// The only endpoint has just started and rejects everything as overloaded. Rejecting costs it work too: if
-/// rejected attempts did not count, retries would send it many times what it can do, and it would fall over.
-/// In its first second it gets three attempts at most, and it is used as it warms up.
+/// The only endpoint has just started and rejects every attempt as overloaded. A rejection costs it work
+/// too: if rejected attempts did not count, retries would send it many times its capacity, and it would
+/// fail. In its first second it gets at most three attempts, and it is used as it warms up.
 #[test]
-fn limits_a_warming_endpoint_in_every_window_overloaded_replies_counted() {
+fn warm_up_budget_counts_attempts_rejected_as_overloaded() {
     let mut gateway = SingleGateway::new(broadcast_settings(Idempotency::Idempotent), 0);
     gateway.update_endpoints(vec![warming_endpoint(0)]);
     let mut times = Vec::new();
@@ -23,16 +24,17 @@
             times.extend(sent_attempts(&again).iter().map(|_| gateway.now_ms));
         }
     }
-    // A warm endpoint of one core answers 1000 / 150 a second; in the first two seconds this one does at most
-    // 0.36 of that, and this gateway's fraction of the multiple is one half.
+    // A response is taken to need 150 ms, so that a warm endpoint of one core handles 1000 / 150 attempts
+    // per second. In its first two seconds this endpoint has at most 0.36 of that, and this gateway's
+    // fraction of the overload multiple is one half.
     let early = times.iter().filter(|t| **t < 1000.0).count();
-    assert!(early <= 3, "{early} sends in the first second");
-    assert!(times.len() > 5, "the endpoint is used as it warms: {}", times.len());
+    assert!(early <= 3, "{early} attempts in the first second");
+    assert!(times.len() > 5, "the endpoint is used as it warms up: {}", times.len());
 }
 
-/// Warm endpoints are busy, and one that is warming up has nothing in flight. Selected by attempts in flight
-/// alone, it would look like the best of all and get more than it can do. It gets five requests at most in
-/// two seconds.
+/// Warm endpoints are busy, and one that is warming up has nothing in flight. If endpoints were selected
+/// by attempts in flight alone, it would look like the best of all and get more than it can do. It gets at
+/// most five requests in two seconds.
 #[test]
 fn sends_few_requests_to_a_warming_endpoint_among_busy_warm_ones() {
     let mut settings = broadcast_settings(Idempotency::Idempotent);
@@ -50,13 +52,14 @@
             }
         }
     }
-    // That warming endpoints are used at all is tested above.
-    assert!(warming <= 5, "{warming} sends in two seconds to an endpoint of half its capacity");
+    // The test above covers that warming endpoints are used at all.
+    assert!(warming <= 5, "{warming} attempts in two seconds at an endpoint with half its capacity");
 }
 
 /// Two endpoints of forty have just started, and 500 gateways each send little, without knowing what the
-/// others send. If each sent a warming endpoint a little more than its fraction, all together would overload
-/// it. In no second is it sent more than its budget allows, nor more than a warm one, and it is used.
+/// others send. If each sent a warming endpoint a little more than its fraction, all together would
+/// overload it. In no second is it sent more than its budget allows, nor more than a warm endpoint, and it
+/// is used.
 #[test]
 fn five_hundred_gateways_together_keep_to_the_budget_of_warming_endpoints() {
     let mut entries = warm_endpoints(38);
@@ -64,24 +67,25 @@
     let mut fleet = Fleet::new(fleet_settings(500, plan(100.0, 400.0)), entries);
     for step in 0..60 {
         for n in 0..20 {
-            let me = (step * 20 + n) * 7 % 500;
-            fleet.submit(me, |r| r.customer = CustomerId(me as u64 + (9 << 40)));
+            let gateway = (step * 20 + n) * 7 % 500;
+            fleet.submit(gateway, |r| r.customer = CustomerId(gateway as u64 + (9 << 40)));
         }
         fleet.advance(50.0);
     }
     assert!(fleet.sent.len() > 900, "{}", fleet.sent.len());
-    // 400 a second on 40 endpoints: 10 a second each when warm. Warming ones can do a fifth at first, a half after
-    // 3 s.
+    // 400 requests per second for 40 endpoints are 10 per second for each warm one. A warming endpoint has
+    // a fifth of its capacity at first, and nearly a half after 3 s.
     for warming in [38, 39] {
         let times: Vec<f64> =
             fleet.sent.iter().filter(|s| s.endpoint == EndpointId(warming)).map(|s| s.at_ms).collect();
         for start in &times {
             let capacity = 0.2 + 0.8 * start / 10_000.0;
             let window = times.iter().filter(|t| **t >= *start && **t < start + 1000.0).count() as f64;
-            // One in 100 ms is what an endpoint here answers one at a time; four at once are its capacity.
+            // An attempt takes 100 ms, and four at once are taken as an endpoint's capacity: 40 per
+            // second. The budget is twice the present capacity.
             assert!(window <= 2.0 * 40.0 * capacity, "{window} at {start}");
-            assert!(window <= 10.0, "no more than a warm one gets: {window}");
+            assert!(window <= 10.0, "more than a warm endpoint gets: {window}");
         }
-        assert!(!times.is_empty(), "and it is used");
+        assert!(!times.is_empty(), "the warming endpoint is not used");
     }
 }
--- a/crates/admission/tests/it/slow_start_fleet/measurements.rs
+++ b/crates/admission/tests/it/slow_start_fleet/measurements.rs
@@ -1,38 +1,50 @@
-//! What runs of the simulation came to.
+//! Measurements of simulated runs: the fullest window of a warming endpoint, and how much warming
+//! endpoints are used.
 use super::simulation::{Simulation, JOIN_MS, WARM_UP_MS};
 
-/// Sends as fractions of the capacity that endpoints have at the time, summed over runs.
+/// Attempts as fractions of the capacity that endpoints have at the time, summed over the runs.
 #[derive(Debug, Default, Clone, Copy)]
 struct Utilization {
+    /// Utilization of the warming endpoints.
     warming: f64,
+    /// Utilization of the warm endpoints over as long a time.
     warm: f64,
 }
 
 impl Utilization {
-    fn and(self, other: Self) -> Self {
+    /// Adds the utilization of other runs.
+    fn combined_with(self, other: Self) -> Self {
         Utilization { warming: self.warming + other.warming, warm: self.warm + other.warm }
     }
 }
 
+/// What one run or several runs of the simulation measured.
 #[derive(Debug, Default, Clone, Copy)]
 pub(super) struct Measurements {
+    /// Number of runs.
     pub(super) runs: f64,
+    /// Number of runs in which a window had more attempts than the limit.
     pub(super) runs_over_limit: usize,
-    /// The fullest window, as a fraction of the limit.
-    worst: f64,
+    /// Attempts of the fullest window, as a fraction of the limit.
+    fullest_window: f64,
+    /// Utilization from 0.4 to 0.6 of the warm-up.
     mid_warm_up: Utilization,
+    /// Utilization in a fifth of the warm-up time after its end.
     after_warm_up: Utilization,
+    /// Requests submitted after the first warming endpoint could start.
     submitted: f64,
+    /// Responses to these requests within the latency objective.
     within_objective: f64,
 }
 
 impl Measurements {
+    /// Measures one run.
     pub(super) fn of(simulation: &Simulation) -> Self {
-        let worst = worst_window(simulation);
+        let fullest_window = fullest_window_fraction(simulation);
         Measurements {
             runs: 1.0,
-            runs_over_limit: usize::from(worst > 1.0),
-            worst,
+            runs_over_limit: usize::from(fullest_window > 1.0),
+            fullest_window,
             mid_warm_up: utilization(simulation, 0.4, 0.6),
             after_warm_up: utilization(simulation, 1.0, 1.2),
             submitted: simulation.submitted,
@@ -40,20 +52,22 @@
         }
     }
 
-    pub(super) fn and(self, other: Self) -> Self {
+    /// Adds the measurements of other runs.
+    pub(super) fn combined_with(self, other: Self) -> Self {
         Measurements {
             runs: self.runs + other.runs,
             runs_over_limit: self.runs_over_limit + other.runs_over_limit,
-            worst: self.worst.max(other.worst),
-            mid_warm_up: self.mid_warm_up.and(other.mid_warm_up),
-            after_warm_up: self.after_warm_up.and(other.after_warm_up),
+            fullest_window: self.fullest_window.max(other.fullest_window),
+            mid_warm_up: self.mid_warm_up.combined_with(other.mid_warm_up),
+            after_warm_up: self.after_warm_up.combined_with(other.after_warm_up),
             submitted: self.submitted + other.submitted,
             within_objective: self.within_objective + other.within_objective,
         }
     }
 
-    /// Whether warming endpoints do two fifths of what a warm one does for its capacity by the middle of their
-    /// warm-up, and four fifths after it.
+    /// Returns whether warming endpoints reach two fifths of the utilization of warm ones by the middle of
+    /// their warm-up, and four fifths after it. The utilization of warm endpoints counts as 1 per run at
+    /// most.
     pub(super) fn warming_endpoints_are_used(&self) -> bool {
         let at_least = |fraction: f64, used: Utilization| used.warming >= fraction * used.warm.min(self.runs);
         at_least(0.4, self.mid_warm_up) && at_least(0.8, self.after_warm_up)
@@ -63,16 +77,22 @@
 impl std::fmt::Display for Measurements {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let (mid, after, n) = (self.mid_warm_up, self.after_warm_up, self.runs);
-        write!(f, "worst {:.2} of the limit, over it in {} of {n} runs; ", self.worst, self.runs_over_limit)?;
+        write!(
+            f,
+            "fullest window {:.2} of the limit, over it in {} of {n} runs; ",
+            self.fullest_window, self.runs_over_limit
+        )?;
         write!(f, "use at mid warm-up {:.2} (warm {:.2}), ", mid.warming / n, mid.warm / n)?;
         write!(f, "after it {:.2} (warm {:.2}); ", after.warming / n, after.warm / n)?;
         write!(f, "within the objective {:.3}", self.within_objective / self.submitted)
     }
 }
 
-/// The most sends to a warming endpoint in any window, as a fraction of what chance may explain.
-fn worst_window(simulation: &Simulation) -> f64 {
-    let mut worst = 0.0f64;
+/// Returns the most attempts that a warming endpoint was sent in any window, as a fraction of the limit.
+/// The limit is the budget and what chance may add to it: twice the budget's square root, as the standard
+/// deviation of a Poisson count, and two attempts.
+fn fullest_window_fraction(simulation: &Simulation) -> f64 {
+    let mut fullest_window = 0.0f64;
     let window_ms = simulation.settings.overload_window_ms;
     for (n, endpoint) in simulation.endpoints.iter().enumerate() {
         let Some(start) = endpoint.started_at_ms else { continue };
@@ -82,33 +102,33 @@
             while last < sent.len() && sent[last] < at + window_ms {
                 last += 1;
             }
-            let capacity = endpoint.capacity * simulation.warm_up_capacity(n, *at);
+            let capacity = endpoint.capacity * simulation.capacity_fraction(n, *at);
             let budget = simulation.settings.overload_multiple * capacity * window_ms / 1000.0;
-            worst = worst.max((last - first) as f64 / (budget + 2.0 * budget.sqrt() + 2.0));
+            fullest_window = fullest_window.max((last - first) as f64 / (budget + 2.0 * budget.sqrt() + 2.0));
         }
     }
-    worst
+    fullest_window
 }
 
-/// Sends and capacity of a group of endpoints.
+/// Attempts and capacity of a group of endpoints.
 #[derive(Default)]
-struct Work {
+struct SentAndCapacity {
     sent: f64,
     capacity: f64,
 }
 
-/// Sends to warming endpoints, and to warm ones over as long a time, as fractions of the capacity they have: in a span
-/// of the warm-up, whose ends `from` and `to` are fractions of it.
+/// Returns the utilization from `from` to `to`, which are fractions of the warm-up. For a warm endpoint
+/// the period begins as if it had started in the middle of the time in which the warming ones start.
 fn utilization(simulation: &Simulation, from: f64, to: f64) -> Utilization {
-    let (mut warming, mut warm) = (Work::default(), Work::default());
+    let (mut warming, mut warm) = (SentAndCapacity::default(), SentAndCapacity::default());
     for (n, endpoint) in simulation.endpoints.iter().enumerate() {
         let start = endpoint.started_at_ms.unwrap_or(JOIN_MS + 250.0);
         let (from_ms, to_ms) = (start + from * WARM_UP_MS, start + to * WARM_UP_MS);
         let mid_ms = (from_ms + to_ms) / 2.0;
-        let work = if endpoint.started_at_ms.is_some() { &mut warming } else { &mut warm };
-        work.sent += endpoint.sent_ms.iter().filter(|t| (from_ms..to_ms).contains(*t)).count() as f64;
-        work.capacity +=
-            endpoint.capacity * simulation.warm_up_capacity(n, mid_ms) * (to_ms - from_ms) / 1000.0;
+        let group = if endpoint.started_at_ms.is_some() { &mut warming } else { &mut warm };
+        group.sent += endpoint.sent_ms.iter().filter(|t| (from_ms..to_ms).contains(*t)).count() as f64;
+        group.capacity +=
+            endpoint.capacity * simulation.capacity_fraction(n, mid_ms) * (to_ms - from_ms) / 1000.0;
     }
     Utilization { warming: warming.sent / warming.capacity, warm: warm.sent / warm.capacity }
 }
--- a/crates/admission/tests/it/slow_start_fleet/simulation.rs
+++ b/crates/admission/tests/it/slow_start_fleet/simulation.rs
@@ -1,73 +1,106 @@
-//! The simulated fleet of one run.
+//! The simulation of one run: a fleet with its endpoints and clients.
 use super::random::RandomNumbers;
 use crate::common::*;
 use irishinge_admission::*;
 use std::collections::{BTreeMap, VecDeque};
 
-/// With uneven traffic a busy gateway gets this multiple of what the others get.
+/// Requests at a busy gateway with uneven traffic, as a multiple of those at another gateway.
 const BUSY_GATEWAY_WEIGHT: f64 = 6.0;
-/// In waves the traffic is this multiple of the mean for this long, and then as much less.
+
+/// Requests at the peak of a wave, as a multiple of the mean. Between peaks the traffic is as far below
+/// the mean.
 const WAVE_PEAK: f64 = 1.7;
+
+/// Time for which the traffic stays at a peak, and then between peaks, in ms.
 const WAVE_MS: f64 = 1200.0;
-/// From here the warming endpoints join: the time before shows the gateways what warm ones can do.
+
+/// Time at which the first warming endpoint may start, in ms. Until then gateways learn what warm
+/// endpoints can do.
 pub(super) const JOIN_MS: f64 = 1000.0;
+
+/// Time within which all warming endpoints start, in ms.
 const JOIN_SPAN_MS: f64 = 500.0;
+
+/// Latency objective of the class, in ms.
 const LATENCY_OBJECTIVE_MS: f64 = 800.0;
+
+/// Deadline of the class, in ms.
 const DEADLINE_MS: f64 = 2500.0;
+
+/// Time that an endpoint takes to warm up, in ms.
 pub(super) const WARM_UP_MS: f64 = 4000.0;
-/// A run ends this long after the warm-up.
+
+/// Time for which a run continues after the warm-up, in ms.
 const AFTER_WARM_UP_MS: f64 = 800.0;
 
+/// How requests are distributed over gateways and time.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) enum Traffic {
+    /// Every gateway gets as much, at a constant rate.
     Even,
-    /// One gateway in ten gets several times what the others get.
+    /// One gateway in ten gets `BUSY_GATEWAY_WEIGHT` times as much as another.
     Uneven,
-    /// Much and little in turn, at all gateways at once.
+    /// High and low rates alternate, at all gateways at once.
     Waves,
 }
 
+/// What the runs of a measurement have in common.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct Scenario {
+    /// Number of gateways.
     pub(super) gateways: usize,
+    /// Number of endpoints, including those that are warming up.
     pub(super) endpoints: usize,
-    /// How many of the endpoints join later, warming up.
+    /// Number of endpoints that start during the run and warm up.
     pub(super) warming: usize,
     pub(super) traffic: Traffic,
-    /// Offered work, as a fraction of the endpoints' capacity.
+    /// Offered load, as a fraction of the endpoints' capacity.
     pub(super) load: f64,
 }
 
-/// An endpoint: `cores` that each work off one request at a time.
+/// An endpoint whose cores each work on one attempt at a time.
 pub(super) struct SimulatedEndpoint {
+    /// When the endpoint starts, in ms; `None` if it has been warm from the beginning.
     pub(super) started_at_ms: Option<f64>,
     cores: usize,
-    /// Requests a second that it answers when warm.
+    /// Attempts per second that the endpoint handles when warm.
     pub(super) capacity: f64,
+    /// Number of cores that work on an attempt.
     busy_cores: usize,
+    /// Attempts that wait for a core, in order of arrival.
     queue: VecDeque<Attempt>,
+    /// Times at which the endpoint was sent attempts, in ms.
     pub(super) sent_ms: Vec<f64>,
 }
 
+/// An attempt at an endpoint.
 #[derive(Clone, Copy)]
 struct Attempt {
     gateway: usize,
     request: RequestId,
+    /// Number of the attempt among those of its request, from 0.
     number: u32,
+    /// When the attempt was sent, in ms.
     sent_ms: f64,
 }
 
-enum DueEvent {
+/// An event of the simulation.
+enum SimulationEvent {
+    /// The next request may come from a client of the gateway.
     ClientRequest { gateway: usize },
+    /// The gateway receives an event.
     Gateway { gateway: usize, event: Event },
+    /// The endpoint finishes an attempt.
     Response { endpoint: usize, attempt: Attempt },
 }
 
+/// A request that was submitted, and the number of its attempts so far.
 struct SubmittedRequest {
     at_ms: f64,
     attempts: u32,
 }
 
+/// The state of a run.
 pub(super) struct Simulation {
     scenario: Scenario,
     pub(super) settings: Settings,
@@ -75,13 +108,15 @@
     gateways: Vec<Gateway>,
     pub(super) endpoints: Vec<SimulatedEndpoint>,
     now_ms: f64,
-    events: EventQueue<DueEvent>,
+    events: EventQueue<SimulationEvent>,
     requests: BTreeMap<RequestId, SubmittedRequest>,
-    /// Requests that came while endpoints warmed up, and those of them answered within the objective.
+    /// Requests submitted after the first warming endpoint could start.
     pub(super) submitted: f64,
+    /// Responses to these requests within the latency objective.
     pub(super) within_objective: f64,
 }
 
+/// Returns settings whose overload limits and initial capacity are random.
 fn random_settings(gateways: usize, random: &mut RandomNumbers) -> Settings {
     let (overload_multiple, overload_window_ms) =
         random.one_of(&[(2.0, 2000.0), (4.0, 1500.0), (2.0, 1000.0)]);
@@ -103,12 +138,13 @@
     }
 }
 
+/// Returns endpoints with random cores and capacity; the first ones warm up, from random times.
 fn random_endpoints(scenario: Scenario, random: &mut RandomNumbers) -> Vec<SimulatedEndpoint> {
     let cores = random.one_of(&[1, 1, 2]);
     let endpoints = (0..scenario.endpoints).map(|n| SimulatedEndpoint {
         started_at_ms: (n < scenario.warming).then(|| random.between(JOIN_MS, JOIN_MS + JOIN_SPAN_MS)),
         cores,
-        // Work of 160 ms, on machines that are not quite alike.
+        // An attempt takes a core 160 ms on average, and machines differ a little.
         capacity: 6.25 * cores as f64 * random.between(0.85, 1.15),
         busy_cores: 0,
         queue: VecDeque::new(),
@@ -118,15 +154,16 @@
 }
 
 impl Simulation {
+    /// Creates the fleet of a scenario; the seed determines every random value.
     pub(super) fn new(scenario: Scenario, seed: u64) -> Self {
         let mut random = RandomNumbers(seed);
         let settings = random_settings(scenario.gateways, &mut random);
         let endpoints = random_endpoints(scenario, &mut random);
         let gateways = (0..scenario.gateways)
-            .map(|me| {
+            .map(|gateway| {
                 Gateway::new(
-                    Settings { this_gateway: GatewayIndex(me), ..settings.clone() },
-                    seed ^ (me as u64) << 32,
+                    Settings { this_gateway: GatewayIndex(gateway), ..settings.clone() },
+                    seed ^ (gateway as u64) << 32,
                     0.0,
                 )
             })
@@ -145,35 +182,38 @@
         };
         for gateway in 0..scenario.gateways {
             simulation.schedule_endpoint_list(gateway);
-            simulation.schedule_client(gateway);
+            simulation.schedule_next_request(gateway);
         }
         simulation
     }
 
-    /// A gateway receives each line of the list on its own, those of warming endpoints a while after their start.
+    /// Schedules the entries of the endpoint list. Each gateway receives each entry by itself, and that of
+    /// a warming endpoint a while after the endpoint's start.
     fn schedule_endpoint_list(&mut self, gateway: usize) {
         for n in 0..self.scenario.endpoints {
             let started_at_ms = self.endpoints[n].started_at_ms;
             let entry = EndpointEntry { started_at_ms, ..endpoint(n as u64) };
             let listed_ms = started_at_ms.map_or(0.0, |start| start + self.random.between(20.0, 400.0));
             let event = Event::EndpointList { kind: ListUpdateKind::Changes, entries: vec![entry] };
-            self.schedule(listed_ms, DueEvent::Gateway { gateway, event });
+            self.schedule(listed_ms, SimulationEvent::Gateway { gateway, event });
         }
     }
 
-    fn schedule(&mut self, after_ms: f64, event: DueEvent) {
+    /// Schedules an event `after_ms` from now.
+    fn schedule(&mut self, after_ms: f64, event: SimulationEvent) {
         self.events.schedule(self.now_ms + after_ms, event);
     }
 
-    /// The fraction of its capacity that an endpoint has at a time.
-    pub(super) fn warm_up_capacity(&self, endpoint: usize, at_ms: f64) -> f64 {
+    /// Returns the fraction of its capacity that an endpoint has at a time.
+    pub(super) fn capacity_fraction(&self, endpoint: usize, at_ms: f64) -> f64 {
         let Some(start) = self.endpoints[endpoint].started_at_ms else { return 1.0 };
         let at_start = self.settings.cold_start_fraction;
         at_start + (1.0 - at_start) * ((at_ms - start) / WARM_UP_MS).clamp(0.0, 1.0)
     }
 
-    /// Clients come at random at the highest rate there is, and some of them are left out again in `run`.
-    fn schedule_client(&mut self, gateway: usize) {
+    /// Schedules the next request at a gateway. Requests come at random at the highest rate of the run;
+    /// while the rate is lower, `run` omits some of them.
+    fn schedule_next_request(&mut self, gateway: usize) {
         let is_busy = |g: usize| self.scenario.traffic == Traffic::Uneven && g % 10 == 0;
         let weight = |g: usize| if is_busy(g) { BUSY_GATEWAY_WEIGHT } else { 1.0 };
         let weights: f64 = (0..self.scenario.gateways).map(weight).sum();
@@ -181,12 +221,12 @@
         let peak = if self.scenario.traffic == Traffic::Waves { WAVE_PEAK } else { 1.0 };
         let rate = self.scenario.load * peak * capacity * weight(gateway) / weights;
         let gap_ms = self.random.exponential_ms(rate);
-        self.schedule(gap_ms, DueEvent::ClientRequest { gateway });
+        self.schedule(gap_ms, SimulationEvent::ClientRequest { gateway });
     }
 
-    /// The fraction of the highest rate at which clients come now: before the warming endpoints join there is work for
-    /// the others only.
-    fn client_rate_fraction(&self) -> f64 {
+    /// Returns the present rate of requests as a fraction of the highest. Before the warming endpoints
+    /// start, the load is reduced to that of the other endpoints.
+    fn request_rate_fraction(&self) -> f64 {
         let has_joined = |e: &&SimulatedEndpoint| e.started_at_ms.is_none_or(|s| s <= self.now_ms);
         let joined = self.endpoints.iter().filter(has_joined).count();
         let low = self.scenario.traffic == Traffic::Waves && (self.now_ms / WAVE_MS) as u64 % 2 == 0;
@@ -194,6 +234,7 @@
         joined as f64 / self.scenario.endpoints as f64 * wave
     }
 
+    /// Submits a request at a gateway.
     fn submit(&mut self, gateway: usize) {
         let number = self.events.next_number();
         let request = Request {
@@ -203,10 +244,11 @@
         };
         self.submitted += f64::from(u8::from(self.now_ms > JOIN_MS));
         self.requests.insert(request.id, SubmittedRequest { at_ms: self.now_ms, attempts: 0 });
-        self.gateway_event(gateway, Event::Request(request));
+        self.handle_event(gateway, Event::Request(request));
     }
 
-    fn gateway_event(&mut self, gateway: usize, event: Event) {
+    /// Passes an event to a gateway and carries out its actions.
+    fn handle_event(&mut self, gateway: usize, event: Event) {
         let mut actions = Vec::new();
         self.gateways[gateway].on_event(self.now_ms, event, &mut actions);
         for action in actions {
@@ -218,30 +260,32 @@
         match action {
             Action::SetTimer { at_ms, token } => {
                 let event = Event::Timer { token };
-                self.schedule(at_ms - self.now_ms, DueEvent::Gateway { gateway, event });
+                self.schedule(at_ms - self.now_ms, SimulationEvent::Gateway { gateway, event });
             }
             Action::SendPeerMessage { to, body } => {
                 let delay_ms = self.random.between(2.0, 20.0);
                 let event = Event::PeerMessage { from: GatewayIndex(gateway), body };
-                self.schedule(delay_ms, DueEvent::Gateway { gateway: to.0, event });
+                self.schedule(delay_ms, SimulationEvent::Gateway { gateway: to.0, event });
             }
             Action::Send { request, endpoint, .. } => {
-                let submitted = self.requests.get_mut(&request).expect("known");
+                let submitted = self.requests.get_mut(&request).expect("the request was submitted");
                 let attempt = Attempt { gateway, request, number: submitted.attempts, sent_ms: self.now_ms };
                 submitted.attempts += 1;
-                self.arrive(endpoint.0 as usize, attempt);
+                self.enqueue_attempt(endpoint.0 as usize, attempt);
             }
             _ => {}
         }
     }
 
-    fn arrive(&mut self, endpoint: usize, attempt: Attempt) {
+    /// Adds an attempt to the queue of an endpoint.
+    fn enqueue_attempt(&mut self, endpoint: usize, attempt: Attempt) {
         let simulated = &mut self.endpoints[endpoint];
         simulated.sent_ms.push(self.now_ms);
         simulated.queue.push_back(attempt);
         self.start_work(endpoint);
     }
 
+    /// Starts work on the next attempt of an endpoint if a core is free.
     fn start_work(&mut self, endpoint: usize) {
         let simulated = &mut self.endpoints[endpoint];
         if simulated.busy_cores == simulated.cores {
@@ -250,36 +294,38 @@
         let Some(attempt) = simulated.queue.pop_front() else { return };
         simulated.busy_cores += 1;
         let per_core = simulated.capacity / simulated.cores as f64;
-        let rate = per_core * self.warm_up_capacity(endpoint, self.now_ms);
+        let rate = per_core * self.capacity_fraction(endpoint, self.now_ms);
         let took_ms = self.random.exponential_ms(rate);
-        self.schedule(took_ms, DueEvent::Response { endpoint, attempt });
+        self.schedule(took_ms, SimulationEvent::Response { endpoint, attempt });
     }
 
+    /// Ends an attempt and lets its core start the next one.
     fn finish_work(&mut self, endpoint: usize, attempt: Attempt) {
         self.endpoints[endpoint].busy_cores -= 1;
         self.start_work(endpoint);
         let submitted_ms = self.requests[&attempt.request].at_ms;
-        let counts = submitted_ms > JOIN_MS && self.now_ms - submitted_ms < LATENCY_OBJECTIVE_MS;
-        self.within_objective += f64::from(u8::from(counts));
+        let is_in_time = submitted_ms > JOIN_MS && self.now_ms - submitted_ms < LATENCY_OBJECTIVE_MS;
+        self.within_objective += f64::from(u8::from(is_in_time));
         let took_ms = self.now_ms - attempt.sent_ms;
         let id = EndpointId(endpoint as u64);
         let end = attempt_end(attempt.request, attempt.number, id, Outcome::Ok, took_ms);
-        self.gateway_event(attempt.gateway, Event::AttemptEnded(end));
+        self.handle_event(attempt.gateway, Event::AttemptEnded(end));
     }
 
+    /// Runs the simulation to its end.
     pub(super) fn run(&mut self) {
         let end_ms = JOIN_MS + JOIN_SPAN_MS + WARM_UP_MS + AFTER_WARM_UP_MS;
         while let Some((at_ms, event)) = self.events.pop_until(end_ms) {
             self.now_ms = self.now_ms.max(at_ms);
             match event {
-                DueEvent::ClientRequest { gateway } => {
-                    if self.random.fraction() < self.client_rate_fraction() {
+                SimulationEvent::ClientRequest { gateway } => {
+                    if self.random.fraction() < self.request_rate_fraction() {
                         self.submit(gateway);
                     }
-                    self.schedule_client(gateway);
+                    self.schedule_next_request(gateway);
                 }
-                DueEvent::Gateway { gateway, event } => self.gateway_event(gateway, event),
-                DueEvent::Response { endpoint, attempt } => self.finish_work(endpoint, attempt),
+                SimulationEvent::Gateway { gateway, event } => self.handle_event(gateway, event),
+                SimulationEvent::Response { endpoint, attempt } => self.finish_work(endpoint, attempt),
             }
         }
     }
