--- a/crates/admission/tests/it/broadcast.rs
+++ b/crates/admission/tests/it/broadcast.rs
@@ -1,10 +1,13 @@
-//! Counts that gateways of a small fleet broadcast to each other, and what becomes of them on the way.
+//! Counts that the gateways of a small fleet broadcast to each other, with lost, repeated and malformed
+//! messages.
 use crate::common::*;
 use irishinge_admission::*;
 
-/// How many requests a gateway sends from a bucket of 40 units after its peer has sent ten requests and broadcast its
-/// counts, where the messages arrive as the deliveries say: `all`, `lossy`, `reversed`, or a text in place of a message.
-fn admitted_after(deliveries: &[&str]) -> usize {
+/// Returns how many requests a gateway sends at once from a bucket of 40 units, after its peer has sent
+/// ten requests and the peer's messages were delivered. Each delivery is `all`, all messages in order;
+/// `lossy`, every third message and the last; `reversed`, all messages in reverse order; or the text of a
+/// message to deliver instead.
+fn admitted_after_deliveries(deliveries: &[&str]) -> usize {
     let mut settings = broadcast_settings(Idempotency::Idempotent);
     settings.plans = vec![plan(0.001, 40.0)];
     let mut sender = SingleGateway::new(Settings { this_gateway: GatewayIndex(1), ..settings.clone() }, 60);
@@ -28,27 +31,40 @@
     receiver.admitted_at_once()
 }
 
-/// A peer has sent ten requests of a customer, and its reports of that arrive complete, with losses, twice,
-/// or in reverse order. If a lost report stayed lost, the customer could use the same ten units again here;
-/// if a report counted each time it arrives, the customer would lose units that it never used. Reports carry
-/// totals and sequence numbers, so that ten of 40 units are gone in every case.
+/// A peer has sent ten requests of a customer, and its counts arrive complete, with losses, twice, or in
+/// reverse order. Guards against a lost report that lets the customer spend the same ten units again here,
+/// and against a repeated report that takes units which the customer never used. Counts are totals with
+/// sequence numbers, so that ten of 40 units are gone in every case.
 #[test]
-fn counts_of_a_peer_drain_the_bucket_whether_lost_doubled_or_reversed() {
-    assert_eq!(admitted_after(&[]), 40);
-    // Tokens are reported in 63rds of the burst, rounded down: one unit of 40 may be lost in the report.
+fn peer_counts_apply_once_despite_loss_duplication_and_reordering() {
+    assert_eq!(admitted_after_deliveries(&[]), 40);
+    // A count carries the tokens in 63rds of the burst, rounded down: one unit of 40 may be lost.
     for deliveries in
         [vec!["all"], vec!["lossy"], vec!["all", "all"], vec!["reversed"], vec!["all", "reversed"]]
     {
-        let admitted = admitted_after(&deliveries);
+        let admitted = admitted_after_deliveries(&deliveries);
         assert!((29..=30).contains(&admitted), "{deliveries:?}: {admitted}");
     }
 }
 
-/// Datagrams arrive that are empty, cut short, of another version, or not ASCII. Parsed in part, they would
-/// take units that nobody used; parsed without checks, they would end the process. They change nothing: the
-/// bucket still has its 40 units.
+/// Guards against datagrams that are empty, cut short, of another version, or not ASCII. If they were
+/// decoded in part, they would take units that nobody used; without checks they would end the process.
+/// They have no effect: the bucket still has its 40 units.
 #[test]
 fn ignores_malformed_messages() {
-    let malformed = ["", "h", "h001", "x0010010_0W", "h001010_0Wq00", "h001010_0W\u{e9}", "h001010_0Wz"];
-    assert_eq!(admitted_after(&malformed), 40);
+    let malformed = [
+        "",
+        // The head ends early.
+        "h",
+        "h001",
+        // Another version.
+        "x0010010_0W",
+        // A complete head and a count that ends early.
+        "h001010_0Wq00",
+        // A complete head and a character that is not ASCII.
+        "h001010_0W\u{e9}",
+        // A complete head and an unknown marker.
+        "h001010_0Wz",
+    ];
+    assert_eq!(admitted_after_deliveries(&malformed), 40);
 }
--- a/crates/admission/tests/it/ceiling.rs
+++ b/crates/admission/tests/it/ceiling.rs
@@ -1,61 +1,63 @@
-//! The hard ceiling of a plan is enforced through restarts, lost messages and missing means of coordination.
+//! The hard ceiling of a plan holds through restarts, lost messages and the lack of any coordination.
 use crate::common::*;
 use irishinge_admission::*;
 
-fn broadcast_settings_with_ceiling(me: usize) -> Settings {
+/// Returns the settings of a gateway of two, with a hard ceiling of 4 units per second and a burst of 8.
+fn broadcast_settings_with_ceiling(index: usize) -> Settings {
     let plan = PlanSettings { ceiling_rate_per_second: 4.0, ceiling_burst_units: 8.0, ..plan(100.0, 400.0) };
     Settings {
-        this_gateway: GatewayIndex(me),
+        this_gateway: GatewayIndex(index),
         plans: vec![plan],
         ..broadcast_settings(Idempotency::Idempotent)
     }
 }
 
-/// Both gateways of a fleet restart again and again, and each time forget what they have sent. If a gateway
-/// began with a full bucket, every restart would let the burst pass once more, beyond the hard ceiling. The
-/// test counts by a bucket of its own, which no restart refills: it is never overdrawn by a unit, and the
-/// ceiling is used all the same.
+/// Both gateways of a fleet restart again and again, and each time forget what they have sent. Guards
+/// against a gateway that starts with a full bucket: each restart would let another burst pass, beyond the
+/// hard ceiling. The test counts with a bucket of its own, which no restart refills. It is never overdrawn
+/// by a unit, and the ceiling is still used.
 #[test]
-fn holds_when_every_gateway_of_a_broadcast_fleet_restarts() {
-    // The true bucket: 8 units at the start, 4 a second.
+fn ceiling_holds_when_every_gateway_of_a_broadcast_fleet_restarts() {
+    // The bucket of the test starts with 8 units and gains 4 per second.
     let (mut bucket, mut filled_ms) = (8.0_f64, 0.0);
-    let mut gateways = [0, 1].map(|me| SingleGateway::new(broadcast_settings_with_ceiling(me), 20));
+    let mut gateways = [0, 1].map(|index| SingleGateway::new(broadcast_settings_with_ceiling(index), 20));
     let mut spent = 0;
     for round in 0..400 {
         let now_ms = f64::from(round) * 20.0;
-        for me in 0..2 {
-            if round % 100 == 50 + me as i32 * 7 {
-                let settings = broadcast_settings_with_ceiling(me);
-                gateways[me] = SingleGateway::new_without_endpoints(settings, SEED + now_ms as u64, now_ms);
-                gateways[me].update_endpoints((0..20).map(endpoint_in_zone_by_parity).collect());
+        for index in 0..2 {
+            if round % 100 == 50 + index as i32 * 7 {
+                let settings = broadcast_settings_with_ceiling(index);
+                gateways[index] =
+                    SingleGateway::new_without_endpoints(settings, SEED + now_ms as u64, now_ms);
+                gateways[index].update_endpoints((0..20).map(endpoint_in_zone_by_parity).collect());
             }
-            gateways[me].now_ms = now_ms;
-            let mut actions = gateways[me].handle_event(Event::Timer { token: 0 });
-            gateways[me].last_request += 1000 * round as u64;
-            actions.extend(gateways[me].submit().actions);
+            gateways[index].now_ms = now_ms;
+            let mut actions = gateways[index].handle_event(Event::Timer { token: 0 });
+            gateways[index].last_request += 1000 * round as u64;
+            actions.extend(gateways[index].submit().actions);
             for body in peer_messages(&actions) {
-                let from = GatewayIndex(me);
-                gateways[1 - me].handle_event(Event::PeerMessage { from, body });
+                let from = GatewayIndex(index);
+                gateways[1 - index].handle_event(Event::PeerMessage { from, body });
             }
             bucket = (bucket + 4.0 * (now_ms - filled_ms) / 1000.0).min(8.0);
             filled_ms = now_ms;
             for sent in sent_attempts(&actions) {
                 bucket -= 1.0;
                 spent += 1;
-                assert!(bucket > -1.0, "the ceiling is passed at {now_ms} ms");
-                gateways[me].end_attempt(sent, 0, Outcome::Ok, 10.0);
+                assert!(bucket > -1.0, "the ceiling is exceeded at {now_ms} ms");
+                gateways[index].end_attempt(sent, 0, Outcome::Ok, 10.0);
             }
         }
     }
     assert!(spent > 15, "the ceiling is used: {spent}");
 }
 
-/// One message in seven is lost, gateways restart one by one all the time, and three times the complete fleet
-/// does, so that nobody remembers what a customer has used. An owner that begins with a full bucket, or
-/// grants a request twice because its response was lost, would let more pass than the hard ceiling. In no
-/// span of time is more sent than the ceiling's burst and rate allow for it.
+/// One message in seven is lost, one gateway after another restarts, and the complete fleet restarts three
+/// times, so that no gateway remembers what a customer has used. An owner that starts with a full bucket,
+/// or that grants a request twice because its response was lost, would exceed the hard ceiling. In no
+/// period are more requests sent than the ceiling's burst and rate allow.
 #[test]
-fn holds_through_lost_messages_and_restarts_of_a_whole_gossip_fleet() {
+fn ceiling_holds_in_a_gossip_fleet_with_lost_messages_and_restarts() {
     let limits =
         PlanSettings { ceiling_rate_per_second: 4.0, ceiling_burst_units: 12.0, ..plan(1000.0, 4000.0) };
     let mut fleet = gossip_fleet(60, limits);
@@ -64,8 +66,8 @@
         fleet.submit(step * 17 % 60, |_| {});
         fleet.advance(40.0);
         if step % 100 == 50 {
-            for me in 0..60 {
-                fleet.start_gateway(me);
+            for index in 0..60 {
+                fleet.start_gateway(index);
             }
         }
         if step % 10 == 0 {
@@ -83,10 +85,10 @@
 }
 
 /// Gateways may not send each other messages, so that none knows what the others sent. If each allowed the
-/// ceiling in full, twelve gateways would pass it twelve times over. Each has an even fraction of it, with
-/// the quota counter and without: together they stay below the ceiling at all times, and use it.
+/// whole ceiling, twelve gateways would exceed it twelvefold. Each has an even fraction of it, with and
+/// without the quota counter: together they stay below the ceiling at all times, and still use it.
 #[test]
-fn holds_without_messages_between_gateways() {
+fn ceiling_holds_without_messages_between_gateways() {
     for counter_allowed in [false, true] {
         let limits =
             PlanSettings { ceiling_rate_per_second: 40.0, ceiling_burst_units: 60.0, ..plan(1000.0, 4000.0) };
--- a/crates/admission/tests/it/concurrency_limit.rs
+++ b/crates/admission/tests/it/concurrency_limit.rs
@@ -1,12 +1,12 @@
-//! The limit on a customer's attempts in flight.
+//! The concurrency limit: the maximum number of a customer's attempts in flight.
 use crate::common::*;
 use irishinge_admission::*;
 
-/// A customer that may have two attempts in flight submits three requests. Sending the third would exceed the
-/// limit; rejecting it would fail a client whose slot is free a moment later. It is queued, and sent when an
-/// attempt ends.
+/// A customer that may have two attempts in flight submits three requests. The third would exceed the
+/// limit if it were sent; if it were rejected, its client would fail although a slot is free a moment
+/// later. It is queued, and sent when an attempt ends.
 #[test]
-fn queues_the_next_request_until_an_attempt_ends() {
+fn request_over_the_limit_is_queued_until_an_attempt_ends() {
     let mut settings = broadcast_settings(Idempotency::Idempotent);
     settings.plans = vec![PlanSettings { concurrency_limit: 2, ..plan(0.0, 0.0) }];
     let mut gateway = SingleGateway::new(settings, 10);
@@ -19,19 +19,19 @@
     assert_eq!(sent_attempts(&gateway.end_attempt(sent[0][0], 0, Outcome::Ok, 50.0)).len(), 1);
 }
 
-/// Eight gateways serve a customer with three slots, and each has recently received reports of all others.
-/// Reports are late: if every gateway sent as long as the reports show a free slot, all eight could send at
-/// once; if none did, the slots would stay empty. Four have a slot of their own, a third more than there are
-/// slots, since few gateways are busy at once; the others wait.
+/// Eight gateways serve a customer with three slots, and each has recent reports of all others. Reports
+/// arrive late. If every gateway sent while the reports show a free slot, all eight could send at once; if
+/// none did, the slots would stay unused. Four gateways may use a slot at any time, a third more than
+/// there are slots, because few gateways are busy at the same time. The others wait.
 #[test]
-fn few_gateways_have_a_slot_of_their_own_where_many_serve_a_customer() {
-    let mut owners = 0;
-    for me in 0..8 {
+fn four_of_eight_gateways_may_use_a_slot_if_the_limit_is_three() {
+    let mut gateways_with_slot = 0;
+    for index in 0..8 {
         let mut settings = broadcast_settings(Idempotency::Idempotent);
         settings.plans = vec![PlanSettings { concurrency_limit: 3, ..plan(0.0, 0.0) }];
-        (settings.this_gateway, settings.gateways) = (GatewayIndex(me), 8);
+        (settings.this_gateway, settings.gateways) = (GatewayIndex(index), 8);
         let mut gateway = SingleGateway::new(settings.clone(), 10);
-        for peer in (0..8).filter(|peer| *peer != me) {
+        for peer in (0..8).filter(|peer| *peer != index) {
             let mut other =
                 SingleGateway::new(Settings { this_gateway: GatewayIndex(peer), ..settings.clone() }, 10);
             let submitted = other.submit_with(|r| r.gateway_count = 8);
@@ -44,16 +44,17 @@
                 gateway.handle_event(Event::PeerMessage { from: GatewayIndex(peer), body });
             });
         }
-        owners += gateway.submit_with(|r| r.gateway_count = 8).sent_attempts().len();
+        gateways_with_slot += gateway.submit_with(|r| r.gateway_count = 8).sent_attempts().len();
     }
-    assert_eq!(owners, 4);
+    assert_eq!(gateways_with_slot, 4);
 }
 
-/// Requests of a customer with three slots come at 120 gateways, several times as many as three slots can
-/// serve. If each gateway counted only its own attempts, all would be sent. Never more than three attempts
-/// are in flight, and a slot is used again soon after its attempt has ended.
+/// Requests of a customer with three slots arrive at 120 gateways, several times as many as three slots
+/// can serve. Guards against gateways that count only their own attempts, which would send all requests.
+/// Never more than three attempts are in flight, and a slot is used again soon after its attempt has
+/// ended.
 #[test]
-fn holds_over_a_gossip_fleet() {
+fn limit_holds_across_a_gossip_fleet() {
     let limits = PlanSettings { concurrency_limit: 3, ..plan(0.0, 0.0) };
     let mut fleet = gossip_fleet(120, limits);
     for step in 0..300 {
@@ -61,7 +62,7 @@
         fleet.advance(10.0);
     }
     let times: Vec<f64> = fleet.sent.iter().map(|s| s.at_ms).collect();
-    // Three at a time for 100 ms and two messages of 8 ms over three seconds.
+    // An attempt takes 100 ms and the two messages before the next one 8 ms each: three slots for 3 s.
     assert!((60..=100).contains(&times.len()), "{}", times.len());
     for start in &times {
         let in_flight = times.iter().filter(|t| **t <= *start && *start < **t + 100.0).count();
@@ -69,11 +70,12 @@
     }
 }
 
-/// Where gateways exchange no counts a customer is known by its complete id, whose low bits may be any. A
-/// gateway's place among the customer's gateways is a sum with those bits: with all of them set, a sum that
-/// does not wrap ends a debug build. The limit of two slots applies to this customer as to others.
+/// If gateways exchange no counts, a customer is known by its whole id. A gateway's position among the
+/// customer's gateways is computed from a sum with the id's low 32 bits, which overflows if all of them
+/// are set. Guards against a sum that does not wrap, which panics in a debug build. The limit of two slots
+/// applies to this customer as to others.
 #[test]
-fn holds_for_a_customer_with_the_highest_id() {
+fn limit_holds_for_a_customer_id_whose_low_bits_are_all_set() {
     let limits = PlanSettings { concurrency_limit: 2, ..plan(0.0, 0.0) };
     let settings = Settings { peer_messages_allowed: false, ..fleet_settings(40, limits) };
     let mut gateway = SingleGateway::new(settings, 10);
--- a/crates/admission/tests/it/gossip.rs
+++ b/crates/admission/tests/it/gossip.rs
@@ -1,12 +1,12 @@
-//! Messages of a gossip fleet: their volume, and what malformed ones may do.
+//! The messages of a fleet in gossip mode: their volume, and the effect of malformed ones.
 use crate::common::*;
 use irishinge_admission::*;
 
-/// If a request had to be reported to every gateway, a fleet of ten times as many would send ten times the
-/// bytes for each, and exceed the messages that a gateway accepts. From 40 gateways to 400 the bytes for a
-/// request hardly grow.
+/// If each request were reported to every gateway, a fleet with ten times as many gateways would send ten
+/// times the bytes per request, and exceed the messages that a gateway accepts. From 40 gateways to 400
+/// the bytes per request hardly grow.
 #[test]
-fn message_bytes_for_each_request_do_not_grow_with_the_fleet() {
+fn message_bytes_per_request_do_not_grow_with_the_fleet() {
     let bytes_per_request = |gateways: usize| {
         let mut fleet = gossip_fleet(gateways, plan(10.0, 40.0));
         let before = fleet.message_bytes;
@@ -20,35 +20,47 @@
     assert!(small < 150.0 && large < 1.2 * small + 10.0, "{small} {large}");
 }
 
-/// Every gateway receives messages that are cut short, of another kind, from senders that do not exist, with
-/// figures that cannot be, or for the second time. Accepted as grants or releases, they would raise a
-/// customer's hard ceiling; parsed without checks, they would end processes. The ceiling of 12 units is what
-/// it was.
+/// Every gateway receives messages that are cut short, of another kind, from senders that do not exist,
+/// with impossible values, or repeated. If they were accepted as grants or releases, a customer could
+/// exceed its hard ceiling; if they were decoded without checks, they would end processes. The ceiling of
+/// 12 units holds as before.
 #[test]
-fn foreign_truncated_replayed_and_absurd_messages_change_no_ceiling() {
+fn invalid_and_repeated_messages_do_not_raise_the_ceiling() {
     let limits =
         PlanSettings { ceiling_rate_per_second: 0.001, ceiling_burst_units: 12.0, ..plan(1000.0, 4000.0) };
     let mut fleet = gossip_fleet(40, limits);
     let bodies = [
+        // The version or the means end early.
         "",
         "w",
         "w0000",
+        // A counts message of broadcast mode.
         "h001010_0W",
+        // Means with a watermark of 124, above the highest of 64.
         "wzzzzzz",
+        // A quota request that ends after its marker.
         "w000000a",
+        // A quota request with extreme values, and two characters too many.
         "w000000aF___________0_00________",
+        // A quota request whose first gateway, 64, is not in the fleet, and two characters too many.
         "w000000aF___________0100f000_0_0",
+        // A grant of a quota request that was not sent.
         "w000000r000_",
+        // A response with an unknown verdict.
         "w000000r00__",
+        // A release with three characters too many.
         "w000000e0000000000000000__",
+        // The highest means, and an observation with one character too many.
         "w______s_______",
+        // A character that is not ASCII.
         "w000000\u{e9}",
     ];
-    for me in 0..40 {
+    for gateway in 0..40 {
         for body in bodies {
+            // The fleet has no gateway 40 and none with the highest index.
             for from in [0, 7, 39, 40, usize::MAX] {
                 fleet.handle_event(
-                    me,
+                    gateway,
                     Event::PeerMessage { from: GatewayIndex(from), body: body.to_string() },
                 );
             }
--- a/crates/admission/tests/it/quota_counter.rs
+++ b/crates/admission/tests/it/quota_counter.rs
@@ -1,81 +1,86 @@
-//! Quotas of a fleet whose gateways may not send each other messages and count at a shared counter.
+//! Quotas in counter mode, in which gateways may not send each other messages and count at a shared
+//! counter.
 use crate::common::*;
 use irishinge_admission::*;
 
-/// Requests of one customer come at 120 gateways, at five times its rate, and the gateways may not send each
-/// other messages. If each applied the quota to its own requests alone, all would be sent. Counted at the
-/// shared counter, no more are sent than the rate and one burst allow, and what the count may lie behind.
+/// Requests of one customer arrive at 120 gateways at five times its rate, and the gateways may not send
+/// each other messages. If each applied the quota to its own requests alone, all would be sent. Counted at
+/// the shared counter, no more are sent than the rate and one burst allow, and the units by which the
+/// count may lag.
 #[test]
-fn holds_the_quota() {
+fn counter_holds_the_quota_across_a_fleet() {
     let mut fleet = counter_fleet(120, plan(2.0, 8.0));
     for step in 0..200 {
         fleet.submit(step * 17 % 120, |_| {});
         fleet.advance(100.0);
     }
-    // 20 seconds at 10 a second against 2 a second and 8 at once, and what a count may lie behind.
+    // 20 s at 10 requests per second; the rate of 2 per second and the burst of 8 allow 48, and the count
+    // may lag.
     let sent = fleet.sent_for(CUSTOMER);
     assert!((40..=51).contains(&sent), "{sent}");
 }
 
-/// A customer comes back after a while, at thirty gateways within 100 ms. A count that nobody raised would
-/// have saved up what the rate filled in all that time, and the customer would have many bursts. If two
-/// gateways that raise it at once both left their raise, the count would run ahead and lock the customer out.
-/// It has one burst, and its rate afterwards.
+/// A customer returns after a while, at thirty gateways within 100 ms. Without a catch-up its count would
+/// have saved what the rate added in all that time, and the customer would have many bursts. If two
+/// gateways that catch up the count at once both left their units in it, the count would run ahead and the
+/// customer would be rejected. The customer has one burst, and its rate afterwards.
 #[test]
-fn an_idle_customer_has_one_burst_however_many_gateways_see_it_first() {
+fn idle_customer_has_one_burst_at_thirty_gateways() {
     let mut fleet = counter_fleet(120, plan(2.0, 8.0));
     for (wait_ms, expected) in [(1000.0, 8..=12), (20_000.0, 8..=12), (20_000.0, 8..=12)] {
         fleet.advance(wait_ms);
         let before = fleet.sent_for(CUSTOMER);
-        for me in 0..30 {
-            fleet.submit(me * 3, |_| {});
+        for gateway in 0..30 {
+            fleet.submit(gateway * 3, |_| {});
             fleet.advance(3.0);
         }
         fleet.advance(200.0);
         let sent = fleet.sent_for(CUSTOMER) - before;
         assert!(expected.contains(&sent), "{sent} after {wait_ms} ms");
-        // Afterwards it is sent at its rate.
+        // Afterwards requests are sent at the rate.
         for step in 0..50 {
             fleet.submit(step * 7 % 120, |_| {});
             fleet.advance(200.0);
         }
         let sent = fleet.sent_for(CUSTOMER) - before;
-        assert!((24..=33).contains(&sent), "{sent} with 10 s of requests");
+        assert!((24..=33).contains(&sent), "{sent} after 10 s more of requests");
     }
 }
 
 /// Three clients of four disconnect before the counter has replied, when the units of their requests are
-/// counted already. If these units were not given back, requests that were never sent would use up the quota,
-/// and the customer would be rejected at half its rate. All other requests are sent, and none is rejected.
+/// already counted. If these units were not given back, requests that were never sent would use up the
+/// quota, and the customer would be rejected while it is below its rate. All other requests are sent, and
+/// none is rejected.
 #[test]
 fn gives_back_the_units_of_requests_that_were_never_sent() {
     let mut fleet = counter_fleet(120, plan(2.0, 8.0));
-    for me in 0..40 {
-        let request = fleet.submit(me, |r| r.units = 2.0);
-        if me % 4 > 0 {
-            // Its client disconnects before the counter has replied.
-            fleet.handle_event(me, Event::ClientDisconnected { request });
+    for gateway in 0..40 {
+        let request = fleet.submit(gateway, |r| r.units = 2.0);
+        if gateway % 4 > 0 {
+            // The client disconnects before the counter has replied.
+            fleet.handle_event(gateway, Event::ClientDisconnected { request });
         }
         fleet.advance(1000.0);
     }
-    // A request of 2 units every 4 s: half the rate. The others' units are given back.
+    // One request of 2 units every 4 s is sent, below the rate of 2 per second. The others' units are
+    // given back.
     assert_eq!(fleet.sent_for(CUSTOMER), 10);
     assert!(fleet.rejected.is_empty(), "{:?}", fleet.rejected);
 }
 
-/// The counter is lost: it rejects all calls, or does not reply. If requests were rejected until it is back,
-/// its outage would be everybody's; if all were sent, a customer far over its quota would have none. A
-/// customer that was not seen over its quota is served; of one that was over it when the counter last
-/// replied, less than half is sent.
+/// The counter fails: it rejects all calls, or does not reply. If requests were rejected until it is back,
+/// its outage would affect every customer; if all were sent, a customer far over its quota would have no
+/// quota at all. A customer that was not seen over its quota is served. Of a customer that was over it at
+/// the counter's last reply, less than half is sent.
 #[test]
-fn without_the_counter_serves_customers_except_those_just_seen_beyond_their_quota() {
-    for lost in [CounterBehaviour::Rejects, CounterBehaviour::Silent] {
+fn counter_outage_restricts_only_customers_last_seen_over_quota() {
+    for failure in [CounterBehaviour::Rejects, CounterBehaviour::Silent] {
         let mut fleet = counter_fleet(12, plan(2.0, 8.0));
         for step in 0..60 {
             fleet.submit(step % 12, |_| {});
             fleet.advance(30.0);
         }
-        fleet.counter.behaviour = if lost == CounterBehaviour::Silent {
+        fleet.counter.behaviour = if failure == CounterBehaviour::Silent {
             |_| CounterBehaviour::Silent
         } else {
             |_| CounterBehaviour::Rejects
@@ -87,23 +92,24 @@
             fleet.advance(10.0);
         }
         fleet.advance(200.0);
-        assert_eq!(fleet.sent_for(77), 12, "it was not seen beyond its quota");
+        assert_eq!(fleet.sent_for(77), 12, "it was not seen over its quota");
         let sent = fleet.sent_for(CUSTOMER) - before;
         assert!(sent < 6, "{sent}");
     }
 }
 
-/// A slow counter works through calls that nobody waits for any more: called for all requests of all
-/// gateways, it would reply to nobody in time, and no quota would be enforced. The gateways call it for a
-/// fraction of the requests, and each call adds the units of the others too. There are fewer calls than
-/// requests, and the customer over its quota is still sent less than it requests. What a few gateways send
-/// for one customer depends on chance, so that the mean of a dozen fleets is bounded too.
+/// A slow counter still works through calls that nobody waits for any more. If it were called for all
+/// requests of all gateways, it would reply to no call in time, and no quota would be enforced. The
+/// gateways call it for a fraction of the requests, and each call also adds the units of the requests that
+/// it represents. There are fewer calls than requests, and the customer over its quota is still sent less
+/// than it requests. What a few gateways send for one customer depends on chance, so the mean of twelve
+/// fleets is bounded too.
 #[test]
 fn samples_fewer_requests_at_a_slow_counter_and_still_holds_the_quota() {
-    let mut sent_in_all = 0;
+    let mut total_sent = 0;
     for seed in 0..12 {
         let mut fleet = counter_fleet_with_seed(20, plan(10.0, 20.0), seed);
-        let calls_and_sends = |fleet: &mut Fleet, steps: usize| {
+        let count_calls_and_attempts = |fleet: &mut Fleet, steps: usize| {
             let (calls, sent) = (fleet.counter.calls, fleet.sent_for(CUSTOMER));
             for step in 0..steps {
                 fleet.submit(step * 7 % 20, |_| {});
@@ -112,29 +118,32 @@
             }
             (fleet.counter.calls - calls, fleet.sent_for(CUSTOMER) - sent)
         };
-        let (calls, _) = calls_and_sends(&mut fleet, 200);
+        let (calls, _) = count_calls_and_attempts(&mut fleet, 200);
         assert!(calls > 200, "{calls}");
-        // While it answers, all requests are counted; as much again comes on top for what was rejected.
+        // While the counter replies to all calls, every request is counted, and as many calls again
+        // correct the counts for rejected requests. From here on it replies only to the first three calls
+        // of each 100 ms.
         fleet.counter.behaviour =
             |call| if call <= 3 { CounterBehaviour::Replies } else { CounterBehaviour::Silent };
-        calls_and_sends(&mut fleet, 400);
-        let (calls, sent) = calls_and_sends(&mut fleet, 400);
+        count_calls_and_attempts(&mut fleet, 400);
+        let (calls, sent) = count_calls_and_attempts(&mut fleet, 400);
         assert!(calls < 600, "{calls} calls for 800 requests");
         assert!((150..=360).contains(&sent), "{sent}");
-        sent_in_all += sent;
+        total_sent += sent;
     }
-    // 20 s at 20 a second against 10 a second; without the counter all 400 would have been sent.
-    let mean = sent_in_all as f64 / 12.0;
-    println!("{mean:.1} on the mean");
+    // 20 s at 20 requests per second against a rate of 10; without the counter all 400 would have been
+    // sent.
+    let mean = total_sent as f64 / 12.0;
+    println!("{mean:.1} attempts on average");
     assert!(mean < 310.0, "{mean}");
 }
 
-/// One gateway of a fleet that counts at the shared counter, whose replies come from the test.
+/// A gateway in counter mode; the test sends it the counter's replies.
 struct CountingGateway {
     gateway: SingleGateway,
 }
 
-/// A call to the counter.
+/// A call to the counter: the name of a count and the units to add to it.
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct CounterCall {
     name: u64,
@@ -142,6 +151,7 @@
 }
 
 impl CountingGateway {
+    /// Creates a gateway of a fleet of twelve, which knows 40 endpoints.
     fn new(plan: PlanSettings) -> Self {
         let settings =
             Settings { peer_messages_allowed: false, counter_allowed: true, ..fleet_settings(12, plan) };
@@ -150,11 +160,13 @@
         CountingGateway { gateway }
     }
 
+    /// Sends the gateway the outcome of a call.
     fn reply(&mut self, call: CounterCall, outcome: CounterOutcome) -> Vec<Action> {
         self.gateway.handle_event(Event::CounterReply { name: call.name, outcome })
     }
 }
 
+/// Returns the calls to the counter among these actions.
 fn counter_calls(actions: &[Action]) -> Vec<CounterCall> {
     let call = |action: &Action| match *action {
         Action::AddToCounter { name, amount, .. } => Some(CounterCall { name, amount }),
@@ -163,44 +175,49 @@
     actions.iter().filter_map(call).collect()
 }
 
-/// A gateway raises a count that lies behind the clock and finds that others raised it meanwhile, by a fraction of what
-/// it raised. Returns the amounts of the calls that follow, as fractions of the raise.
-fn calls_after_a_raise_by_others_too(fraction_by_others: f64) -> Vec<f64> {
+/// Lets a gateway catch up a count that lags, while other gateways add `other_gateways_fraction` of the
+/// same units to it. Returns the amounts of the calls that follow, as fractions of the catch-up.
+fn calls_after_concurrent_catch_up(other_gateways_fraction: f64) -> Vec<f64> {
     let mut counting = CountingGateway::new(plan(2.0, 8.0));
     counting.gateway.now_ms = 45_000.0;
     let first = counter_calls(&counting.gateway.submit().actions);
     assert_eq!(first.iter().map(|call| call.amount).collect::<Vec<_>>(), [1.0]);
-    let raised = counter_calls(&counting.reply(first[0], CounterOutcome::Total(1.0)));
-    assert_eq!(raised.len(), 1, "the count is far behind the clock");
-    let raise = raised[0].amount;
-    assert!(raise > 8.0, "more than a burst: {raise}");
-    let total = 1.0 + raise + fraction_by_others * raise;
-    let following = counter_calls(&counting.reply(raised[0], CounterOutcome::Total(total)));
-    following.iter().map(|call| call.amount / raise).collect()
+    let catch_up_calls = counter_calls(&counting.reply(first[0], CounterOutcome::Total(1.0)));
+    assert_eq!(catch_up_calls.len(), 1, "the count lags far behind the rate");
+    let catch_up_units = catch_up_calls[0].amount;
+    assert!(catch_up_units > 8.0, "more than a burst: {catch_up_units}");
+    let total = 1.0 + catch_up_units + other_gateways_fraction * catch_up_units;
+    let following = counter_calls(&counting.reply(catch_up_calls[0], CounterOutcome::Total(total)));
+    following.iter().map(|call| call.amount / catch_up_units).collect()
 }
 
-/// Two gateways that find the count behind at once both raise it. If neither took its raise back, the count
-/// would run ahead of the clock, and the customer would be rejected until the rate has caught up with it.
-/// What others add for requests meanwhile is far less than a raise; half of one distinguishes the two.
+/// Two gateways that see a count lag at the same time both catch it up. If neither took its units back,
+/// the count would run ahead of the rate, and the customer would be rejected until the rate has made up
+/// for it. What other gateways add for requests meanwhile is far less than a catch-up, so half a catch-up
+/// tells the two cases apart.
 #[test]
-fn takes_its_raise_back_when_others_raised_the_count_by_more_than_half_as_much() {
-    for fraction_by_others in [0.0, 0.45, 0.49] {
-        assert_eq!(calls_after_a_raise_by_others_too(fraction_by_others), [], "{fraction_by_others}");
+fn catch_up_is_reverted_if_another_gateway_made_it_too() {
+    for other_gateways_fraction in [0.0, 0.45, 0.49] {
+        assert_eq!(calls_after_concurrent_catch_up(other_gateways_fraction), [], "{other_gateways_fraction}");
     }
-    for fraction_by_others in [0.51, 0.55, 1.0] {
-        assert_eq!(calls_after_a_raise_by_others_too(fraction_by_others), [-1.0], "{fraction_by_others}");
+    for other_gateways_fraction in [0.51, 0.55, 1.0] {
+        assert_eq!(
+            calls_after_concurrent_catch_up(other_gateways_fraction),
+            [-1.0],
+            "{other_gateways_fraction}"
+        );
     }
 }
 
-/// The counter replies to no call. If the fraction of requests that it is called for fell to 0, a gateway
-/// would never learn that it replies again; if it did not fall, every request would first wait for a call in
-/// vain. One request in twenty is sampled.
+/// The counter replies to no call. If the sampling fraction fell to 0, a gateway would never learn that
+/// the counter replies again; if it did not fall, every request would first wait for a call in vain. One
+/// request in twenty is sampled.
 #[test]
 fn samples_one_request_in_twenty_at_a_silent_counter() {
     const REQUESTS: usize = 20_000;
     let mut counting = CountingGateway::new(plan(2.0, 8.0));
     let mut calls = 0;
-    // The first 200 requests bring the sampling fraction down.
+    // The first 200 requests lower the sampling fraction to its minimum.
     for n in 0..200 + REQUESTS {
         counting.gateway.now_ms += 5.0;
         counting.gateway.customer += 1;
