--- a/crates/admission/tests/it/determinism.rs
+++ b/crates/admission/tests/it/determinism.rs
@@ -1,4 +1,4 @@
-//! The same events give the same actions, and no order of events gives a request two final answers.
+//! Equal events lead to equal actions, and no order of events gives a request two final responses.
 use crate::common::*;
 use irishinge_admission::*;
 use std::collections::{BTreeMap, BTreeSet};
@@ -7,28 +7,34 @@
 struct RandomNumbers(u64);
 
 impl RandomNumbers {
+    /// Returns a random number from 0 to `limit` - 1.
     fn below(&mut self, limit: u64) -> u64 {
         self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         (self.0 >> 33) % limit
     }
 
+    /// Returns one of the values at random.
     fn one_of<T: Copy>(&mut self, values: &[T]) -> T {
         values[self.below(values.len() as u64) as usize]
     }
 }
 
+/// Outcomes of random attempts. On average a third of the attempts succeed.
 const OUTCOMES: [Outcome; 6] =
     [Outcome::Ok, Outcome::Ok, Outcome::Overloaded, Outcome::Reset, Outcome::TimedOut, Outcome::Cancelled];
 
+/// States in random list entries. On average half of the entries are ready.
 const STATES: [EndpointState; 4] =
     [EndpointState::Ready, EndpointState::Ready, EndpointState::Draining, EndpointState::Gone];
 
-/// An attempt in flight, and its number.
+/// An attempt in flight, and its number among those of its request.
 struct InFlight {
     sent: SentAttempt,
     number: u32,
 }
 
+/// Sends the gateway a random event and returns its actions: a new request, the end of an attempt, a
+/// change of the endpoint list, a message from a peer, or a timer.
 fn random_event(
     gateway: &mut SingleGateway,
     random: &mut RandomNumbers,
@@ -53,13 +59,15 @@
         }
         8 => gateway.handle_event(Event::PeerMessage {
             from: GatewayIndex(random.below(4) as usize),
+            // A counts message with a random incarnation and sequence number, no attempts in flight and a
+            // watermark of 2.
             body: format!("h00{}0{}000W", random.below(9), random.below(9)),
         }),
         _ => gateway.handle_event(Event::Timer { token: 0 }),
     }
 }
 
-/// Plays 6000 random events and returns all actions.
+/// Sends a gateway 6000 random events and returns all its actions.
 fn actions_of_random_events(seed: u64) -> Vec<Action> {
     let mut random = RandomNumbers(seed);
     let idempotency = Idempotency::IdempotencyKey { group: DedupGroup::Zone, window_ms: 2000.0 };
@@ -81,30 +89,30 @@
     all
 }
 
-/// Requests, ends of attempts, changes of the list and messages come in random order. If an action depended
-/// on anything but events and seed, such as the order of a hash table, a decision seen in production could
-/// not be reproduced. If some order of events led to two final answers, or to an attempt after the answer, a
-/// client would be answered twice or an endpoint would work for nobody. The same events give the same actions
-/// twice, each request has one final answer at most, and nothing is sent after it.
+/// Requests, ends of attempts, list changes and messages come in random order. If an action depended on
+/// anything but the events and the seed, such as the order of a hash table, a decision seen in production
+/// could not be reproduced. If some order of events led to two final responses, or to an attempt after the
+/// final response, a client would get two responses or an endpoint would work for nobody. Two runs give
+/// equal actions, each request gets at most one final response, and nothing is sent after it.
 #[test]
-fn random_events_give_the_same_actions_twice_and_one_final_answer_at_most() {
+fn random_events_give_equal_actions_and_at_most_one_final_response() {
     for seed in 0..4 {
         let actions = actions_of_random_events(seed);
         assert_eq!(actions, actions_of_random_events(seed));
-        let mut answered = BTreeSet::new();
+        let mut finished = BTreeSet::new();
         for action in &actions {
             match action {
                 Action::Reject { request, .. } | Action::Fail { request } => {
-                    assert!(answered.insert(*request), "{request:?} answered twice");
+                    assert!(finished.insert(*request), "{request:?} got two final responses");
                 }
                 Action::Send { request, timeout_ms, .. } => {
-                    assert!(!answered.contains(request), "{request:?} sent after its answer");
+                    assert!(!finished.contains(request), "{request:?} sent after its final response");
                     assert!(*timeout_ms > 0.0);
                 }
                 Action::SendPeerMessage { body, .. } => assert!(body.len() <= 256),
                 _ => {}
             }
         }
-        assert!(answered.len() > 100);
+        assert!(finished.len() > 100);
     }
 }
--- a/crates/admission/tests/it/dispatch.rs
+++ b/crates/admission/tests/it/dispatch.rs
@@ -1,11 +1,11 @@
-//! Which queued request is sent next.
+//! The order in which queued requests are sent.
 use crate::common::*;
 use irishinge_admission::*;
 
-/// The band is full. One customer queues three requests, then another queues one. Sent in order of arrival,
-/// the second customer would wait behind all that the first has queued, however much that is. They are sent
-/// by virtual finish time: the second customer's request goes before the second of the first customer's, and
-/// each customer's requests go in their order.
+/// The band is full. One customer queues three requests, then another customer queues one. In order of
+/// arrival the second customer would wait for all requests that the first has queued, however many.
+/// Requests are sent by virtual finish time instead: the second customer's request goes before the second
+/// request of the first customer, and each customer's requests keep their order.
 #[test]
 fn dispatches_by_virtual_finish_time_and_in_order_within_a_customer() {
     let mut gateway = SingleGateway::new(broadcast_settings(Idempotency::Idempotent), 10);
@@ -23,12 +23,12 @@
     assert_eq!(order, vec![heavy[0], light, heavy[1], heavy[2]]);
 }
 
-/// The band is over-full, and more requests of two classes come than credit is earned for. If both classes
-/// waited alike, half of the credit would go to requests of a third of the other's weight, while heavier ones
-/// run out of time. The class of higher priority is sent more than twice as often, and fewer of its requests
-/// are rejected.
+/// The band is overfull, and requests of two classes arrive faster than dispatch credit is earned. If both
+/// classes waited alike, half of the credit would go to requests with a third of the priority weight,
+/// while the others run out of time. The class with the higher priority weight is sent more than twice as
+/// often, and fewer of its requests are rejected.
 #[test]
-fn dispatches_a_class_of_higher_priority_first_while_dispatch_credit_is_short() {
+fn class_with_higher_priority_goes_first_while_credit_is_short() {
     let mut settings = fleet_settings(100, plan(50.0, 400.0));
     settings.classes[0].priority_weight = 1.0;
     settings.classes[1].priority_weight = 3.0;
@@ -40,7 +40,7 @@
     );
     let entries = warm_endpoints(40);
     let mut actions = gateway.handle_event(Event::EndpointList { kind: ListUpdateKind::Complete, entries });
-    // The band is over-full: 6 attempts in flight at each endpoint, at a watermark of 4.
+    // 240 attempts in flight over 100 gateways, 6 at each of the 40 endpoints, at a watermark of 4.
     let body = gossip_message(GossipMeans { in_flight_64ths: 240 * 64 / 100, watermark: 4 });
     let (mut submitted, mut sent, mut rejected) = ([0; 2], [0; 2], [0; 2]);
     for round in 0..300usize {
@@ -50,10 +50,11 @@
                 .handle_event(Event::PeerMessage { from: GatewayIndex(4 + round % 90), body: body.clone() }),
         );
         actions.extend(gateway.handle_event(Event::Timer { token: 0 }));
-        // 5 requests a second of each class; credit for a send is earned every third of a second.
+        // Each class has 5 requests per second; credit for one request is earned every third of a second.
         if round > 50 && round % 5 == 0 {
             let class = round / 5 % 2;
             submitted[class] += 1;
+            // The lowest bit of the id is the class.
             let id = RequestId(round as u64 * 2 + class as u64);
             let customer = CustomerId(round as u64 + (3 << 40));
             let request =
--- a/crates/admission/tests/it/endpoint_list.rs
+++ b/crates/admission/tests/it/endpoint_list.rs
@@ -1,11 +1,10 @@
-//! What the endpoint list says is obeyed: endpoints that are draining or removed, or whose list has expired, are sent
-//! nothing.
+//! Endpoints that are draining or removed, or whose list has expired, are sent nothing.
 use crate::common::*;
 use irishinge_admission::*;
 
-/// Of three endpoints one is draining and one is removed. Requests sent to them would be rejected or lost
-/// when they stop, and sends after the drain grace break a rule of the specification. All requests go to the
-/// third endpoint.
+/// Of three endpoints one is draining and one is removed. Requests sent to them would be rejected, or lost
+/// when they stop, and an attempt after the drain grace breaks a rule of the specification. All requests
+/// go to the third endpoint.
 #[test]
 fn sends_nothing_to_draining_or_removed_endpoints() {
     let mut gateway = SingleGateway::new(broadcast_settings(Idempotency::Idempotent), 3);
@@ -18,9 +17,9 @@
     assert!(sent.iter().all(|attempt| attempt.endpoint.0 == 2));
 }
 
-/// A complete list comes that does not name two of the known endpoints: the changes that removed them were
-/// missed. Merged like a list of changes, it would leave them in use for good. All requests go to the
-/// endpoint that the list names.
+/// A complete list has no entry for two of the known endpoints, because the changes that removed them were
+/// missed. If the list were merged like a list of changes, the two would stay in use for good. All
+/// requests go to the endpoint that the list names.
 #[test]
 fn drops_endpoints_that_a_complete_list_does_not_name() {
     let mut gateway = SingleGateway::new(broadcast_settings(Idempotency::Idempotent), 3);
@@ -30,13 +29,13 @@
     assert!(sent_attempts(&all).iter().all(|attempt| attempt.endpoint.0 == 2));
 }
 
-/// Discovery has not confirmed the list in time, so that any endpoint may be draining or gone. A gateway that
-/// sends by it breaks the drain rule. One that waits with queued requests until discovery is back lets their
-/// deadlines pass. One that resumes only with a complete list makes the outage longer, although no entry need
-/// have changed. While the list has expired nothing is sent and queued requests are rejected in time; the
-/// next changes, even none, bring back what was known.
+/// Discovery has not confirmed the list in time, so any endpoint may be draining or gone. A gateway that
+/// still sends by this list breaks the drain rule. One that keeps requests queued until discovery is back
+/// lets their deadlines pass. One that resumes only with a complete list prolongs the outage, although no
+/// entry need have changed. While the list has expired nothing is sent, and queued requests are rejected
+/// in time. The next list of changes, even an empty one, makes the known endpoints usable again.
 #[test]
-fn sends_nothing_while_the_list_has_expired_and_resumes_with_the_next_changes() {
+fn expired_list_stops_sending_until_the_next_update() {
     let class =
         ClassSettings { latency_objective_ms: 500.0, deadline_ms: 2000.0, ..class(Idempotency::Idempotent) };
     for gateways in [1, 300] {
@@ -57,21 +56,21 @@
         let update = |kind, entries| Event::EndpointList { kind, entries };
         let submit =
             |id| Event::Request(Request { time_left_ms: 2000.0, ..request(RequestId(id), CustomerId(5)) });
-        let has_sends = |actions: &[Action]| !sent_attempts(actions).is_empty();
+        let has_sent_attempts = |actions: &[Action]| !sent_attempts(actions).is_empty();
         at(0.0, update(ListUpdateKind::Complete, warm_endpoints(9)));
-        assert!(has_sends(&at(5000.0, submit(1))), "{gateways}");
+        assert!(has_sent_attempts(&at(5000.0, submit(1))), "{gateways}");
         at(5100.0, Event::EndpointListExpired);
-        assert!(!has_sends(&at(5100.0, update(ListUpdateKind::Failed, Vec::new()))));
+        assert!(!has_sent_attempts(&at(5100.0, update(ListUpdateKind::Failed, Vec::new()))));
         let mut rejected = false;
         let mut actions = at(5200.0, submit(2));
         for round in 0..200 {
-            assert!(!has_sends(&actions), "{gateways}: {actions:?}");
+            assert!(!has_sent_attempts(&actions), "{gateways}: {actions:?}");
             rejected |= actions.iter().any(|a| matches!(a, Action::Reject { request: RequestId(2), .. }));
             actions = at(5200.0 + 5.0 * f64::from(round), Event::Timer { token: 0 });
         }
-        assert!(rejected, "{gateways}: it is rejected in time");
-        assert!(!has_sends(&at(6300.0, submit(3))), "{gateways}");
+        assert!(rejected, "{gateways}: the queued request is rejected in time");
+        assert!(!has_sent_attempts(&at(6300.0, submit(3))), "{gateways}");
         let resumed = at(6310.0, update(ListUpdateKind::Changes, Vec::new()));
-        assert!(has_sends(&resumed), "{gateways}: the queued request is sent");
+        assert!(has_sent_attempts(&resumed), "{gateways}: the queued request is sent");
     }
 }
--- a/crates/admission/tests/it/endpoint_selection.rs
+++ b/crates/admission/tests/it/endpoint_selection.rs
@@ -1,51 +1,54 @@
-//! Which endpoint a request goes to: spread without observations, and the weight of the gateway's zone.
+//! The selection of endpoints: without observations attempts are spread, and endpoints of the gateway's
+//! zone are preferred.
 use crate::common::*;
 use irishinge_admission::*;
 
-/// Each of 200 gateways submits one request of a customer of its own; their sends must be spread over 40 endpoints.
-fn assert_first_sends_are_spread(mut fleet: Fleet) {
-    for me in 0..200 {
-        fleet.submit(me, |r| r.customer = CustomerId(me as u64 + (9 << 40)));
+/// Submits one request of a different customer at each of 200 gateways, and asserts that their attempts
+/// are spread over 40 endpoints.
+fn assert_first_attempts_are_spread(mut fleet: Fleet) {
+    for gateway in 0..200 {
+        fleet.submit(gateway, |r| r.customer = CustomerId(gateway as u64 + (9 << 40)));
     }
     fleet.advance(400.0);
-    let count = fleet.sent_by_endpoint();
+    let attempts = fleet.sent_by_endpoint();
     assert_eq!(fleet.sent.len(), 200);
-    assert!(count.len() > 35 && count.values().all(|n| *n < 20), "{count:?}");
+    assert!(attempts.len() > 35 && attempts.values().all(|n| *n < 20), "{attempts:?}");
 }
 
-/// All gateways of a fleet have just started and observed nothing yet. If each chose the best endpoint by the
-/// same order, they would all choose the same few and overload them. Their first sends are spread over nearly
+/// All gateways of a fleet have just started and have no observations. If they all ranked the endpoints
+/// alike, they would choose the same few and overload them. Their first attempts are spread over nearly
 /// all endpoints, and no endpoint gets a tenth of them.
 #[test]
-fn gossip_gateways_without_observations_spread_their_first_sends() {
+fn gossip_gateways_without_observations_spread_their_first_attempts() {
     let settings = fleet_settings(200, plan(10.0, 400.0));
-    assert_first_sends_are_spread(Fleet::new(settings, warm_endpoints(40)));
+    assert_first_attempts_are_spread(Fleet::new(settings, warm_endpoints(40)));
 }
 
-/// The same where gateways may not send each other messages, with the quota counter and without: there they
-/// would not even learn from each other that the few endpoints are overloaded.
+/// Gateways that may not send each other messages, with and without the quota counter, spread their first
+/// attempts too. They would not even learn from each other that a few endpoints are overloaded.
 #[test]
-fn gateways_without_messages_spread_their_first_sends() {
+fn gateways_without_messages_spread_their_first_attempts() {
     for counter_allowed in [false, true] {
         let settings = Settings {
             peer_messages_allowed: false,
             counter_allowed,
             ..fleet_settings(200, plan(10.0, 400.0))
         };
-        assert_first_sends_are_spread(Fleet::new(settings, warm_endpoints(40)));
+        assert_first_attempts_are_spread(Fleet::new(settings, warm_endpoints(40)));
     }
 }
 
-/// How the sends of 60 gateways of three zones were spread over 30 endpoints of the same.
+/// The spread of the attempts of 60 gateways in three zones over 30 endpoints in the same zones.
 struct ZoneSpread {
-    /// The fraction of sends that stayed in the zone of their gateway.
+    /// Fraction of the attempts that stayed in the zone of their gateway.
     local_fraction: f64,
-    /// Sends for each warm endpoint, by zone.
+    /// Attempts per warm endpoint, by zone.
     per_warm_endpoint: Vec<f64>,
+    /// Attempts per endpoint that is warming up.
     per_warming_endpoint: f64,
 }
 
-/// Measures the spread with so many of the first zone's ten endpoints warming up.
+/// Measures the spread while this many of the first zone's ten endpoints are warming up.
 fn zone_spread(warming: u64) -> ZoneSpread {
     let zone = |endpoint: u64| (endpoint % 3) as usize;
     let is_warming = |endpoint: u64| endpoint % 3 == 0 && endpoint / 3 < warming;
@@ -55,20 +58,23 @@
         ..endpoint(id)
     };
     let mut fleet = Fleet::new(fleet_settings(60, plan(50.0, 400.0)), (0..30).map(entry).collect());
-    for me in 0..60 {
-        let settings =
-            Settings { this_gateway: GatewayIndex(me), zone: ZoneIndex(me % 3), ..fleet.settings.clone() };
-        fleet.start_gateway_with(settings, 5 + me as u64);
+    for gateway in 0..60 {
+        let settings = Settings {
+            this_gateway: GatewayIndex(gateway),
+            zone: ZoneIndex(gateway % 3),
+            ..fleet.settings.clone()
+        };
+        fleet.start_gateway_with(settings, 5 + gateway as u64);
     }
     let mut local = 0;
     for step in 0..1500usize {
-        let me = step * 37 % 60;
+        let gateway = step * 37 % 60;
         let before = fleet.sent.len();
-        fleet.submit(me, |r| {
+        fleet.submit(gateway, |r| {
             (r.customer, r.gateway_count, r.first_gateway) =
-                (CustomerId(me as u64 + (5 << 40)), 1, GatewayIndex(me));
+                (CustomerId(gateway as u64 + (5 << 40)), 1, GatewayIndex(gateway));
         });
-        local += fleet.sent[before..].iter().filter(|s| zone(s.endpoint.0) == me % 3).count();
+        local += fleet.sent[before..].iter().filter(|s| zone(s.endpoint.0) == gateway % 3).count();
         fleet.advance(2.0);
     }
     let sent =
@@ -82,22 +88,22 @@
     }
 }
 
-/// A gateway of a large fleet that sends to all zones alike seldom finds an open connection to an endpoint,
-/// and pays for new ones. One that sends only to its own zone overloads it when most of the zone's endpoints
-/// are warming up. While all are warm, more than four fifths of the sends are local and all endpoints get
-/// about as much. With eight of ten local endpoints warming up, many sends go to other zones, and the two
-/// warm local endpoints are not overloaded.
+/// A gateway of a large fleet that sends to all zones alike seldom finds an open connection to an
+/// endpoint, and has to open new ones. One that sends only to its own zone overloads it when most of the
+/// zone's endpoints are warming up. While all endpoints are warm, more than four fifths of the attempts
+/// are local, and all endpoints get about as many. With eight of ten local endpoints warming up, many
+/// attempts go to other zones, and the two warm local endpoints are not overloaded.
 #[test]
 fn prefers_the_local_zone_as_far_as_its_endpoints_have_capacity() {
     let spread = zone_spread(0);
     let (local, warm) = (spread.local_fraction, spread.per_warm_endpoint);
-    assert!(local > 0.8, "{local} in the local zone, where each has as much capacity");
-    assert!(warm.iter().all(|n| (30.0..75.0).contains(n)), "{warm:?} sends to an endpoint by zone");
-    // Eight of ten of a zone's endpoints have just started: most of the work of its gateways goes elsewhere.
+    assert!(local > 0.8, "{local} in the local zone while all zones have the same capacity");
+    assert!(warm.iter().all(|n| (30.0..75.0).contains(n)), "{warm:?} attempts per endpoint, by zone");
+    // Eight of a zone's ten endpoints have just started: most attempts of its gateways go to other zones.
     let spread = zone_spread(8);
     let (local, warm, warming) =
         (spread.local_fraction, spread.per_warm_endpoint, spread.per_warming_endpoint);
     assert!(local < 0.8 && local > 0.4, "{local}");
-    assert!(warming < 0.4 * warm[1], "{warming} to a warming one, {warm:?} to a warm one by zone");
-    assert!(warm[0] < 1.7 * warm[1], "{warm:?} sends to a warm endpoint by zone");
+    assert!(warming < 0.4 * warm[1], "{warming} per warming endpoint, {warm:?} per warm endpoint by zone");
+    assert!(warm[0] < 1.7 * warm[1], "{warm:?} attempts per warm endpoint, by zone");
 }
--- a/crates/admission/tests/it/outlier_detection.rs
+++ b/crates/admission/tests/it/outlier_detection.rs
@@ -1,56 +1,64 @@
-//! Endpoints that fail or are silent are ejected, for all requests or for a class or plan, and used again later.
+//! Endpoints that fail or do not respond are ejected, for all requests or for a class or plan, and used
+//! again later.
 use crate::common::*;
 use irishinge_admission::*;
 
-/// An endpoint that has been silent for 3 s refuses a connection. Left in the selection, it would get its
-/// usual fraction of the requests, and each of them would need a retry. Left out for good, it would not be
-/// used again once it has recovered. It is ejected, and after its backoff it gets one request at a time until
-/// it answers.
+/// An endpoint that has not responded for 3 s refuses a connection. If it stayed in the selection, it
+/// would get its usual fraction of the requests, and each of them would need a retry. If it were left out
+/// for good, it would not be used again after its recovery. It is ejected, and after its backoff it gets
+/// one request at a time until it responds.
 #[test]
-fn ejects_an_endpoint_that_fails_and_sends_it_one_request_at_a_time_later() {
+fn ejected_endpoint_gets_one_request_at_a_time_after_its_backoff() {
     let mut gateway = SingleGateway::new(broadcast_settings(Idempotency::Idempotent), 4);
-    // It has not answered for long.
+    // No endpoint responds in this time.
     gateway.advance(3000.0);
     let sent = gateway.submit().sent_attempts()[0];
     let failing = sent.endpoint;
     gateway.end_attempt(sent, 0, Outcome::ConnectFailed, 1.0);
-    let hits = |actions: &[Action]| sent_attempts(actions).iter().filter(|a| a.endpoint == failing).count();
-    assert_eq!(hits(&gateway.submit_as_new_customers(6)), 0);
+    let attempts_at_failing =
+        |actions: &[Action]| sent_attempts(actions).iter().filter(|a| a.endpoint == failing).count();
+    assert_eq!(attempts_at_failing(&gateway.submit_as_new_customers(6)), 0);
     gateway.advance(900.0);
     let again = gateway.submit_as_new_customers(20);
-    assert_eq!(hits(&again), 1, "one at a time until it answers");
+    assert_eq!(attempts_at_failing(&again), 1, "one at a time until it responds");
 }
 
-/// Connections break for reasons of their own, also at an endpoint that is well. Ejecting the endpoint for
-/// one break, and hedging all that is in flight there, would cost far more work than the break did. After one
-/// or three breaks an endpoint that has just answered is still used; after twelve in a row it is ejected.
+/// A connection may break for reasons of its own, also at a healthy endpoint. If one break ejected the
+/// endpoint and hedged everything in flight there, that would cost far more work than the break did. After
+/// one or three breaks an endpoint that has just responded is still used; after twelve in a row it is
+/// ejected.
 #[test]
-fn ejects_an_endpoint_that_answers_for_many_broken_connections_but_not_for_few() {
+fn responsive_endpoint_is_ejected_for_twelve_broken_connections_not_three() {
     for (broken, ejected) in [(1, false), (3, false), (12, true)] {
         let mut gateway = SingleGateway::new(broadcast_settings(Idempotency::NonIdempotent), 2);
         gateway.advance(3000.0);
         let first = gateway.submit().sent_attempts()[0];
         gateway.end_attempt(first, 0, Outcome::Ok, 50.0);
-        let is_suspect = |sent: &&SentAttempt| sent.endpoint == first.endpoint;
+        let is_at_first_endpoint = |sent: &&SentAttempt| sent.endpoint == first.endpoint;
         let mut breaks = 0;
         while breaks < broken {
             let Some(sent) = sent_attempts(&gateway.submit_as_new_customers(1)).pop() else { break };
-            if !is_suspect(&&sent) && ejected {
+            if !is_at_first_endpoint(&&sent) && ejected {
                 break;
             }
-            let breaking = is_suspect(&&sent);
+            let breaking = is_at_first_endpoint(&&sent);
             breaks += usize::from(breaking);
             let outcome = if breaking { Outcome::Reset } else { Outcome::Ok };
             gateway.end_attempt(sent, 0, outcome, 50.0);
         }
-        let hits = sent_attempts(&gateway.submit_as_new_customers(6)).iter().filter(is_suspect).count();
-        assert_eq!(hits == 0, ejected, "{hits} after {broken} broken connections");
+        let later_attempts =
+            sent_attempts(&gateway.submit_as_new_customers(6)).iter().filter(is_at_first_endpoint).count();
+        assert_eq!(
+            later_attempts == 0,
+            ejected,
+            "{later_attempts} attempts after {broken} broken connections"
+        );
     }
 }
 
-/// Every endpoint refuses connections, as when the gateway's own network fails. If all of them were ejected,
-/// nothing would be sent until their backoff is over, although the endpoints are not at fault. When most look
-/// like outliers the cause is taken to be common to them, and requests are still sent.
+/// Every endpoint refuses connections, as when the gateway's own network fails. If all of them were
+/// ejected, nothing would be sent until their backoff is over, although the endpoints are not at fault. If
+/// most endpoints look like outliers, the cause is taken to lie outside them, and requests are still sent.
 #[test]
 fn still_sends_when_all_endpoints_look_like_outliers() {
     let mut gateway = SingleGateway::new(broadcast_settings(Idempotency::Idempotent), 3);
@@ -65,7 +73,7 @@
     assert!(!sent_attempts(&gateway.advance(20.0)).is_empty());
 }
 
-/// The fraction of these attempts that went to the first 16 endpoints.
+/// Returns the fraction of these attempts that went to the first 16 endpoints.
 fn fraction_for_first_16<'a>(attempts: impl Iterator<Item = &'a FleetAttempt>) -> f64 {
     let (failing, all) = attempts.fold((0.0, 0.0), |(failing, all), sent| {
         (failing + f64::from(u8::from(sent.endpoint.0 < 16)), all + 1.0)
@@ -73,9 +81,10 @@
     failing / all
 }
 
-/// 16 of 40 endpoints reject the requests of one plan as overloaded, and serve those of the other. Ejected
-/// altogether, they would be lost to the plan that they serve; not ejected, they would get requests of the
-/// first plan in vain. They get few requests of that plan, and their usual fraction of the other's.
+/// 16 of 40 endpoints reject the requests of one plan as overloaded and serve those of the other. If they
+/// were ejected for both, the plan that they serve would lose them; if they were not ejected, they would
+/// get requests of the first plan in vain. They get few requests of the first plan, and their usual
+/// fraction of the other's.
 #[test]
 fn ejects_endpoints_overloaded_for_one_plan_only_for_that_plan() {
     let mut fleet = gossip_fleet(60, plan(1000.0, 4000.0));
@@ -92,8 +101,8 @@
     assert!(fraction(0) < 0.3 && fraction(1) > 0.3, "{} {}", fraction(0), fraction(1));
 }
 
-/// The same for a class: 16 of 40 endpoints let the requests of one class time out. They get few requests of
-/// that class, and their usual fraction of the other's.
+/// 16 of 40 endpoints let the requests of one class time out. They are ejected for this class as for a
+/// plan: they get few of its requests, and their usual fraction of those of the other class.
 #[test]
 fn ejects_endpoints_that_fail_one_class_only_for_that_class() {
     let mut fleet = gossip_fleet(60, plan(1000.0, 4000.0));
@@ -111,8 +120,8 @@
     assert!(fraction(0) < 0.3 && fraction(1) > 0.3, "{} {}", fraction(0), fraction(1));
 }
 
-/// Submits 500 requests a second, each of a customer whose requests come through three gateways.
-fn submit_from_sets_of_three(fleet: &mut Fleet, steps: usize) {
+/// Submits 500 requests per second, each of a customer whose requests come through three gateways.
+fn submit_through_three_gateways_each(fleet: &mut Fleet, steps: usize) {
     for step in 0..steps {
         let first = step * 37 % 100;
         fleet.submit((first + step % 3) % 100, |r| {
@@ -123,36 +132,39 @@
     }
 }
 
-/// One endpoint of 40 is silent. A gateway sends to it only every 8 s: by its own attempts alone it would
-/// need many time-outs to notice, and a hundred gateways would need them each. They learn of it from each
-/// other: after 5 s it gets less than a sixth of what another gets, and still some requests, by which its
-/// recovery would be noticed.
+/// One endpoint of 40 does not respond. A gateway sends to it only every 8 s: by its own attempts alone it
+/// would need many time-outs to notice, and so would each of the hundred gateways. They learn of it from
+/// each other. After 5 s the endpoint gets less than a sixth of the attempts that another endpoint gets,
+/// and still some, which would show its recovery.
 #[test]
-fn a_hundred_gateways_soon_avoid_an_endpoint_that_answers_none_of_them() {
+fn hundred_gateways_avoid_an_unresponsive_endpoint_within_5_s() {
     let mut fleet = Fleet::new(fleet_settings(100, plan(50.0, 400.0)), warm_endpoints(40));
     fleet.outcome = |_, _, endpoint| if endpoint == EndpointId(7) { Outcome::TimedOut } else { Outcome::Ok };
-    submit_from_sets_of_three(&mut fleet, 8000);
+    submit_through_three_gateways_each(&mut fleet, 8000);
     let late =
         |endpoint: u64| fleet.sent.iter().filter(move |s| s.at_ms > 5000.0 && s.endpoint.0 == endpoint);
     let usual = (0..40).filter(|s| *s != 7).map(|s| late(s).count()).sum::<usize>() as f64 / 39.0;
-    let silent = late(7).count() as f64;
-    assert!(usual > 50.0 && silent < 0.17 * usual, "{silent} sends to the silent one, {usual} to another");
-    assert!(silent > 0.0, "some gateway still sends it a request now and then");
+    let unresponsive = late(7).count() as f64;
+    assert!(
+        usual > 50.0 && unresponsive < 0.17 * usual,
+        "{unresponsive} attempts at the unresponsive endpoint, {usual} at another"
+    );
+    assert!(unresponsive > 0.0, "the unresponsive endpoint still gets some attempts");
 }
 
-/// All gateways are in one zone and prefer its two endpoints; then connections to these are refused, and
-/// later the zone is back. Without ejection their requests would go on to the lost zone first, each with a
-/// failed attempt. If they never sent to it again, they would not notice that it is back, and would go on
-/// with remote connections. While it is lost it gets less than a quarter of the sends, and never none; once
-/// it is back it gets most of them.
+/// All gateways are in one zone and prefer its two endpoints. Connections to these are refused for a
+/// while, and accepted again later. Without ejection, requests would go to the failed zone first, each
+/// with a failed attempt. If gateways never sent to it again, they would not notice its recovery and would
+/// keep using remote endpoints. While the zone has failed it gets less than a quarter of the attempts, and
+/// never none; after its recovery it gets most of them.
 #[test]
-fn avoids_a_lost_zone_and_returns_to_it_once_it_is_back() {
+fn avoids_a_failed_zone_and_returns_to_it_once_it_recovers() {
     let in_zones = |id| EndpointEntry { zone: ZoneIndex((id % 3) as usize), ..endpoint(id) };
     let mut fleet = Fleet::new(fleet_settings(100, plan(50.0, 400.0)), (0..6).map(in_zones).collect());
-    // All gateways are in zone 0; returns the fraction of sends that go to their own zone.
+    // All gateways are in zone 0. Returns the fraction of the attempts that go to this zone.
     let local_fraction = |fleet: &mut Fleet, steps: usize| {
         let before = fleet.sent.len();
-        submit_from_sets_of_three(fleet, steps);
+        submit_through_three_gateways_each(fleet, steps);
         let sent = &fleet.sent[before..];
         sent.iter().filter(|s| s.endpoint.0 % 3 == 0).count() as f64 / sent.len() as f64
     };
@@ -160,11 +172,11 @@
     let healthy = local_fraction(&mut fleet, 400);
     fleet.outcome = |_, _, s| if s.0 % 3 == 0 { Outcome::ConnectFailed } else { Outcome::Ok };
     local_fraction(&mut fleet, 4000);
-    let lost = local_fraction(&mut fleet, 1000);
+    let failed = local_fraction(&mut fleet, 1000);
     fleet.outcome = |_, _, _| Outcome::Ok;
     local_fraction(&mut fleet, 4000);
-    let back = local_fraction(&mut fleet, 1000);
-    assert!(healthy > 0.8, "{healthy} before the loss");
-    assert!(lost < 0.25 && lost > 0.0, "{lost} while it is lost: less, and never nothing");
-    assert!(back > 0.6, "{back} once it is back");
+    let recovered = local_fraction(&mut fleet, 1000);
+    assert!(healthy > 0.8, "{healthy} before the failure");
+    assert!(failed < 0.25 && failed > 0.0, "{failed} during the failure: fewer, but never none");
+    assert!(recovered > 0.6, "{recovered} after the recovery");
 }
--- a/crates/admission/tests/it/retry.rs
+++ b/crates/admission/tests/it/retry.rs
@@ -1,11 +1,11 @@
-//! Which requests are retried or hedged after a failed or stalled attempt, by the idempotency of their class.
+//! Retries and hedging after a failed or stalled attempt, by the idempotency of the request's class.
 use crate::common::*;
 use irishinge_admission::*;
 
-/// A client disconnects, and then its request's attempt fails. A retry would have an endpoint work for
-/// nobody, and a final answer would be one for a request that is over. There is neither.
+/// A client disconnects, and then its request's attempt fails. A retry would let an endpoint work for
+/// nobody, and a final response would be for a request that is over. The gateway sends neither.
 #[test]
-fn does_not_retry_after_the_client_has_gone() {
+fn does_not_retry_after_the_client_has_disconnected() {
     let mut gateway = SingleGateway::new(broadcast_settings(Idempotency::Idempotent), 3);
     let submitted = gateway.submit();
     let sent = submitted.sent_attempts()[0];
@@ -16,8 +16,8 @@
     assert_eq!(final_response_count(&after, submitted.id), 0);
 }
 
-/// A connection breaks while a request that must not run twice is in flight, so that it may have run. A retry
-/// could run it again, and so could the client's own retry after a rejection. The request fails.
+/// A connection breaks while a request that must not run twice is in flight, so that it may have run. A
+/// retry could run it again, and so could the client's own retry after a rejection. The request fails.
 #[test]
 fn fails_a_non_idempotent_request_that_may_have_run() {
     let mut gateway = SingleGateway::new(broadcast_settings(Idempotency::NonIdempotent), 3);
@@ -28,8 +28,8 @@
     assert!(after.contains(&Action::Fail { request: submitted.id }));
 }
 
-/// A request that must not run twice finds no connection: it cannot have run. Failed, it would be lost
-/// although a retry does no harm. It is retried.
+/// An attempt of a request that must not run twice finds no connection, so that the request cannot have
+/// run. If it failed, it would be lost although a retry does no harm. It is retried.
 #[test]
 fn retries_a_non_idempotent_request_that_never_ran() {
     let mut gateway = SingleGateway::new(broadcast_settings(Idempotency::NonIdempotent), 3);
@@ -42,12 +42,16 @@
 /// A request with an idempotency key whose first attempt was reset.
 struct RequestWithKey {
     id: RequestId,
+    /// Id of the endpoint of the first attempt.
     first_endpoint: u64,
+    /// Id of the endpoint of the retry; `None` if there was no retry.
     second_endpoint: Option<u64>,
+    /// Actions after the reset.
     after_reset: Vec<Action>,
 }
 
-fn reset_request_with_key(group: DedupGroup, window_ms: f64, after_ms: f64) -> RequestWithKey {
+/// Submits a request with an idempotency key, and resets its first attempt `after_ms` later.
+fn reset_request(group: DedupGroup, window_ms: f64, after_ms: f64) -> RequestWithKey {
     let idempotency = Idempotency::IdempotencyKey { group, window_ms };
     let mut gateway = SingleGateway::new(broadcast_settings(idempotency), 4);
     let submitted = gateway.submit();
@@ -62,44 +66,47 @@
     }
 }
 
-/// A request with an idempotency key is reset and may have run. Only endpoints of the same zone know its key:
-/// a retry in the other zone could run it a second time. The retry goes to the zone of the first attempt.
+/// An attempt of a request with an idempotency key is reset and may have run. Only endpoints of the same
+/// zone know the key, so a retry in the other zone could run it a second time. The retry goes to the zone
+/// of the first attempt.
 #[test]
-fn retries_a_request_with_an_idempotency_key_only_within_its_deduplication_group() {
-    let request = reset_request_with_key(DedupGroup::Zone, 3000.0, 100.0);
+fn retry_with_idempotency_key_stays_in_its_deduplication_group() {
+    let request = reset_request(DedupGroup::Zone, 3000.0, 100.0);
     assert_eq!(request.second_endpoint.map(|s| s % 2), Some(request.first_endpoint % 2));
 }
 
-/// A request with an idempotency key is reset when the window in which endpoints remember its key is over. A
-/// retry could run it again, so that there is none. Where only a zone's endpoints deduplicate, the client's
-/// own retry could run it again as well, and the request fails; where all do, it is rejected.
+/// An attempt of a request with an idempotency key is reset after the time for which endpoints remember
+/// the key. A retry could run the request again, so there is none. If only the endpoints of a zone
+/// deduplicate, the client's own retry could run it again as well, and the request fails; if all endpoints
+/// do, it is rejected.
 #[test]
-fn after_its_window_a_request_with_an_idempotency_key_is_failed_or_rejected_if_all_endpoints_deduplicate() {
-    let request = reset_request_with_key(DedupGroup::Zone, 200.0, 300.0);
+fn request_is_not_retried_after_its_idempotency_key_window() {
+    let request = reset_request(DedupGroup::Zone, 200.0, 300.0);
     assert_eq!(request.second_endpoint, None);
     assert!(request.after_reset.contains(&Action::Fail { request: request.id }));
-    let request = reset_request_with_key(DedupGroup::All, 200.0, 300.0);
+    let request = reset_request(DedupGroup::All, 200.0, 300.0);
     assert_eq!(request.second_endpoint, None);
     let rejected = Action::Reject { request: request.id, retry_after_ms: None };
     assert!(request.after_reset.contains(&rejected));
 }
 
-/// An attempt hangs, and the settings allow no second attempt beside it. Left alone, the request would be
-/// lost with the attempt; hedged, it would break the settings' rule. The attempt is cancelled, and nothing is
-/// sent before it has ended.
+/// An attempt stalls, and the settings allow no second attempt beside it. If it were left alone, the
+/// request would be lost with it; a hedged attempt would break the settings' rule. The attempt is
+/// cancelled, and nothing is sent before it has ended.
 #[test]
-fn cancels_and_never_hedges_a_hung_attempt_where_hedging_is_not_allowed() {
+fn stalled_attempt_is_cancelled_if_hedging_is_not_allowed() {
     let mut settings = broadcast_settings(Idempotency::Idempotent);
     settings.hedging_allowed = false;
     let mut gateway = SingleGateway::new(settings, 4);
     assert_eq!(gateway.submit().sent_attempts().len(), 1);
     let stalled = gateway.advance(900.0);
     assert!(sent_attempts(&stalled).is_empty());
-    assert!(stalled.iter().any(|a| matches!(a, Action::Cancel { .. })), "a hung attempt is cancelled");
+    assert!(stalled.iter().any(|a| matches!(a, Action::Cancel { .. })), "a stalled attempt is cancelled");
 }
 
-/// One of six endpoints goes silent with a request. Without a hedged request the client would wait for the
-/// attempt's time-out, long past the latency objective. The request is sent to another endpoint as well.
+/// One of six endpoints stops responding while it has an attempt. Without a hedged attempt the client
+/// would wait for the time-out, long past the latency objective. The request is sent to another endpoint
+/// as well.
 #[test]
 fn hedges_an_attempt_stalled_on_a_silent_endpoint() {
     let mut gateway = SingleGateway::new(broadcast_settings(Idempotency::Idempotent), 6);
--- a/crates/admission/tests/it/settings_validation.rs
+++ b/crates/admission/tests/it/settings_validation.rs
@@ -1,12 +1,12 @@
-//! Settings that no gateway can act on are rejected at its start.
+//! Invalid settings are rejected when a gateway starts.
 use crate::common::*;
 use irishinge_admission::*;
 
-/// Settings have no class or no plan, a gateway's number beyond the fleet, or a figure that is negative or no
-/// number. A gateway that starts with them would fail at its first request, or decide by nonsense without a
-/// sign of it. It does not start, and the error names what is wrong.
+/// Settings have no class or no plan, a gateway index outside the fleet, or a value that is negative or
+/// not a number. A gateway that started with them would fail at its first request, or make wrong decisions
+/// without any sign of it. It does not start, and the error names what is wrong.
 #[test]
-fn unsound_settings_give_a_typed_error() {
+fn invalid_settings_are_rejected_with_a_typed_error() {
     let error_of = |change: fn(&mut Settings)| {
         let mut settings = broadcast_settings(Idempotency::Idempotent);
         change(&mut settings);
