--- a/crates/admission/src/event.rs
+++ b/crates/admission/src/event.rs
@@ -90,7 +90,7 @@
     Cancelled,
     /// The attempt was never sent, through no fault of the endpoint: its time was over, or the endpoint list
     /// had expired.
-    TooLate,
+    NotSent,
 }
 
 /// The end of an attempt: its outcome and what came with it.
--- a/crates/admission/src/policy/observation/attempt_observation.rs
+++ b/crates/admission/src/policy/observation/attempt_observation.rs
@@ -29,6 +29,6 @@
         Outcome::Error | Outcome::Reset | Outcome::ConnectFailed | Outcome::TimedOut => {
             Some(ObservationKind::Failed { class })
         }
-        Outcome::Cancelled | Outcome::TooLate => None,
+        Outcome::Cancelled | Outcome::NotSent => None,
     }
 }
--- a/crates/admission/src/policy/outlier/attempt_failure.rs
+++ b/crates/admission/src/policy/outlier/attempt_failure.rs
@@ -89,7 +89,7 @@
             )
         }
         Outcome::Cancelled => eject_if(input.got_no_response() && input.took_long()),
-        Outcome::Ok | Outcome::Overloaded | Outcome::TooLate | Outcome::TimedOut => {
+        Outcome::Ok | Outcome::Overloaded | Outcome::NotSent | Outcome::TimedOut => {
             EjectionDecision::Unchanged
         }
     }
--- a/crates/admission/src/policy/outlier/health_evidence.rs
+++ b/crates/admission/src/policy/outlier/health_evidence.rs
@@ -23,6 +23,6 @@
         Outcome::Error => HealthEvidence::ErrorResponse,
         Outcome::Overloaded => HealthEvidence::Rejection,
         Outcome::ConnectFailed | Outcome::Reset => HealthEvidence::ConnectionFailure,
-        Outcome::TimedOut | Outcome::Cancelled | Outcome::TooLate => HealthEvidence::None,
+        Outcome::TimedOut | Outcome::Cancelled | Outcome::NotSent => HealthEvidence::None,
     }
 }
--- a/crates/admission/src/policy/response_time/response_samples.rs
+++ b/crates/admission/src/policy/response_time/response_samples.rs
@@ -84,7 +84,7 @@
             objective_fraction: Some(ResponseTimeSample::AtLeast(objective_fraction.min(1.0))),
             ..OwnAttemptSamples::default()
         },
-        Outcome::Error | Outcome::ConnectFailed | Outcome::Reset | Outcome::Cancelled | Outcome::TooLate => {
+        Outcome::Error | Outcome::ConnectFailed | Outcome::Reset | Outcome::Cancelled | Outcome::NotSent => {
             OwnAttemptSamples::default()
         }
     }
--- a/crates/admission/src/policy/retry/after_attempt.rs
+++ b/crates/admission/src/policy/retry/after_attempt.rs
@@ -31,7 +31,7 @@
         AfterAttempt::Close
     } else if input.has_attempt_in_flight {
         AfterAttempt::AwaitOther
-    } else if input.outcome == Outcome::TooLate {
+    } else if input.outcome == Outcome::NotSent {
         AfterAttempt::Finish
     } else {
         AfterAttempt::Retry
--- a/crates/admission/src/policy/retry/possible_run.rs
+++ b/crates/admission/src/policy/retry/possible_run.rs
@@ -6,7 +6,7 @@
 /// endpoint did.
 pub(crate) fn may_have_run(outcome: Outcome) -> bool {
     match outcome {
-        Outcome::Overloaded | Outcome::ConnectFailed | Outcome::TooLate => false,
+        Outcome::Overloaded | Outcome::ConnectFailed | Outcome::NotSent => false,
         Outcome::Ok | Outcome::Error | Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled => true,
     }
 }
--- a/crates/admission/src/tests/endpoint_rules/outlier_rules.rs
+++ b/crates/admission/src/tests/endpoint_rules/outlier_rules.rs
@@ -120,7 +120,7 @@
     let silent = |outcome, since_response_ms| EjectionInput { since_response_ms, ..ended(outcome) };
     let rows = [
         (silent(Outcome::Ok, 9000.0), Unchanged),
-        (silent(Outcome::TooLate, 9000.0), Unchanged),
+        (silent(Outcome::NotSent, 9000.0), Unchanged),
         (failing(Outcome::Error, 0.3), Unchanged),
         (failing(Outcome::Error, 0.31), Eject),
         (EjectionInput { consecutive_failures: 1, ..ended(Outcome::Error) }, Eject),
@@ -186,7 +186,7 @@
         (Outcome::Reset, HealthEvidence::ConnectionFailure),
         (Outcome::TimedOut, HealthEvidence::None),
         (Outcome::Cancelled, HealthEvidence::None),
-        (Outcome::TooLate, HealthEvidence::None),
+        (Outcome::NotSent, HealthEvidence::None),
     ];
     for (outcome, evidence) in rows {
         assert_eq!(health_evidence(outcome), evidence, "{outcome:?}");
--- a/crates/admission/src/tests/endpoint_rules/response_time_rules.rs
+++ b/crates/admission/src/tests/endpoint_rules/response_time_rules.rs
@@ -91,7 +91,7 @@
         (Outcome::ConnectFailed, failed),
         (Outcome::TimedOut, failed),
         (Outcome::Cancelled, None),
-        (Outcome::TooLate, None),
+        (Outcome::NotSent, None),
     ];
     for (outcome, expected) in rows {
         assert_eq!(observation_of_attempt(outcome, class, plan, 0.5), expected, "{outcome:?}");
--- a/crates/admission/src/tests/endpoint_rules/retry_rules.rs
+++ b/crates/admission/src/tests/endpoint_rules/retry_rules.rs
@@ -167,9 +167,9 @@
         (AfterAttemptInput { outcome: Outcome::Ok, ..failed }, AfterAttempt::Close),
         (AfterAttemptInput { is_closed: true, ..failed }, AfterAttempt::Close),
         (AfterAttemptInput { has_attempt_in_flight: true, ..failed }, AfterAttempt::AwaitOther),
-        (AfterAttemptInput { outcome: Outcome::TooLate, ..failed }, AfterAttempt::Finish),
+        (AfterAttemptInput { outcome: Outcome::NotSent, ..failed }, AfterAttempt::Finish),
         (
-            AfterAttemptInput { outcome: Outcome::TooLate, has_attempt_in_flight: true, ..failed },
+            AfterAttemptInput { outcome: Outcome::NotSent, has_attempt_in_flight: true, ..failed },
             AfterAttempt::AwaitOther,
         ),
     ];
@@ -181,8 +181,8 @@
 // Guards requests that must not run twice: they may be retried only if the attempt certainly did not run.
 #[test]
 fn rejected_and_unsent_attempts_did_not_run() {
-    use Outcome::{Cancelled, ConnectFailed, Error, Ok, Overloaded, Reset, TimedOut, TooLate};
-    for outcome in [Overloaded, ConnectFailed, TooLate] {
+    use Outcome::{Cancelled, ConnectFailed, Error, NotSent, Ok, Overloaded, Reset, TimedOut};
+    for outcome in [Overloaded, ConnectFailed, NotSent] {
         assert!(!may_have_run(outcome), "{outcome:?}");
     }
     for outcome in [Ok, Error, TimedOut, Reset, Cancelled] {
--- a/crates/gateway/src/dispatcher/actions.rs
+++ b/crates/gateway/src/dispatcher/actions.rs
@@ -43,7 +43,7 @@
         if !call.awaits_response() {
             call.push_attempt(None);
             let ended = EndedAttempt { request, index, endpoint, took_ms: 0.0, request_answered: true };
-            return state.events.push_back(ended.into_event_without_response(Outcome::TooLate));
+            return state.events.push_back(ended.into_event_without_response(Outcome::NotSent));
         }
         let sent_at = Instant::now();
         let deadline = call.attempt_deadline(sent_at, timeout_ms);
--- a/crates/gateway/src/upstream/outcomes.rs
+++ b/crates/gateway/src/upstream/outcomes.rs
@@ -18,7 +18,7 @@
 pub(super) fn reason_not_to_send(check: &SendCheck) -> Option<Outcome> {
     if check.is_lease_expired {
         // The endpoint is not to blame.
-        Some(Outcome::TooLate)
+        Some(Outcome::NotSent)
     } else if !check.is_endpoint_ready || !check.is_wanted {
         Some(Outcome::ConnectFailed)
     } else {
--- a/crates/gateway/src/upstream/tests/connections.rs
+++ b/crates/gateway/src/upstream/tests/connections.rs
@@ -113,7 +113,7 @@
         pool.set_lease_end(until);
         let attempt = pool.attempt(id, &request, until, || true);
         pool.set_lease_end(Instant::now());
-        assert_eq!(attempt.await.outcome, Outcome::TooLate, "pooled: {pooled}");
+        assert_eq!(attempt.await.outcome, Outcome::NotSent, "pooled: {pooled}");
     }
     let (far, _) = listener.accept().await.expect("a connection");
     list_endpoint_as(EndpointState::Draining);
--- a/crates/gateway/src/upstream/tests/outcomes.rs
+++ b/crates/gateway/src/upstream/tests/outcomes.rs
@@ -13,8 +13,8 @@
         (sound, None),
         (SendCheck { is_wanted: false, ..sound }, Some(Outcome::ConnectFailed)),
         (SendCheck { is_endpoint_ready: false, ..sound }, Some(Outcome::ConnectFailed)),
-        (SendCheck { is_lease_expired: true, ..sound }, Some(Outcome::TooLate)),
-        (SendCheck { is_lease_expired: true, is_endpoint_ready: false, ..sound }, Some(Outcome::TooLate)),
+        (SendCheck { is_lease_expired: true, ..sound }, Some(Outcome::NotSent)),
+        (SendCheck { is_lease_expired: true, is_endpoint_ready: false, ..sound }, Some(Outcome::NotSent)),
     ];
     for (check, outcome) in cases {
         assert_eq!(reason_not_to_send(&check), outcome, "{check:?}");
--- a/crates/simulator-adapter/src/wire/tests/events.rs
+++ b/crates/simulator-adapter/src/wire/tests/events.rs
@@ -60,7 +60,7 @@
         ("UNAVAILABLE", Outcome::ConnectFailed),
         ("ABORTED", Outcome::Reset),
         ("CANCELLED", Outcome::Cancelled),
-        ("TOO_LATE", Outcome::TooLate),
+        ("TOO_LATE", Outcome::NotSent),
     ];
     for (verdict, outcome) in cases {
         assert_eq!(translate(result_message(verdict)), Ok(Event::AttemptEnded(attempt_end(outcome))));
