--- a/crates/admission/src/event_handling.rs
+++ b/crates/admission/src/event_handling.rs
@@ -69,7 +69,7 @@
         self.update_typical_age();
         self.detect_correlated_failure();
         self.refill_warm_up_tokens();
-        self.measure_saturation();
+        self.measure_load();
         self.finish_overdue_requests(actions);
         self.act_on_stalled_attempts(actions);
         self.step_watermark();
@@ -84,7 +84,7 @@
         if self.review_is_due() {
             self.detect_correlated_failure();
         }
-        self.measure_saturation();
+        self.measure_load();
         self.finish_overdue_requests(actions);
         self.act_on_stalled_attempts(actions);
         if self.review_is_due() {
--- a/crates/admission/src/lifecycle/band_control.rs
+++ b/crates/admission/src/lifecycle/band_control.rs
@@ -1,8 +1,8 @@
 //! Updates the in-flight band and finds the position of requests in it: which endpoints the band counts,
-//! whether they are saturated, the watermark's steps, and dispatch credit.
+//! whether they are loaded, the watermark's steps, and dispatch credit.
 use crate::gateway::Gateway;
 use crate::id::RequestId;
-use crate::policy::band::band_bounds::{is_saturated_in_broadcast_mode, position_in_broadcast_mode};
+use crate::policy::band::band_bounds::{is_loaded_in_broadcast_mode, position_in_broadcast_mode};
 use crate::policy::band::counted_endpoints::{
     is_counted_despite_correlated_failure, is_counted_in_broadcast_mode, is_counted_in_large_fleet,
     HealthSignals,
@@ -113,13 +113,13 @@
         self.band.set_dispatch_credit(credit_after_send(self.band.dispatch_credit()));
     }
 
-    /// Records whether the endpoints are saturated.
-    pub(crate) fn measure_saturation(&mut self) {
-        let is_saturated = match self.coordination.fleet_mode() {
-            FleetMode::Broadcast => is_saturated_in_broadcast_mode(&self.reported_band()),
-            FleetMode::LargeFleet => self.gossip_band().is_saturated(),
+    /// Records whether the endpoints are loaded.
+    pub(crate) fn measure_load(&mut self) {
+        let is_loaded = match self.coordination.fleet_mode() {
+            FleetMode::Broadcast => is_loaded_in_broadcast_mode(&self.reported_band()),
+            FleetMode::LargeFleet => self.gossip_band().is_loaded(),
         };
-        self.band.set_saturated(is_saturated);
+        self.band.set_loaded(is_loaded);
     }
 
     /// Moves the watermark if a step is due.
--- a/crates/admission/src/lifecycle/request_deadlines.rs
+++ b/crates/admission/src/lifecycle/request_deadlines.rs
@@ -18,7 +18,7 @@
             deadline_at_ms: active.deadline_at_ms,
             tick_ms: self.settings.tick_ms,
             mean_response_ms: self.latency.response_ms(active.request.class),
-            endpoints_saturated: self.band.is_saturated(),
+            endpoints_loaded: self.band.is_loaded(),
         }
     }
 
--- a/crates/admission/src/policy/admission/deadline.rs
+++ b/crates/admission/src/policy/admission/deadline.rs
@@ -1,11 +1,11 @@
 //! Whether a request can still be answered in time, and when it is overdue.
 use crate::policy::upkeep::UPKEEP_INTERVAL_MS;
 
-/// Time that a request must have left while the endpoints are saturated, in mean response times. Response
+/// Time that a request must have left while the endpoints are loaded, in mean response times. Response
 /// times vary widely then, and work on a response that the client no longer waits for is wasted.
-const MIN_RESPONSE_TIMES_LEFT_SATURATED: f64 = 2.5;
+const MIN_RESPONSE_TIMES_LEFT_LOADED: f64 = 2.5;
 
-/// Time that a request must have left while the endpoints are not saturated, in mean response times. It is
+/// Time that a request must have left while the endpoints are not loaded, in mean response times. It is
 /// less than one: endpoints that were slow must still be sent requests, or their recovery would go unnoticed.
 const MIN_RESPONSE_TIMES_LEFT: f64 = 0.8;
 
@@ -25,8 +25,8 @@
     pub(crate) tick_ms: f64,
     /// Mean response time of the request's class, in ms.
     pub(crate) mean_response_ms: f64,
-    /// Whether the endpoints are saturated: the fleet's attempts in flight exceed half of the band's middle.
-    pub(crate) endpoints_saturated: bool,
+    /// Whether the endpoints are loaded: the fleet's attempts in flight exceed half of the band's middle.
+    pub(crate) endpoints_loaded: bool,
 }
 
 impl RequestTimes {
@@ -40,11 +40,8 @@
 
     /// Returns whether the time left is too short to expect a response.
     pub(crate) fn is_too_late(&self) -> bool {
-        let response_times = if self.endpoints_saturated {
-            MIN_RESPONSE_TIMES_LEFT_SATURATED
-        } else {
-            MIN_RESPONSE_TIMES_LEFT
-        };
+        let response_times =
+            if self.endpoints_loaded { MIN_RESPONSE_TIMES_LEFT_LOADED } else { MIN_RESPONSE_TIMES_LEFT };
         self.time_left_ms() < response_times * self.mean_response_ms
     }
 
--- a/crates/admission/src/policy/band/band_bounds.rs
+++ b/crates/admission/src/policy/band/band_bounds.rs
@@ -5,8 +5,8 @@
 /// of the published design that the queue follows, "Inference Gateway Queuing System Design".
 const BAND_DEVIATION: f64 = 0.1;
 
-/// Fraction of the band's middle above which the endpoints are saturated, in both modes.
-pub(crate) const SATURATED_FILL: f64 = 0.5;
+/// Fraction of the band's middle above which the endpoints are loaded, in both modes.
+pub(crate) const LOADED_FILL: f64 = 0.5;
 
 /// Returns the position of the fleet's attempts in flight in broadcast mode. A gateway with fewer attempts in
 /// flight than an even fraction of the lower bound is always positioned under both bounds: otherwise peers
@@ -24,7 +24,7 @@
     }
 }
 
-/// Returns whether the endpoints are saturated, in broadcast mode.
-pub(crate) fn is_saturated_in_broadcast_mode(band: &Band) -> bool {
-    band.in_flight > SATURATED_FILL * band.middle
+/// Returns whether the endpoints are loaded, in broadcast mode.
+pub(crate) fn is_loaded_in_broadcast_mode(band: &Band) -> bool {
+    band.in_flight > LOADED_FILL * band.middle
 }
--- a/crates/admission/src/policy/band/dispatch_credit.rs
+++ b/crates/admission/src/policy/band/dispatch_credit.rs
@@ -1,6 +1,6 @@
 //! The band in a large fleet: the fleet's attempts in flight as gossip reports them, and the dispatch credit
 //! that each gateway earns.
-use crate::policy::band::band_bounds::SATURATED_FILL;
+use crate::policy::band::band_bounds::LOADED_FILL;
 use crate::state::BandPosition;
 
 /// Fraction of the band's middle below which gateways of a large fleet send without credit. Above it each
@@ -81,9 +81,9 @@
         self.fill() > CREDIT_THRESHOLD_FILL
     }
 
-    /// Returns whether the endpoints are saturated.
-    pub(crate) fn is_saturated(&self) -> bool {
-        self.fill() > SATURATED_FILL
+    /// Returns whether the endpoints are loaded.
+    pub(crate) fn is_loaded(&self) -> bool {
+        self.fill() > LOADED_FILL
     }
 }
 
--- a/crates/admission/src/state/fleet/band_state.rs
+++ b/crates/admission/src/state/fleet/band_state.rs
@@ -10,9 +10,9 @@
     blocked: bool,
     /// Whether queued requests have waited for the band since the last step of the watermark.
     blocked_since_step: bool,
-    /// Whether the endpoints are saturated: the fleet's attempts in flight exceed a fraction of the band's
+    /// Whether the endpoints are loaded: the fleet's attempts in flight exceed a fraction of the band's
     /// middle.
-    saturated: bool,
+    loaded: bool,
     /// When the watermark last took a step, in milliseconds.
     stepped_ms: f64,
     /// Ready endpoints as the band last counted them; an endpoint that is warming up counts as a fraction.
@@ -164,14 +164,14 @@
         self.blocked = true;
     }
 
-    /// Returns whether the endpoints are saturated.
-    pub(crate) fn is_saturated(&self) -> bool {
-        self.saturated
+    /// Returns whether the endpoints are loaded.
+    pub(crate) fn is_loaded(&self) -> bool {
+        self.loaded
     }
 
-    /// Records whether the endpoints are saturated.
-    pub(crate) fn set_saturated(&mut self, saturated: bool) {
-        self.saturated = saturated;
+    /// Records whether the endpoints are loaded.
+    pub(crate) fn set_loaded(&mut self, loaded: bool) {
+        self.loaded = loaded;
     }
 
     /// Returns the ready endpoints as the band last counted them.
--- a/crates/admission/src/tests/load_rules/band_position_rules.rs
+++ b/crates/admission/src/tests/load_rules/band_position_rules.rs
@@ -1,6 +1,6 @@
 //! The position of the attempts in flight relative to the band, and dispatch credit.
 use super::is_close;
-use crate::policy::band::band_bounds::{is_saturated_in_broadcast_mode, position_in_broadcast_mode};
+use crate::policy::band::band_bounds::{is_loaded_in_broadcast_mode, position_in_broadcast_mode};
 use crate::policy::band::dispatch_credit::{
     credit_after_refill, credit_after_send, credit_required, position_in_large_fleet, LargeFleetBand,
 };
@@ -36,9 +36,9 @@
 
 #[test]
 fn endpoints_are_saturated_above_half_of_the_middle() {
-    for (in_flight, saturated) in [(50.0, false), (51.0, true)] {
-        assert_eq!(is_saturated_in_broadcast_mode(&reported_band(0.0, in_flight)), saturated, "{in_flight}");
-        assert_eq!(gossip_band(in_flight).is_saturated(), saturated, "{in_flight} by gossip");
+    for (in_flight, loaded) in [(50.0, false), (51.0, true)] {
+        assert_eq!(is_loaded_in_broadcast_mode(&reported_band(0.0, in_flight)), loaded, "{in_flight}");
+        assert_eq!(gossip_band(in_flight).is_loaded(), loaded, "{in_flight} by gossip");
     }
 }
 
--- a/crates/admission/src/tests/load_rules/deadline_rules.rs
+++ b/crates/admission/src/tests/load_rules/deadline_rules.rs
@@ -14,7 +14,7 @@
     deadline_at_ms: 3000.0,
     tick_ms: 2.0,
     mean_response_ms: 200.0,
-    endpoints_saturated: false,
+    endpoints_loaded: false,
 };
 
 #[test]
@@ -25,12 +25,12 @@
 }
 
 #[test]
-fn too_late_begins_earlier_while_the_endpoints_are_saturated() {
-    // The limit is 0.8 mean response times, 160 ms, or 2.5 while the endpoints are saturated, 500 ms.
+fn too_late_begins_earlier_while_the_endpoints_are_loaded() {
+    // The limit is 0.8 mean response times, 160 ms, or 2.5 while the endpoints are loaded, 500 ms.
     let cases = [(160.0, false, false), (159.0, false, true), (500.0, true, false), (499.0, true, true)];
-    for (left_ms, endpoints_saturated, too_late) in cases {
-        let times = RequestTimes { objective_at_ms: 1000.0 + left_ms, endpoints_saturated, ..TIMES };
-        assert_eq!(times.is_too_late(), too_late, "{left_ms} ms left, saturated: {endpoints_saturated}");
+    for (left_ms, endpoints_loaded, too_late) in cases {
+        let times = RequestTimes { objective_at_ms: 1000.0 + left_ms, endpoints_loaded, ..TIMES };
+        assert_eq!(times.is_too_late(), too_late, "{left_ms} ms left, loaded: {endpoints_loaded}");
     }
 }
 
--- a/crates/admission/src/tests/load_rules/new_request_rules.rs
+++ b/crates/admission/src/tests/load_rules/new_request_rules.rs
@@ -26,7 +26,7 @@
         deadline_at_ms: 3000.0,
         tick_ms: 2.0,
         mean_response_ms: 100.0,
-        endpoints_saturated: false,
+        endpoints_loaded: false,
     }
 }
 
