--- a/crates/admission/src/lifecycle/band_control.rs
+++ b/crates/admission/src/lifecycle/band_control.rs
@@ -4,8 +4,7 @@
 use crate::id::RequestId;
 use crate::policy::band::band_bounds::{is_loaded_in_broadcast_mode, position_in_broadcast_mode};
 use crate::policy::band::counted_endpoints::{
-    is_counted_despite_correlated_failure, is_counted_in_broadcast_mode, is_counted_in_large_fleet,
-    HealthSignals,
+    is_counted_in_broadcast_mode, is_counted_in_large_fleet, is_counted_or_correlated_failure, HealthSignals,
 };
 use crate::policy::band::dispatch_credit::{
     credit_after_refill, credit_after_send, credit_required, position_in_large_fleet, LargeFleetBand,
@@ -32,7 +31,7 @@
         let mode = self.coordination.fleet_mode();
         let is_correlated_failure = self.outliers.is_correlated_failure();
         let counted = |endpoint: &&Endpoint| {
-            is_counted_despite_correlated_failure(is_correlated_failure, || self.is_counted(endpoint, mode))
+            is_counted_or_correlated_failure(is_correlated_failure, || self.is_counted(endpoint, mode))
         };
         let endpoints = self.endpoints.iter().filter(counted);
         BandLoad::sum(endpoints.map(|endpoint| (endpoint, self.send_fraction(endpoint))))
--- a/crates/admission/src/policy/band/counted_endpoints.rs
+++ b/crates/admission/src/policy/band/counted_endpoints.rs
@@ -41,7 +41,7 @@
 /// endpoints look like outliers, the cause does not lie with them, and without them the band would have
 /// almost no capacity and almost nothing would be sent. `is_counted` decides by the endpoint alone, and is
 /// called only if there is no correlated failure.
-pub(crate) fn is_counted_despite_correlated_failure(
+pub(crate) fn is_counted_or_correlated_failure(
     is_correlated_failure: bool,
     is_counted: impl FnOnce() -> bool,
 ) -> bool {
--- a/crates/admission/src/tests/load_rules/counted_endpoint_rules.rs
+++ b/crates/admission/src/tests/load_rules/counted_endpoint_rules.rs
@@ -1,7 +1,6 @@
 //! Which endpoints the band counts.
 use crate::policy::band::counted_endpoints::{
-    is_counted_despite_correlated_failure, is_counted_in_broadcast_mode, is_counted_in_large_fleet,
-    HealthSignals,
+    is_counted_in_broadcast_mode, is_counted_in_large_fleet, is_counted_or_correlated_failure, HealthSignals,
 };
 
 const HEALTHY: HealthSignals = HealthSignals {
@@ -42,6 +41,6 @@
     for (is_correlated_failure, counted_alone, counted) in
         [(true, false, true), (false, false, false), (false, true, true)]
     {
-        assert_eq!(is_counted_despite_correlated_failure(is_correlated_failure, || counted_alone), counted);
+        assert_eq!(is_counted_or_correlated_failure(is_correlated_failure, || counted_alone), counted);
     }
 }
