--- a/crates/admission/src/policy/band/watermark.rs
+++ b/crates/admission/src/policy/band/watermark.rs
@@ -61,7 +61,7 @@
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct WatermarkInput {
     /// Smoothed response time, as a fraction of the latency objective.
-    pub(crate) response_fraction: f64,
+    pub(crate) objective_fraction: f64,
     /// Typical age of attempts in flight, in ms.
     pub(crate) typical_age_ms: f64,
     /// Shortest latency objective of all classes, in ms.
@@ -101,7 +101,7 @@
 pub(crate) fn watermark_step_in_broadcast_mode(input: &WatermarkInput) -> WatermarkStep {
     let age_fraction = AGE_WEIGHT * input.typical_age_ms / input.shortest_objective_ms;
     choose_step(
-        input.response_fraction.max(age_fraction),
+        input.objective_fraction.max(age_fraction),
         LOWER_ABOVE_OBJECTIVE_FRACTION,
         RAISE_BELOW_OBJECTIVE_FRACTION,
         input.was_blocked,
@@ -115,16 +115,21 @@
     let lower_above = LARGE_FLEET_THRESHOLD_FACTOR * LOWER_ABOVE_OBJECTIVE_FRACTION;
     let raise_below = LARGE_FLEET_THRESHOLD_FACTOR * RAISE_BELOW_OBJECTIVE_FRACTION;
     let is_needed = input.was_blocked || band.is_above_credit_threshold();
-    choose_step(input.response_fraction.max(age_fraction), lower_above, raise_below, is_needed)
+    choose_step(input.objective_fraction.max(age_fraction), lower_above, raise_below, is_needed)
 }
 
 /// Returns the step for a response time, given as a fraction of the latency objective like both thresholds:
 /// the watermark falls above `lower_above`, and rises below `raise_below` if a rise is needed.
-fn choose_step(response_fraction: f64, lower_above: f64, raise_below: f64, is_needed: bool) -> WatermarkStep {
-    if response_fraction > lower_above {
+fn choose_step(
+    objective_fraction: f64,
+    lower_above: f64,
+    raise_below: f64,
+    is_needed: bool,
+) -> WatermarkStep {
+    if objective_fraction > lower_above {
         WatermarkStep::Lower { factor: FALL_FACTOR }
-    } else if response_fraction < raise_below && is_needed {
-        WatermarkStep::Raise { factor: 1.0 + MAX_RISE_FRACTION * (1.0 - response_fraction / raise_below) }
+    } else if objective_fraction < raise_below && is_needed {
+        WatermarkStep::Raise { factor: 1.0 + MAX_RISE_FRACTION * (1.0 - objective_fraction / raise_below) }
     } else {
         WatermarkStep::Stay
     }
