--- a/crates/admission/src/coordination/observations.rs
+++ b/crates/admission/src/coordination/observations.rs
@@ -5,7 +5,7 @@
 use crate::mechanism::splitmix64::short_tag;
 use crate::messages::observation_code::{Observation, ObservationKind, ResponseTimeCode};
 use crate::policy::observation::{observation_of_attempt, MAX_OBSERVATIONS, OBSERVATION_SPAN_S};
-use crate::policy::outlier::{ejection_jitter, fails_class, CLASS_FAILURE_GAIN, SCOPED_EJECTION};
+use crate::policy::outlier::{ejection_jitter, is_class_ejection_due, CLASS_FAILURE_GAIN, SCOPED_EJECTION};
 use crate::policy::quota_owner::owner_sampling::QUOTA_RATE_SPAN_S;
 use crate::policy::response_time::{kind_sample, OBSERVED_RESPONSE_TIME_GAIN};
 use crate::policy::slow_start::has_warmed_up;
@@ -66,7 +66,7 @@
         let (now_ms, jitter) = (self.clock.now_ms(), self.observation_jitter(tag));
         let Some(endpoint) = self.endpoints.get_by_tag_mut(tag) else { return };
         let failed_fraction = endpoint.observed_health.record_failure(class, CLASS_FAILURE_GAIN);
-        if fails_class(failed_fraction) {
+        if is_class_ejection_due(failed_fraction) {
             endpoint.observed_health.eject(EjectionScope::Class(class), now_ms, SCOPED_EJECTION, jitter);
         }
     }
--- a/crates/admission/src/policy/outlier/mod.rs
+++ b/crates/admission/src/policy/outlier/mod.rs
@@ -11,7 +11,7 @@
     decide_ejection_in_broadcast_mode, decide_ejection_in_large_fleet, EjectionDecision, EjectionInput,
     ERROR_GAIN,
 };
-pub(crate) use class_failure::{fails_class, CLASS_FAILURE_GAIN};
+pub(crate) use class_failure::{is_class_ejection_due, CLASS_FAILURE_GAIN};
 pub(crate) use correlated_failure::is_correlated_failure;
 pub(crate) use ejection::{ejection_jitter, is_outlier, OutlierInput, EJECTION, SCOPED_EJECTION};
 pub(crate) use health_evidence::{health_evidence, HealthEvidence};
--- a/crates/admission/src/tests/endpoint_rules/outlier_rules.rs
+++ b/crates/admission/src/tests/endpoint_rules/outlier_rules.rs
@@ -3,8 +3,8 @@
 use crate::event::Outcome;
 use crate::id::ClassIndex;
 use crate::policy::outlier::{
-    decide_ejection_in_broadcast_mode, decide_ejection_in_large_fleet, ejection_jitter, fails_class,
-    health_evidence, is_correlated_failure, is_outlier, is_unresponsive, stall_ratio, typical_age_ms,
+    decide_ejection_in_broadcast_mode, decide_ejection_in_large_fleet, ejection_jitter, health_evidence,
+    is_class_ejection_due, is_correlated_failure, is_outlier, is_unresponsive, stall_ratio, typical_age_ms,
     usual_response_ms, EjectionDecision, EjectionInput, HealthEvidence, OutlierInput, StallInput,
     UnresponsiveInput, CLASS_FAILURE_GAIN, ERROR_GAIN,
 };
@@ -96,7 +96,7 @@
 
 #[test]
 fn class_is_ejected_above_half_failed_with_jitter_of_a_quarter() {
-    assert!(!fails_class(0.5) && fails_class(0.51));
+    assert!(!is_class_ejection_due(0.5) && is_class_ejection_due(0.51));
     assert!(is_close(ejection_jitter(0.0), 0.75) && is_close(ejection_jitter(1.0), 1.25));
 }
 
@@ -172,7 +172,7 @@
     let unchanged = EjectionDecision::Unchanged;
     assert_eq!(decisions, [unchanged, unchanged, unchanged, EjectionDecision::Eject]);
     let mut observed = ObservedHealth::new(0.0);
-    let mut fails = || fails_class(observed.record_failure(ClassIndex(0), CLASS_FAILURE_GAIN));
+    let mut fails = || is_class_ejection_due(observed.record_failure(ClassIndex(0), CLASS_FAILURE_GAIN));
     assert_eq!([fails(), fails()], [false, true]);
 }
 
