--- a/crates/admission/src/lifecycle/endpoint_choice.rs
+++ b/crates/admission/src/lifecycle/endpoint_choice.rs
@@ -101,7 +101,7 @@
                 now_ms,
             ),
             is_unresponsive: self.is_unresponsive(endpoint),
-            missed_responses: endpoint.observed_health.missed_responses(),
+            failed_or_slow_attempts: endpoint.observed_health.failed_or_slow_attempts(),
             idempotency: self.settings.class(request.class).idempotency,
         });
         let cost = selection::cost_in_large_fleet(&LargeFleetCostInput {
--- a/crates/admission/src/policy/selection/fitness.rs
+++ b/crates/admission/src/policy/selection/fitness.rs
@@ -29,7 +29,7 @@
     /// The endpoint responds to no gateway any more.
     pub is_unresponsive: bool,
     /// Observed attempts at the endpoint that failed or were slow since its last response.
-    pub missed_responses: u32,
+    pub failed_or_slow_attempts: u32,
     /// What the request's class allows after an attempt that may have run.
     pub idempotency: Idempotency,
 }
@@ -48,7 +48,7 @@
 /// be sent elsewhere if its response is lost.
 pub(crate) fn fitness_in_large_fleet(input: &LargeFleetFitnessInput) -> EndpointFitness {
     let is_idempotent = input.idempotency == Idempotency::Idempotent;
-    let must_avoid = !is_idempotent && input.missed_responses > 0;
+    let must_avoid = !is_idempotent && input.failed_or_slow_attempts > 0;
     EndpointFitness {
         is_unfit: input.is_outlier || input.is_ejected_for_request || must_avoid,
         is_unresponsive: input.is_unresponsive || must_avoid,
--- a/crates/admission/src/tests/endpoint_rules/outlier_rules.rs
+++ b/crates/admission/src/tests/endpoint_rules/outlier_rules.rs
@@ -61,14 +61,14 @@
 fn endpoint_is_unresponsive_after_missed_responses_and_time() {
     // 20 responses per second from 10 endpoints: 2.5 responses from one endpoint take 1250 ms.
     let silent = UnresponsiveInput {
-        missed_responses: 2,
+        failed_or_slow_attempts: 2,
         since_response_ms: 1251.0,
         observed_responses_per_second: 20.0,
         endpoints: 10,
     };
     let rows = [
         ("silent", silent, true),
-        ("one missed", UnresponsiveInput { missed_responses: 1, ..silent }, false),
+        ("one missed", UnresponsiveInput { failed_or_slow_attempts: 1, ..silent }, false),
         ("too early", UnresponsiveInput { since_response_ms: 1249.0, ..silent }, false),
         ("few observations", UnresponsiveInput { observed_responses_per_second: 2.0, ..silent }, false),
         (
--- a/crates/admission/src/tests/endpoint_rules/selection_rules.rs
+++ b/crates/admission/src/tests/endpoint_rules/selection_rules.rs
@@ -88,11 +88,11 @@
         is_outlier: false,
         is_ejected_for_request: false,
         is_unresponsive: false,
-        missed_responses: 0,
+        failed_or_slow_attempts: 0,
         idempotency: Idempotency::NonIdempotent,
     };
     let keyed = Idempotency::IdempotencyKey { group: DedupGroup::All, window_ms: 1000.0 };
-    let missed = LargeFleetFitnessInput { missed_responses: 1, ..healthy };
+    let missed = LargeFleetFitnessInput { failed_or_slow_attempts: 1, ..healthy };
     // The input, and whether the endpoint is unfit and unresponsive for the request.
     let rows = [
         (healthy, (false, false)),
