--- a/crates/admission/src/coordination/observations.rs
+++ b/crates/admission/src/coordination/observations.rs
@@ -75,7 +75,7 @@
     fn apply_response(&mut self, tag: u32, class: ClassIndex, response_time: ResponseTimeCode) {
         let now_ms = self.clock.now_ms();
         let Some(endpoint) = self.endpoints.get_by_tag_mut(tag) else { return };
-        endpoint.observed_health.record_response(class, now_ms, CLASS_FAILURE_GAIN);
+        endpoint.observed_health.record_good_response(class, now_ms, CLASS_FAILURE_GAIN);
         self.outliers.record_observed_response(now_ms, OBSERVATION_SPAN_S);
         let objective_fraction = response_time.objective_fraction();
         let relative = self.latency.relative_to_mean(objective_fraction);
--- a/crates/admission/src/lifecycle/outlier_checks.rs
+++ b/crates/admission/src/lifecycle/outlier_checks.rs
@@ -51,7 +51,7 @@
             FleetMode::Broadcast => false,
             FleetMode::LargeFleet => outlier::is_unresponsive(&UnresponsiveInput {
                 failed_or_slow_attempts: endpoint.observed_health.failed_or_slow_attempts(),
-                since_response_ms: endpoint.observed_health.since_response_ms(now_ms),
+                since_good_response_ms: endpoint.observed_health.since_good_response_ms(now_ms),
                 observed_responses_per_second: self
                     .outliers
                     .observed_responses_per_second(now_ms, OBSERVATION_SPAN_S),
--- a/crates/admission/src/policy/outlier/unresponsive.rs
+++ b/crates/admission/src/policy/outlier/unresponsive.rs
@@ -16,7 +16,7 @@
     /// Attempts that failed or were slow since the endpoint's last response.
     pub failed_or_slow_attempts: u32,
     /// Time since the endpoint's last response, in ms.
-    pub since_response_ms: f64,
+    pub since_good_response_ms: f64,
     /// Rate of observed responses of all endpoints, per second.
     pub observed_responses_per_second: f64,
     /// Number of endpoints in the list.
@@ -27,5 +27,5 @@
 pub(crate) fn is_unresponsive(input: &UnresponsiveInput) -> bool {
     let per_endpoint = input.observed_responses_per_second / input.endpoints.max(1) as f64;
     let limit_ms = (1000.0 * EXPECTED_RESPONSES / per_endpoint).min(MAX_UNRESPONSIVE_MS);
-    input.failed_or_slow_attempts >= MIN_FAILED_OR_SLOW_ATTEMPTS && input.since_response_ms > limit_ms
+    input.failed_or_slow_attempts >= MIN_FAILED_OR_SLOW_ATTEMPTS && input.since_good_response_ms > limit_ms
 }
--- a/crates/admission/src/state/endpoint/observed_health.rs
+++ b/crates/admission/src/state/endpoint/observed_health.rs
@@ -17,7 +17,7 @@
 #[derive(Debug)]
 pub(crate) struct ObservedHealth {
     /// When any gateway last observed a response, in ms.
-    last_response_ms: f64,
+    last_good_response_ms: f64,
     /// Attempts observed since the last response that failed or were slow.
     failed_or_slow_attempts: u32,
     /// Smoothed fraction of the requests of each class that failed.
@@ -30,7 +30,7 @@
     /// Creates the health of a new endpoint, which counts as having responded at `now_ms`.
     pub(crate) fn new(now_ms: f64) -> Self {
         ObservedHealth {
-            last_response_ms: now_ms,
+            last_good_response_ms: now_ms,
             failed_or_slow_attempts: 0,
             class_failure_fraction: BTreeMap::new(),
             scoped_ejections: BTreeMap::new(),
@@ -39,8 +39,8 @@
 
     /// Records a response to a request of a class, with the weight `gain` in the class's fraction of failed
     /// requests.
-    pub(crate) fn record_response(&mut self, class: ClassIndex, now_ms: f64, gain: f64) {
-        self.last_response_ms = now_ms;
+    pub(crate) fn record_good_response(&mut self, class: ClassIndex, now_ms: f64, gain: f64) {
+        self.last_good_response_ms = now_ms;
         self.failed_or_slow_attempts = 0;
         smooth(self.class_failure_fraction.entry(class).or_insert(0.0), 0.0, gain);
     }
@@ -60,8 +60,8 @@
     }
 
     /// Returns the time since a response was last observed, in ms.
-    pub(crate) fn since_response_ms(&self, now_ms: f64) -> f64 {
-        now_ms - self.last_response_ms
+    pub(crate) fn since_good_response_ms(&self, now_ms: f64) -> f64 {
+        now_ms - self.last_good_response_ms
     }
 
     /// Ejects the endpoint for requests of a class or plan, for longer with each consecutive failure.
--- a/crates/admission/src/tests/endpoint_rules/outlier_rules.rs
+++ b/crates/admission/src/tests/endpoint_rules/outlier_rules.rs
@@ -62,20 +62,20 @@
     // 20 responses per second from 10 endpoints: 2.5 responses from one endpoint take 1250 ms.
     let silent = UnresponsiveInput {
         failed_or_slow_attempts: 2,
-        since_response_ms: 1251.0,
+        since_good_response_ms: 1251.0,
         observed_responses_per_second: 20.0,
         endpoints: 10,
     };
     let rows = [
         ("silent", silent, true),
         ("one missed", UnresponsiveInput { failed_or_slow_attempts: 1, ..silent }, false),
-        ("too early", UnresponsiveInput { since_response_ms: 1249.0, ..silent }, false),
+        ("too early", UnresponsiveInput { since_good_response_ms: 1249.0, ..silent }, false),
         ("few observations", UnresponsiveInput { observed_responses_per_second: 2.0, ..silent }, false),
         (
             "no observations, 2 s",
             UnresponsiveInput {
                 observed_responses_per_second: 0.0,
-                since_response_ms: 2001.0,
+                since_good_response_ms: 2001.0,
                 endpoints: 0,
                 ..silent
             },
