--- a/crates/admission/src/lifecycle/queue_dispatch.rs
+++ b/crates/admission/src/lifecycle/queue_dispatch.rs
@@ -113,7 +113,7 @@
             peer_in_flight: peers.in_flight,
             reporting_peers: peers.reporting_peers,
             gateways: customer.gateways().len() as u32,
-            place: customer.gateways().rotated_position(active.tag, self.settings.this_gateway),
+            gateway_position: customer.gateways().rotated_position(active.tag, self.settings.this_gateway),
         }
     }
 }
--- a/crates/admission/src/policy/queue/customer_limits.rs
+++ b/crates/admission/src/policy/queue/customer_limits.rs
@@ -40,7 +40,7 @@
     /// Number of gateways that the customer's requests come through.
     pub(crate) gateways: u32,
     /// Position of this gateway among them, from 0. It differs from customer to customer.
-    pub(crate) place: u32,
+    pub(crate) gateway_position: u32,
 }
 
 /// Whether a customer's limits permit a request.
@@ -88,7 +88,7 @@
 /// once this gateway uses its own fraction of the slots, each reporting peer is assumed to have one attempt
 /// more in flight than it reported.
 fn open_limit_reached(limit: u32, slots: &SlotUse) -> bool {
-    let has_slot = slots.place < (OVERCOMMIT_GATEWAYS * limit).div_ceil(OVERCOMMIT_SLOTS);
+    let has_slot = slots.gateway_position < (OVERCOMMIT_GATEWAYS * limit).div_ceil(OVERCOMMIT_SLOTS);
     let own_slots = (limit / slots.gateways).max(u32::from(has_slot));
     let unreported = if slots.in_flight < own_slots { 0 } else { slots.reporting_peers };
     slots.in_flight + slots.peer_in_flight + unreported >= limit
--- a/crates/admission/src/tests/load_rules/customer_limit_rules.rs
+++ b/crates/admission/src/tests/load_rules/customer_limit_rules.rs
@@ -36,7 +36,13 @@
     assert_eq!(check_customer_limits(&short), LimitDecision::WaitForCeiling);
     assert_eq!(check_customer_limits(&input(&plan)), LimitDecision::Admit);
     assert_eq!(check_customer_limits(&LimitInput { plan: &without_ceiling, ..short }), LimitDecision::Admit);
-    let slots = Some(SlotUse { in_flight: 1, peer_in_flight: 0, reporting_peers: 0, gateways: 1, place: 0 });
+    let slots = Some(SlotUse {
+        in_flight: 1,
+        peer_in_flight: 0,
+        reporting_peers: 0,
+        gateways: 1,
+        gateway_position: 0,
+    });
     assert_eq!(check_customer_limits(&LimitInput { slots, ..short }), LimitDecision::WaitForSlot);
 }
 
@@ -54,10 +60,16 @@
         (2, 8, 3, [0, 1, 0], LimitDecision::Admit),
         (0, 8, 3, [9, 9, 9], LimitDecision::Admit),
     ];
-    for (concurrency_limit, gateways, place, [in_flight, peer_in_flight, reporting_peers], expected) in cases
+    for (
+        concurrency_limit,
+        gateways,
+        gateway_position,
+        [in_flight, peer_in_flight, reporting_peers],
+        expected,
+    ) in cases
     {
         let plan = PlanSettings { concurrency_limit, ..plan() };
-        let slots = SlotUse { in_flight, peer_in_flight, reporting_peers, gateways, place };
+        let slots = SlotUse { in_flight, peer_in_flight, reporting_peers, gateways, gateway_position };
         let decision = check_customer_limits(&LimitInput { slots: Some(slots), ..input(&plan) });
         assert_eq!(decision, expected, "limit {concurrency_limit}, {slots:?}");
     }
