--- a/crates/admission/src/lifecycle/queue_dispatch.rs
+++ b/crates/admission/src/lifecycle/queue_dispatch.rs
@@ -35,7 +35,7 @@
                 HeadDecision::Eligible => next = Some(earlier_head(next, head)),
                 HeadDecision::BlockedByBand => self.band.block(),
                 HeadDecision::OverQuota => self.dispatch_over_quota(head, actions),
-                HeadDecision::AwaitsQuota => {}
+                HeadDecision::AwaitsCustomerLimit => {}
             }
         }
         // In broadcast mode this is the only check of the band. In a large fleet the band was checked for
--- a/crates/admission/src/policy/queue/dispatch_order.rs
+++ b/crates/admission/src/policy/queue/dispatch_order.rs
@@ -11,7 +11,7 @@
     /// The head may be dispatched next.
     Eligible,
     /// The customer's quota does not permit the head yet.
-    AwaitsQuota,
+    AwaitsCustomerLimit,
     /// The quota permits the head, but there is too little dispatch credit for its class.
     BlockedByBand,
     /// The head is over its quota: it is removed from the queue, and sent although it is over, or rejected.
@@ -23,7 +23,7 @@
 pub(crate) fn head_decision_in_broadcast_mode(quota: QuotaDecision) -> HeadDecision {
     match quota {
         QuotaDecision::Admit => HeadDecision::Eligible,
-        QuotaDecision::Wait => HeadDecision::AwaitsQuota,
+        QuotaDecision::Wait => HeadDecision::AwaitsCustomerLimit,
         QuotaDecision::OverQuota => HeadDecision::OverQuota,
     }
 }
@@ -38,7 +38,7 @@
     match quota {
         QuotaDecision::Admit if band_position().permits_queued_request() => HeadDecision::Eligible,
         QuotaDecision::Admit => HeadDecision::BlockedByBand,
-        QuotaDecision::Wait => HeadDecision::AwaitsQuota,
+        QuotaDecision::Wait => HeadDecision::AwaitsCustomerLimit,
         QuotaDecision::OverQuota => HeadDecision::OverQuota,
     }
 }
--- a/crates/admission/src/tests/load_rules/dispatch_order_rules.rs
+++ b/crates/admission/src/tests/load_rules/dispatch_order_rules.rs
@@ -25,8 +25,8 @@
         (
             QuotaDecision::Wait,
             BandPosition::BelowLowerBound,
-            HeadDecision::AwaitsQuota,
-            HeadDecision::AwaitsQuota,
+            HeadDecision::AwaitsCustomerLimit,
+            HeadDecision::AwaitsCustomerLimit,
         ),
         (
             QuotaDecision::OverQuota,
