--- a/crates/admission/src/lifecycle/attempts.rs
+++ b/crates/admission/src/lifecycle/attempts.rs
@@ -90,7 +90,7 @@
         });
         match next {
             AfterAttempt::Close => self.close(end.request, actions),
-            AfterAttempt::AwaitOther => {}
+            AfterAttempt::AwaitOtherAttempt => {}
             AfterAttempt::Finish => self.finish(end.request, None, actions),
             AfterAttempt::Retry => {
                 if !self.retry(end.request, actions) {
--- a/crates/admission/src/policy/retry/after_attempt.rs
+++ b/crates/admission/src/policy/retry/after_attempt.rs
@@ -18,7 +18,7 @@
     /// The request is closed.
     Close,
     /// The request waits for its other attempt.
-    AwaitOther,
+    AwaitOtherAttempt,
     /// The request is retried if a retry is allowed, and otherwise gets its final response.
     Retry,
     /// The request gets its final response.
@@ -30,7 +30,7 @@
     if input.outcome == Outcome::Ok || input.is_closed {
         AfterAttempt::Close
     } else if input.has_attempt_in_flight {
-        AfterAttempt::AwaitOther
+        AfterAttempt::AwaitOtherAttempt
     } else if input.outcome == Outcome::NotSent {
         AfterAttempt::Finish
     } else {
--- a/crates/admission/src/tests/endpoint_rules/retry_rules.rs
+++ b/crates/admission/src/tests/endpoint_rules/retry_rules.rs
@@ -166,11 +166,11 @@
         (failed, AfterAttempt::Retry),
         (AfterAttemptInput { outcome: Outcome::Ok, ..failed }, AfterAttempt::Close),
         (AfterAttemptInput { is_closed: true, ..failed }, AfterAttempt::Close),
-        (AfterAttemptInput { has_attempt_in_flight: true, ..failed }, AfterAttempt::AwaitOther),
+        (AfterAttemptInput { has_attempt_in_flight: true, ..failed }, AfterAttempt::AwaitOtherAttempt),
         (AfterAttemptInput { outcome: Outcome::NotSent, ..failed }, AfterAttempt::Finish),
         (
             AfterAttemptInput { outcome: Outcome::NotSent, has_attempt_in_flight: true, ..failed },
-            AfterAttempt::AwaitOther,
+            AfterAttempt::AwaitOtherAttempt,
         ),
     ];
     for (input, expected) in rows {
