--- a/crates/admission/src/lifecycle/retries.rs
+++ b/crates/admission/src/lifecycle/retries.rs
@@ -4,7 +4,7 @@
 use crate::id::{ClassIndex, RequestId};
 use crate::policy::retry;
 use crate::policy::retry::{
-    PendingAttemptInput, RetryDecision, RetryInput, RetryScope, RetryScopeInput, StalledAction,
+    InFlightAttemptInput, RetryDecision, RetryInput, RetryScope, RetryScopeInput, StalledAction,
     StalledActionInput,
 };
 use crate::state::{ActiveRequest, AttemptId, EjectionScope, FleetMode, PendingAttempt};
@@ -106,7 +106,7 @@
         let Some(endpoint) = self.endpoints.get(pending.endpoint) else { return false };
         let now_ms = self.clock.now_ms();
         let class_scope = EjectionScope::Class(pending.class);
-        retry::is_stalled(&PendingAttemptInput {
+        retry::is_stalled(&InFlightAttemptInput {
             age_ms: now_ms - pending.sent_ms,
             slow_after_ms: self.slow_after_ms(pending.class),
             is_ejected_for_class: endpoint.observed_health.is_ejected(class_scope, now_ms),
