--- a/crates/admission/src/lifecycle/retries.rs
+++ b/crates/admission/src/lifecycle/retries.rs
@@ -106,7 +106,7 @@
         let Some(endpoint) = self.endpoints.get(pending.endpoint) else { return false };
         let now_ms = self.clock.now_ms();
         let class_scope = EjectionScope::Class(pending.class);
-        retry::is_stalled(&InFlightAttemptInput {
+        retry::is_presumed_stalled(&InFlightAttemptInput {
             age_ms: now_ms - pending.sent_ms,
             slow_after_ms: self.slow_after_ms(pending.class),
             is_ejected_for_class: endpoint.observed_health.is_ejected(class_scope, now_ms),
--- a/crates/admission/src/tests/endpoint_rules/retry_rules.rs
+++ b/crates/admission/src/tests/endpoint_rules/retry_rules.rs
@@ -3,9 +3,9 @@
 use crate::event::{EndpointEntry, EndpointState, Outcome};
 use crate::id::{EndpointId, MachineKindIndex, ZoneIndex};
 use crate::policy::retry::{
-    after_attempt, decide_retry, earned_retry_tokens, has_become_slow, is_stalled, may_have_run, retry_scope,
-    slow_after_ms, stalled_action, AfterAttempt, AfterAttemptInput, InFlightAttemptInput, RetryDecision,
-    RetryInput, RetryScope, RetryScopeInput, StalledAction, StalledActionInput,
+    after_attempt, decide_retry, earned_retry_tokens, has_become_slow, is_presumed_stalled, may_have_run,
+    retry_scope, slow_after_ms, stalled_action, AfterAttempt, AfterAttemptInput, InFlightAttemptInput,
+    RetryDecision, RetryInput, RetryScope, RetryScopeInput, StalledAction, StalledActionInput,
 };
 use crate::settings::{DedupGroup, Idempotency};
 use crate::state::{Attempt, Endpoint, EndpointSmoothing};
@@ -154,7 +154,7 @@
         (InFlightAttemptInput { is_unresponsive: true, ..young }, true),
     ];
     for (input, expected) in rows {
-        assert_eq!(is_stalled(&input), expected, "{input:?}");
+        assert_eq!(is_presumed_stalled(&input), expected, "{input:?}");
     }
 }
 
