--- a/crates/admission/src/coordination/observations.rs
+++ b/crates/admission/src/coordination/observations.rs
@@ -8,7 +8,7 @@
 use crate::policy::outlier::{ejection_jitter, is_class_ejection_due, CLASS_FAILURE_GAIN, SCOPED_EJECTION};
 use crate::policy::quota_owner::owner_sampling::QUOTA_RATE_SPAN_S;
 use crate::policy::response_time::{kind_sample, OBSERVED_RESPONSE_TIME_GAIN};
-use crate::policy::slow_start::has_warmed_up;
+use crate::policy::slow_start::is_past_warm_up;
 use crate::state::{EjectionScope, PendingAttempt};
 
 impl Gateway {
@@ -81,7 +81,7 @@
         let relative = self.latency.relative_to_mean(objective_fraction);
         let baseline = self.latency.kind_baseline(endpoint.kind());
         endpoint.response_time.record_observed(now_ms, relative, baseline, OBSERVED_RESPONSE_TIME_GAIN);
-        if has_warmed_up(endpoint.age_ms(now_ms), self.settings.warm_up_ms) {
+        if is_past_warm_up(endpoint.age_ms(now_ms), self.settings.warm_up_ms) {
             self.latency.record_kind_response_time(endpoint.kind(), kind_sample(relative));
             self.latency.record_observed_fraction(objective_fraction);
         }
--- a/crates/admission/src/lifecycle/response_times.rs
+++ b/crates/admission/src/lifecycle/response_times.rs
@@ -6,7 +6,7 @@
 use crate::policy::response_time::{
     KindDeviation, OwnAttemptInput, OwnAttemptSamples, ResponseTimeSample, OWN_RESPONSE_TIME_GAIN,
 };
-use crate::policy::slow_start::has_warmed_up;
+use crate::policy::slow_start::is_past_warm_up;
 use crate::state::Endpoint;
 
 impl Gateway {
@@ -64,7 +64,7 @@
             took_ms: end.took_ms,
             class_response_ms: self.latency.floored_response_ms(class),
             latency_objective_ms: self.settings.class(class).latency_objective_ms,
-            has_warmed_up: has_warmed_up(endpoint.age_ms(self.clock.now_ms()), self.settings.warm_up_ms),
+            is_past_warm_up: is_past_warm_up(endpoint.age_ms(self.clock.now_ms()), self.settings.warm_up_ms),
         })
     }
 }
--- a/crates/admission/src/policy/response_time/response_samples.rs
+++ b/crates/admission/src/policy/response_time/response_samples.rs
@@ -39,7 +39,7 @@
     /// Latency objective of the request's class, in ms.
     pub latency_objective_ms: f64,
     /// The endpoint has warmed up. Response times of endpoints that have not are no samples for the class.
-    pub has_warmed_up: bool,
+    pub is_past_warm_up: bool,
 }
 
 /// A sample of a response time.
@@ -70,9 +70,9 @@
     match input.outcome {
         Outcome::Ok => OwnAttemptSamples {
             relative: Some(ResponseTimeSample::Measured(relative)),
-            class_response_ms: input.has_warmed_up.then_some(input.took_ms),
+            class_response_ms: input.is_past_warm_up.then_some(input.took_ms),
             objective_fraction: input
-                .has_warmed_up
+                .is_past_warm_up
                 .then_some(ResponseTimeSample::Measured(objective_fraction)),
         },
         Outcome::Overloaded => OwnAttemptSamples {
@@ -94,6 +94,6 @@
 /// `None` if it gives none. The other response times are learned from the observations of all gateways.
 pub(crate) fn class_sample_in_large_fleet(input: &OwnAttemptInput) -> Option<f64> {
     let max_ms = MAX_RESPONSE_SAMPLE * input.class_response_ms;
-    let is_typical = input.outcome == Outcome::Ok && input.has_warmed_up;
+    let is_typical = input.outcome == Outcome::Ok && input.is_past_warm_up;
     is_typical.then_some(input.took_ms.min(max_ms))
 }
--- a/crates/admission/src/policy/slow_start/mod.rs
+++ b/crates/admission/src/policy/slow_start/mod.rs
@@ -4,7 +4,7 @@
 mod warm_up_budget;
 
 pub(crate) use warm_fraction::{
-    has_warmed_up, is_warming_up, send_fraction_in_broadcast_mode, send_fraction_in_large_fleet,
+    is_past_warm_up, is_warming_up, send_fraction_in_broadcast_mode, send_fraction_in_large_fleet,
     warm_fraction, WARM_UP_BUDGET_FRACTION, WARM_UP_WEIGHT,
 };
 pub(crate) use warm_up_admission::{warm_up_admission, warm_up_draw, SendCapacity, WarmUpAdmission};
--- a/crates/admission/src/policy/slow_start/warm_fraction.rs
+++ b/crates/admission/src/policy/slow_start/warm_fraction.rs
@@ -23,7 +23,7 @@
 }
 
 /// Returns whether an endpoint's process is old enough for its response times to be typical.
-pub(crate) fn has_warmed_up(age_ms: Option<f64>, warm_up_ms: f64) -> bool {
+pub(crate) fn is_past_warm_up(age_ms: Option<f64>, warm_up_ms: f64) -> bool {
     age_ms.is_none_or(|age_ms| age_ms >= warm_up_ms)
 }
 
--- a/crates/admission/src/tests/endpoint_rules/response_time_rules.rs
+++ b/crates/admission/src/tests/endpoint_rules/response_time_rules.rs
@@ -18,7 +18,7 @@
         took_ms: 300.0,
         class_response_ms: 100.0,
         latency_objective_ms: 200.0,
-        has_warmed_up: true,
+        is_past_warm_up: true,
     }
 }
 
@@ -31,7 +31,7 @@
         class_response_ms: Some(300.0),
         objective_fraction: Some(Measured(1.5)),
     };
-    let warming = OwnAttemptInput { has_warmed_up: false, ..ended(Outcome::Ok) };
+    let warming = OwnAttemptInput { is_past_warm_up: false, ..ended(Outcome::Ok) };
     let whole_objective = OwnAttemptSamples { objective_fraction: Some(Measured(1.0)), ..nothing };
     let timed_out = OwnAttemptSamples {
         relative: Some(AtLeast(3.0)),
@@ -57,7 +57,7 @@
     assert_eq!(class_sample_in_large_fleet(&ended(Outcome::Ok)), Some(250.0), "at most 2.5 times the mean");
     let quick = OwnAttemptInput { took_ms: 80.0, ..ended(Outcome::Ok) };
     assert_eq!(class_sample_in_large_fleet(&quick), Some(80.0));
-    let warming = OwnAttemptInput { has_warmed_up: false, ..quick };
+    let warming = OwnAttemptInput { is_past_warm_up: false, ..quick };
     assert_eq!(class_sample_in_large_fleet(&warming), None);
     assert_eq!(class_sample_in_large_fleet(&ended(Outcome::TimedOut)), None);
 }
--- a/crates/admission/src/tests/endpoint_rules/slow_start_rules.rs
+++ b/crates/admission/src/tests/endpoint_rules/slow_start_rules.rs
@@ -2,7 +2,7 @@
 use super::is_close;
 use crate::id::RequestId;
 use crate::policy::slow_start::{
-    available_tokens, has_warmed_up, send_fraction_in_broadcast_mode, send_fraction_in_large_fleet,
+    available_tokens, is_past_warm_up, send_fraction_in_broadcast_mode, send_fraction_in_large_fleet,
     warm_fraction, warm_up_admission, warm_up_budget, warm_up_draw, SendCapacity, WarmUpAdmission,
     WarmUpBudgetInput,
 };
@@ -28,7 +28,7 @@
 #[test]
 fn endpoint_has_warmed_up_after_the_warm_up_time() {
     for (age_ms, expected) in [(None, true), (Some(999.0), false), (Some(1000.0), true)] {
-        assert_eq!(has_warmed_up(age_ms, 1000.0), expected, "{age_ms:?}");
+        assert_eq!(is_past_warm_up(age_ms, 1000.0), expected, "{age_ms:?}");
     }
 }
 
