--- a/crates/admission/src/lifecycle/request_deadlines.rs
+++ b/crates/admission/src/lifecycle/request_deadlines.rs
@@ -17,7 +17,7 @@
             objective_at_ms: active.objective_at_ms,
             deadline_at_ms: active.deadline_at_ms,
             tick_ms: self.settings.tick_ms,
-            mean_response_ms: self.latency.response_ms(active.request.class),
+            class_response_ms: self.latency.response_ms(active.request.class),
             endpoints_loaded: self.band.is_loaded(),
         }
     }
--- a/crates/admission/src/policy/admission/deadline.rs
+++ b/crates/admission/src/policy/admission/deadline.rs
@@ -24,7 +24,7 @@
     /// Shortest time between two rounds of events, in ms.
     pub(crate) tick_ms: f64,
     /// Mean response time of the request's class, in ms.
-    pub(crate) mean_response_ms: f64,
+    pub(crate) class_response_ms: f64,
     /// Whether the endpoints are loaded: the fleet's attempts in flight exceed half of the band's middle.
     pub(crate) endpoints_loaded: bool,
 }
@@ -42,7 +42,7 @@
     pub(crate) fn is_too_late(&self) -> bool {
         let response_times =
             if self.endpoints_loaded { MIN_RESPONSE_TIMES_LEFT_LOADED } else { MIN_RESPONSE_TIMES_LEFT };
-        self.time_left_ms() < response_times * self.mean_response_ms
+        self.time_left_ms() < response_times * self.class_response_ms
     }
 
     /// Returns whether an answer in the next round of upkeep could miss the client's deadline.
--- a/crates/admission/src/tests/load_rules/deadline_rules.rs
+++ b/crates/admission/src/tests/load_rules/deadline_rules.rs
@@ -13,7 +13,7 @@
     objective_at_ms: 1500.0,
     deadline_at_ms: 3000.0,
     tick_ms: 2.0,
-    mean_response_ms: 200.0,
+    class_response_ms: 200.0,
     endpoints_loaded: false,
 };
 
--- a/crates/admission/src/tests/load_rules/new_request_rules.rs
+++ b/crates/admission/src/tests/load_rules/new_request_rules.rs
@@ -25,7 +25,7 @@
         objective_at_ms: time_left_ms,
         deadline_at_ms: 3000.0,
         tick_ms: 2.0,
-        mean_response_ms: 100.0,
+        class_response_ms: 100.0,
         endpoints_loaded: false,
     }
 }
