--- a/crates/admission/src/lifecycle/endpoint_choice.rs
+++ b/crates/admission/src/lifecycle/endpoint_choice.rs
@@ -110,7 +110,7 @@
             warm_fraction,
             was_attempted: active.was_sent_to(endpoint.id()),
             kind: self.kind_deviation(endpoint),
-            is_unresponsive: fitness.is_unresponsive,
+            is_suspect: fitness.is_suspect,
         });
         DrawCandidate { endpoint: endpoint.id(), zone: endpoint.zone(), warm_fraction, cost, fitness }
     }
--- a/crates/admission/src/policy/selection/attempt_cost.rs
+++ b/crates/admission/src/policy/selection/attempt_cost.rs
@@ -10,7 +10,7 @@
 
 /// Factor on the cost of an unresponsive endpoint. Some gateway still sends to the endpoint now and then,
 /// which shows when it is healthy again.
-const UNRESPONSIVE_COST: f64 = 20.0;
+const SUSPECT_COST: f64 = 20.0;
 
 /// The warm-up tokens of an endpoint that is warming up.
 #[derive(Debug, Clone, Copy)]
@@ -70,7 +70,7 @@
     /// The endpoint's response time compared with that of its machine kind.
     pub kind: KindDeviation,
     /// The endpoint counts as unresponsive for this request.
-    pub is_unresponsive: bool,
+    pub is_suspect: bool,
 }
 
 /// Returns the cost of an attempt in a large fleet, by this gateway's attempts in flight and the observations
@@ -88,7 +88,7 @@
     let mut cost = load / input.warm_fraction;
     cost *= if input.was_attempted { ATTEMPTED_BEFORE_COST } else { 1.0 };
     cost *= load * kind.baseline * kind.slowness * kind.slowness / warm_up_weight;
-    cost *= if input.is_unresponsive { UNRESPONSIVE_COST } else { 1.0 };
+    cost *= if input.is_suspect { SUSPECT_COST } else { 1.0 };
     cost
 }
 
--- a/crates/admission/src/policy/selection/fitness.rs
+++ b/crates/admission/src/policy/selection/fitness.rs
@@ -40,7 +40,7 @@
     /// The endpoint is left out while enough others are healthy.
     pub is_unfit: bool,
     /// Other attempts got no response from the endpoint, so that it costs more.
-    pub is_unresponsive: bool,
+    pub is_suspect: bool,
 }
 
 /// Returns whether, in a large fleet, an endpoint is fit for a request. Only idempotent requests are sent to
@@ -51,6 +51,6 @@
     let must_avoid = !is_idempotent && input.failed_or_slow_attempts > 0;
     EndpointFitness {
         is_unfit: input.is_outlier || input.is_ejected_for_request || must_avoid,
-        is_unresponsive: input.is_unresponsive || must_avoid,
+        is_suspect: input.is_unresponsive || must_avoid,
     }
 }
--- a/crates/admission/src/policy/selection/weighted_draw.rs
+++ b/crates/admission/src/policy/selection/weighted_draw.rs
@@ -25,7 +25,7 @@
     /// Returns the work that the endpoint may be sent, as a fraction of a warm endpoint's; 0 if it is not
     /// fit.
     fn capacity(&self) -> f64 {
-        if self.fitness.is_unfit || self.fitness.is_unresponsive {
+        if self.fitness.is_unfit || self.fitness.is_suspect {
             0.0
         } else {
             send_fraction_in_large_fleet(self.warm_fraction)
--- a/crates/admission/src/tests/endpoint_rules/selection_rules.rs
+++ b/crates/admission/src/tests/endpoint_rules/selection_rules.rs
@@ -52,14 +52,14 @@
         warm_fraction: 1.0,
         was_attempted: false,
         kind: usual,
-        is_unresponsive: false,
+        is_suspect: false,
     };
     let slow = KindDeviation { baseline: 0.5, slowness: 3.0 };
     let rows = [
         ("two attempts including the new one", plain, 4.0),
         ("attempted before", LargeFleetCostInput { was_attempted: true, ..plain }, 16.0),
         ("slow for its kind", LargeFleetCostInput { kind: slow, ..plain }, 4.0 * 0.5 * 9.0),
-        ("unresponsive", LargeFleetCostInput { is_unresponsive: true, ..plain }, 80.0),
+        ("unresponsive", LargeFleetCostInput { is_suspect: true, ..plain }, 80.0),
         // Counts with the mean of three attempts in flight, at half capacity and half weight.
         ("warming up", LargeFleetCostInput { warm_fraction: 0.5, ..plain }, 16.0 / 0.5 / 0.5),
         ("warming up, busy", LargeFleetCostInput { warm_fraction: 0.5, in_flight: 7, ..plain }, 256.0),
@@ -103,8 +103,8 @@
         (LargeFleetFitnessInput { idempotency: keyed, ..missed }, (true, true)),
         (LargeFleetFitnessInput { idempotency: Idempotency::Idempotent, ..missed }, (false, false)),
     ];
-    for (input, (is_unfit, is_unresponsive)) in rows {
-        let expected = EndpointFitness { is_unfit, is_unresponsive };
+    for (input, (is_unfit, is_suspect)) in rows {
+        let expected = EndpointFitness { is_unfit, is_suspect };
         assert_eq!(fitness_in_large_fleet(&input), expected, "{input:?}");
     }
 }
@@ -141,7 +141,7 @@
         zone: ZoneIndex(0),
         warm_fraction: 1.0,
         cost: 1.0,
-        fitness: EndpointFitness { is_unfit: false, is_unresponsive: false },
+        fitness: EndpointFitness { is_unfit: false, is_suspect: false },
     }
 }
 
@@ -181,7 +181,7 @@
 
 #[test]
 fn unfit_endpoints_are_left_out_while_a_quarter_is_healthy() {
-    let unfit = EndpointFitness { is_unfit: true, is_unresponsive: false };
+    let unfit = EndpointFitness { is_unfit: true, is_suspect: false };
     let unhealthy = |id| DrawCandidate { fitness: unfit, ..candidate(id) };
     let one_of_four = [unhealthy(1), unhealthy(2), unhealthy(3), candidate(4)];
     assert_eq!(drawn(&one_of_four, 0.0, CONTEXT), Some(4));
@@ -193,7 +193,7 @@
 
 #[test]
 fn unresponsive_endpoints_add_no_local_capacity() {
-    let unresponsive = EndpointFitness { is_unfit: false, is_unresponsive: true };
+    let unresponsive = EndpointFitness { is_unfit: false, is_suspect: true };
     let local = DrawCandidate { fitness: unresponsive, ..candidate(1) };
     let list = [local, DrawCandidate { zone: ZoneIndex(1), ..candidate(2) }];
     assert_eq!(drawn(&list, 0.04, CONTEXT), Some(1), "a twentieth stays in the zone");
