--- a/crates/admission/src/lifecycle/endpoint_choice.rs
+++ b/crates/admission/src/lifecycle/endpoint_choice.rs
@@ -109,7 +109,7 @@
             mean_warm_in_flight,
             warm_fraction,
             was_attempted: active.was_sent_to(endpoint.id()),
-            kind: self.kind_deviation(endpoint),
+            kind_deviation: self.kind_deviation(endpoint),
             is_suspect: fitness.is_suspect,
         });
         DrawCandidate { endpoint: endpoint.id(), zone: endpoint.zone(), warm_fraction, cost, fitness }
--- a/crates/admission/src/policy/selection/attempt_cost.rs
+++ b/crates/admission/src/policy/selection/attempt_cost.rs
@@ -68,7 +68,7 @@
     /// An earlier attempt of the request was sent to the endpoint.
     pub was_attempted: bool,
     /// The endpoint's response time compared with that of its machine kind.
-    pub kind: KindDeviation,
+    pub kind_deviation: KindDeviation,
     /// The endpoint counts as unresponsive for this request.
     pub is_suspect: bool,
 }
@@ -84,10 +84,11 @@
     let least_in_flight = if is_warming_up { input.mean_warm_in_flight } else { 0.0 };
     let load = least_in_flight.max(input.in_flight as f64) + 1.0;
     let warm_up_weight = if is_warming_up { WARM_UP_WEIGHT } else { 1.0 };
-    let kind = input.kind;
+    let kind_deviation = input.kind_deviation;
     let mut cost = load / input.warm_fraction;
     cost *= if input.was_attempted { ATTEMPTED_BEFORE_COST } else { 1.0 };
-    cost *= load * kind.baseline * kind.slowness * kind.slowness / warm_up_weight;
+    cost *=
+        load * kind_deviation.baseline * kind_deviation.slowness * kind_deviation.slowness / warm_up_weight;
     cost *= if input.is_suspect { SUSPECT_COST } else { 1.0 };
     cost
 }
--- a/crates/admission/src/tests/endpoint_rules/selection_rules.rs
+++ b/crates/admission/src/tests/endpoint_rules/selection_rules.rs
@@ -51,14 +51,14 @@
         mean_warm_in_flight: 3.0,
         warm_fraction: 1.0,
         was_attempted: false,
-        kind: usual,
+        kind_deviation: usual,
         is_suspect: false,
     };
     let slow = KindDeviation { baseline: 0.5, slowness: 3.0 };
     let rows = [
         ("two attempts including the new one", plain, 4.0),
         ("attempted before", LargeFleetCostInput { was_attempted: true, ..plain }, 16.0),
-        ("slow for its kind", LargeFleetCostInput { kind: slow, ..plain }, 4.0 * 0.5 * 9.0),
+        ("slow for its kind", LargeFleetCostInput { kind_deviation: slow, ..plain }, 4.0 * 0.5 * 9.0),
         ("unresponsive", LargeFleetCostInput { is_suspect: true, ..plain }, 80.0),
         // Counts with the mean of three attempts in flight, at half capacity and half weight.
         ("warming up", LargeFleetCostInput { warm_fraction: 0.5, ..plain }, 16.0 / 0.5 / 0.5),
