--- a/crates/admission/src/policy/admission/elapsed_wait.rs
+++ b/crates/admission/src/policy/admission/elapsed_wait.rs
@@ -3,7 +3,8 @@
 //! A request carries its time budget, the time that its client will still wait, but not the time at which the
 //! client began to wait. Clients' first requests of a class all carry the same time budget, so the most
 //! common budget of a class, found by majority vote, is that of a first request. A request with a smaller
-//! budget is a retry by its client, and the difference was spent on earlier requests.
+//! budget is a retry by its client, which has spent the rest of the class's `deadline_ms` on earlier
+//! requests.
 use crate::mechanism::common_value::VoteParameters;
 
 /// Parameters of the vote on the most common time budget of a class.
@@ -18,16 +19,18 @@
 pub(crate) struct TimeBudgetInput {
     /// The request's time budget: how long its client will still wait, in ms.
     pub(crate) time_left_ms: f64,
-    /// Votes for the most common time budget of the class; `None` if that is this request's own budget.
+    /// Votes for the most common time budget of the class if this request's budget is smaller or larger;
+    /// `None` if both are equal.
     pub(crate) votes_for_another_budget: Option<i32>,
     /// Latency objective of the class, in ms.
     pub(crate) latency_objective_ms: f64,
-    /// Time that a client of the class waits from its first request on, in ms.
+    /// Time that a client of the class waits from its first request on, from the settings, in ms.
     pub(crate) deadline_ms: f64,
 }
 
-/// Returns how long a request's client has already waited, in ms. A time budget of at most the latency
-/// objective does not count as a sign of earlier requests, because it is that of an impatient client.
+/// Returns how long a request's client has already waited, in ms: the class's `deadline_ms` minus the
+/// request's time budget, or 0 if the request counts as the client's first. A time budget of at most the
+/// latency objective does not count as a sign of earlier requests, because it is that of an impatient client.
 pub(crate) fn already_waited_ms(input: &TimeBudgetInput) -> f64 {
     let Some(votes) = input.votes_for_another_budget else { return 0.0 };
     if votes < MIN_TIME_BUDGET_VOTES || input.time_left_ms <= input.latency_objective_ms {
--- a/crates/admission/src/policy/admission/local_bucket.rs
+++ b/crates/admission/src/policy/admission/local_bucket.rs
@@ -37,8 +37,8 @@
     }
 }
 
-/// Returns the units of a burst that a gateway leaves to its peers: all but an even fraction shortly after
-/// its start, none later. `gateways` is the number of gateways that the customer's requests come through.
+/// Returns the units of a burst that a gateway leaves to its peers: all but an equal share shortly after its
+/// start, none later. `gateways` is the number of gateways that the customer's requests come through.
 pub(crate) fn withheld_burst_units(burst_units: f64, gateways: usize, since_start_ms: f64) -> f64 {
     if since_start_ms < BURST_WITHHOLDING_MS {
         burst_units * (1.0 - 1.0 / gateways as f64)
--- a/crates/admission/src/policy/admission/new_request.rs
+++ b/crates/admission/src/policy/admission/new_request.rs
@@ -2,7 +2,8 @@
 //!
 //! Both modes reject a request that comes too late to be answered in time. In broadcast mode a gateway itself
 //! knows the customer's quota and the fleet's attempts in flight, so it may send a request at once. In a
-//! large fleet it learns both from others, so every request that is in time is queued first.
+//! large fleet it learns both late, from peers or the quota counter, or has to assume them, so every request
+//! that is in time is queued first.
 use crate::policy::admission::deadline::RequestTimes;
 use crate::policy::admission::retry_after::retry_after_overload;
 use crate::policy::queue::customer_limits::LimitDecision;
@@ -28,7 +29,7 @@
 pub(crate) struct AdmissionInput {
     /// The result of checking the request against the customer's token bucket.
     pub(crate) quota: LocalBucketCheck,
-    /// Whether the customer's open limit and ceiling permit the request now.
+    /// Whether the customer's concurrency limit and ceiling permit the request now.
     pub(crate) limits: LimitDecision,
     /// The position of the fleet's attempts in flight relative to the band's bounds.
     pub(crate) band: BandPosition,
@@ -50,7 +51,8 @@
 }
 
 /// Returns the rejection of a request that can no longer be answered in time; `None` if it can. In broadcast
-/// mode this is checked before anything else, because the band's position is computed from all endpoints.
+/// mode this is checked before the band's position is computed, because that visits all endpoints and would
+/// be wasted on a request that is rejected.
 pub(crate) fn reject_if_too_late(times: &RequestTimes, max_retry_after_ms: f64) -> Option<Admission> {
     let rejection = Admission::Reject { retry_after_ms: retry_after_overload(max_retry_after_ms) };
     times.is_too_late().then_some(rejection)
@@ -58,7 +60,7 @@
 
 /// Decides on a new request in broadcast mode. A request within its quota may be sent while the fleet's
 /// attempts in flight are below the band's upper bound. A request over its quota may be sent only if the plan
-/// pays for that, and only below the lower bound, to which queued requests are also held.
+/// allows that, and only below the lower bound, to which queued requests are also held.
 pub(crate) fn admit_in_broadcast_mode(input: &AdmissionInput) -> Admission {
     let may_send = if input.quota.is_within_quota {
         input.band.permits_new_request() && input.limits == LimitDecision::Admit
@@ -82,8 +84,8 @@
     }
 }
 
-/// Returns whether quota, band and open limit permit a new request and only units of the customer's ceiling
-/// are lacking, so that peers are asked for some.
+/// Returns whether quota, band and concurrency limit permit a new request and only units of the customer's
+/// ceiling are lacking, so that peers are asked for some.
 pub(crate) fn lacks_ceiling_units_only(input: &AdmissionInput) -> bool {
     input.quota.is_within_quota
         && input.band.permits_new_request()
--- a/crates/admission/src/policy/band/band_bounds.rs
+++ b/crates/admission/src/policy/band/band_bounds.rs
@@ -5,17 +5,18 @@
 /// of the published design that the queue follows, "Inference Gateway Queuing System Design".
 const BAND_DEVIATION: f64 = 0.1;
 
-/// Fraction of the band's middle above which the endpoints are loaded, in both modes.
+/// Fraction of the band's middle above which the endpoints count as loaded, in both modes. It is below the
+/// bounds.
 pub(crate) const LOADED_FILL: f64 = 0.5;
 
 /// Returns the position of the fleet's attempts in flight in broadcast mode. A gateway with fewer attempts in
-/// flight than an even fraction of the lower bound is always positioned under both bounds: otherwise peers
-/// with a higher watermark could keep it from sending at all.
+/// flight than an equal share of the lower bound, one gateway's part, is always positioned under both bounds:
+/// otherwise peers with a higher watermark could keep it from sending at all.
 pub(crate) fn position_in_broadcast_mode(band: &Band) -> BandPosition {
     let lower = band.middle * (1.0 - BAND_DEVIATION);
     let upper = band.middle * (1.0 + BAND_DEVIATION);
-    let is_below_even_fraction = band.own_in_flight < lower / band.gateways;
-    if is_below_even_fraction || band.in_flight < lower {
+    let is_below_equal_share = band.own_in_flight < lower / band.gateways;
+    if is_below_equal_share || band.in_flight < lower {
         BandPosition::BelowLowerBound
     } else if band.in_flight < upper {
         BandPosition::BetweenBounds
@@ -24,7 +25,8 @@
     }
 }
 
-/// Returns whether the endpoints are loaded, in broadcast mode.
+/// Returns whether the endpoints are loaded, that is, whether the fleet's attempts in flight exceed half of
+/// the band's middle, in broadcast mode.
 pub(crate) fn is_loaded_in_broadcast_mode(band: &Band) -> bool {
     band.in_flight > LOADED_FILL * band.middle
 }
--- a/crates/admission/src/policy/band/counted_endpoints.rs
+++ b/crates/admission/src/policy/band/counted_endpoints.rs
@@ -8,22 +8,23 @@
 /// Stall ratio above which an endpoint's attempts in flight are assumed to be lost.
 const LOST_STALL_RATIO: f64 = 2.0;
 
-/// Largest ratio of an endpoint's relative response time to the one above which endpoints of its machine kind
-/// are clearly slow, for the endpoint to be counted in a large fleet.
-const MAX_SLOW_THRESHOLD_RATIO: f64 = 1.6;
+/// Largest slowness (`KindDeviation::slowness`) of an endpoint that is counted in a large fleet. Slowness is
+/// itself measured from 1.6 times the usual response time of the machine kind, so this is 2.56 times the
+/// usual time.
+const MAX_COUNTED_SLOWNESS: f64 = 1.6;
 
 /// What a gateway knows of an endpoint's health, in both modes.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct HealthSignals {
     /// Whether the endpoint is no longer on the endpoint list.
     pub(crate) is_gone: bool,
-    /// Number of this gateway's attempts that failed in a row.
+    /// Number of consecutive failures of this gateway's own attempts that each led to an ejection.
     pub(crate) consecutive_failures: u32,
     /// Whether the endpoint is ejected because of this gateway's own attempts.
     pub(crate) is_ejected: bool,
     /// Whether the endpoint is ejected for at least one class because of attempts that the fleet observed.
     pub(crate) is_any_class_ejected: bool,
-    /// Time without a response while attempts are in flight, in multiples of the shortest stall.
+    /// Time without a response while attempts are in flight, in multiples of the time that counts as a stall.
     pub(crate) stall_ratio: f64,
 }
 
@@ -37,10 +38,10 @@
     }
 }
 
-/// Returns whether the band counts an endpoint: during a correlated failure it counts all of them. If most
-/// endpoints look like outliers, the cause does not lie with them, and without them the band would have
-/// almost no capacity and almost nothing would be sent. `is_counted` decides by the endpoint alone, and is
-/// called only if there is no correlated failure.
+/// Returns whether the band counts an endpoint: during a correlated failure it counts all of them, otherwise
+/// those for which `is_counted` returns true. If more than three quarters of the endpoints are outliers, the
+/// cause does not lie with them, and without them the band would have almost no capacity and almost nothing
+/// would be sent. `is_counted` is called only if there is no correlated failure.
 pub(crate) fn is_counted_or_correlated_failure(
     is_correlated_failure: bool,
     is_counted: impl FnOnce() -> bool,
@@ -54,13 +55,12 @@
 }
 
 /// Returns whether the band counts an endpoint, in a large fleet. It leaves out an endpoint from which the
-/// fleet receives no responses and one that is far slower than others of its machine kind.
-/// `slow_threshold_ratio` is the endpoint's relative response time, divided by the one above which endpoints
-/// of its kind are clearly slow.
+/// fleet receives no good responses and one that is far slower than others of its machine kind. `slowness` is
+/// that of the endpoint's `KindDeviation`.
 pub(crate) fn is_counted_in_large_fleet(
     signals: &HealthSignals,
     is_unresponsive: bool,
-    slow_threshold_ratio: f64,
+    slowness: f64,
 ) -> bool {
-    !signals.is_lost() && !is_unresponsive && slow_threshold_ratio <= MAX_SLOW_THRESHOLD_RATIO
+    !signals.is_lost() && !is_unresponsive && slowness <= MAX_COUNTED_SLOWNESS
 }
--- a/crates/admission/src/policy/band/dispatch_credit.rs
+++ b/crates/admission/src/policy/band/dispatch_credit.rs
@@ -1,10 +1,10 @@
-//! The band in a large fleet: the fleet's attempts in flight as gossip reports them, and the dispatch credit
-//! that each gateway earns.
+//! The band in a large fleet: the fleet's attempts in flight as far as a gateway knows them, and the dispatch
+//! credit that each gateway earns.
 use crate::policy::band::band_bounds::LOADED_FILL;
 use crate::state::BandPosition;
 
 /// Fraction of the band's middle below which gateways of a large fleet send without credit. Above it each
-/// gateway sends at an even fraction of the rate that keeps the band filled. The number of attempts in flight
+/// gateway sends at an equal share of the rate that keeps the band filled. The number of attempts in flight
 /// arrives late by gossip: if it alone stopped and started all gateways at once, it would oscillate.
 const CREDIT_THRESHOLD_FILL: f64 = 0.6;
 
@@ -19,19 +19,21 @@
 /// Dispatch credit at a gateway's start, in requests: its first request need not wait for a refill.
 pub(crate) const INITIAL_DISPATCH_CREDIT: f64 = 1.0;
 
-/// Smallest limit of saved dispatch credit, in requests. Without it a gateway whose even fraction of the band
+/// Smallest limit of saved dispatch credit, in requests. Without it a gateway whose equal share of the band
 /// is less than one attempt could never send.
 const MIN_CREDIT_LIMIT: f64 = 1.0;
 
-/// Dispatch credit that a request spends. A class of the lowest priority weight also requires as much before
-/// it sends.
+/// Dispatch credit that a request spends. Above the credit threshold, a request of the lowest priority weight
+/// is dispatched only if the gateway has at least this much credit.
 const CREDIT_PER_REQUEST: f64 = 1.0;
 
 /// Largest reduction of the credit that a request requires, in requests: the limit for an unbounded priority
-/// weight. The reduction is larger than `CREDIT_PER_REQUEST`, so that such a request may overdraw the credit.
+/// weight. It is larger than `CREDIT_PER_REQUEST`, so that the lowest credit that a request can require is
+/// the difference, -0.5.
 const MAX_CREDIT_REDUCTION: f64 = 1.5;
 
-/// Largest overdraft of a gateway's dispatch credit, in requests.
+/// Largest overdraft of a gateway's dispatch credit, in requests: the lowest credit after a request was sent
+/// is minus this value.
 const MAX_CREDIT_OVERDRAFT: f64 = 1.0;
 
 /// Smallest priority weight that is used as a divisor; a smaller one is replaced by it.
@@ -44,7 +46,7 @@
 /// The band of a large fleet, as one gateway knows it.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct LargeFleetBand {
-    /// Mean number of attempts in flight per gateway, as gossip reports it.
+    /// Mean number of attempts in flight per gateway, as received by gossip or else assumed.
     pub(crate) mean_in_flight: f64,
     /// Number of gateways in the fleet.
     pub(crate) gateways: usize,
@@ -81,7 +83,8 @@
         self.fill() > CREDIT_THRESHOLD_FILL
     }
 
-    /// Returns whether the endpoints are loaded.
+    /// Returns whether the endpoints are loaded, that is, whether the fleet's attempts in flight exceed half
+    /// of the band's middle.
     pub(crate) fn is_loaded(&self) -> bool {
         self.fill() > LOADED_FILL
     }
@@ -102,8 +105,8 @@
     }
 }
 
-/// Returns the dispatch credit that a request requires. A class of the lowest priority weight requires the
-/// credit of a whole request. A class of a higher weight requires less, and may overdraw the credit, so that
+/// Returns the dispatch credit that a request requires. A request of the lowest priority weight requires the
+/// credit of a whole request. A request of a higher weight requires less, down to a credit below 0, so that
 /// requests of low weight are the first to wait while credit is short.
 pub(crate) fn credit_required(priority_weight: f64, lowest_priority_weight: f64) -> f64 {
     let relative = lowest_priority_weight / priority_weight.max(MIN_WEIGHT_DIVISOR);
@@ -111,8 +114,8 @@
 }
 
 /// Returns the dispatch credit after `seconds` of refill, in requests. In one mean response time a gateway
-/// earns an even fraction of the band's middle; it earns more while the fleet has few attempts in flight, and
-/// less while it has many. A gateway saves at most that fraction, or one request if the fraction is smaller.
+/// earns an equal share of the band's middle; it earns more while the fleet has few attempts in flight, and
+/// less while it has many. A gateway saves at most that share, or one request if the share is smaller.
 pub(crate) fn credit_after_refill(
     dispatch_credit: f64,
     band: &LargeFleetBand,
@@ -127,7 +130,8 @@
     (dispatch_credit + earned).min(MIN_CREDIT_LIMIT.max(middle_per_gateway))
 }
 
-/// Returns the dispatch credit after a request was sent, in requests.
+/// Returns the dispatch credit after a request was sent, in requests. The credit never falls below minus the
+/// largest overdraft.
 pub(crate) fn credit_after_send(dispatch_credit: f64) -> f64 {
     (dispatch_credit - CREDIT_PER_REQUEST).max(-MAX_CREDIT_OVERDRAFT)
 }
--- a/crates/admission/src/policy/band/mod.rs
+++ b/crates/admission/src/policy/band/mod.rs
@@ -2,8 +2,8 @@
 //!
 //! The band's middle is the watermark, a number of attempts in flight per ready endpoint, times the number of
 //! ready endpoints. In broadcast mode every gateway adds up the attempts in flight that all gateways report,
-//! and compares the sum with the band's bounds. In a large fleet gossip reports them late, so each gateway
-//! earns dispatch credit for its even fraction of the band instead.
+//! and compares the sum with the band's bounds. In a large fleet a gateway learns them late or has to assume
+//! them, so each gateway earns dispatch credit for its equal share of the band instead.
 pub(crate) mod band_bounds;
 pub(crate) mod counted_endpoints;
 pub(crate) mod dispatch_credit;
--- a/crates/admission/src/policy/band/watermark.rs
+++ b/crates/admission/src/policy/band/watermark.rs
@@ -60,13 +60,14 @@
 /// The input of a step of the watermark.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct WatermarkInput {
-    /// Smoothed response time, as a fraction of the latency objective.
+    /// Smoothed response time of all classes, as a fraction of the latency objective.
     pub(crate) objective_fraction: f64,
     /// Typical age of attempts in flight, in ms.
     pub(crate) typical_age_ms: f64,
     /// Shortest latency objective of all classes, in ms.
     pub(crate) shortest_objective_ms: f64,
-    /// Whether queued requests have waited for the band since the last step.
+    /// Whether queued requests wait now, for the band or for an endpoint, or have waited for the band since
+    /// the last step.
     pub(crate) was_blocked: bool,
 }
 
@@ -75,8 +76,8 @@
 pub(crate) enum WatermarkStep {
     /// Responses are slow: the watermark is multiplied by `factor`, which is below 1.
     Lower { factor: f64 },
-    /// Responses are fast and requests wait for the band: the watermark is multiplied by `factor`, which is
-    /// above 1.
+    /// Responses are fast and a rise is needed, because requests wait or require dispatch credit: the
+    /// watermark is multiplied by `factor`, which is above 1.
     Raise { factor: f64 },
     /// The watermark stays as it is.
     Stay,
@@ -97,7 +98,8 @@
     reported.clamp(floor, MAX_WATERMARK)
 }
 
-/// Returns the watermark's step in broadcast mode. The watermark rises only if requests waited for the band.
+/// Returns the watermark's step in broadcast mode. The watermark rises only if requests wait, or waited for
+/// the band.
 pub(crate) fn watermark_step_in_broadcast_mode(input: &WatermarkInput) -> WatermarkStep {
     let age_fraction = AGE_WEIGHT * input.typical_age_ms / input.shortest_objective_ms;
     choose_step(
--- a/crates/admission/src/policy/coordination_choice.rs
+++ b/crates/admission/src/policy/coordination_choice.rs
@@ -17,7 +17,8 @@
 /// The coordination mode of a fleet. It depends on the settings alone, so that all gateways choose the same.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum CoordinationMode {
-    /// Each gateway sends its counts to every other gateway. This is also the mode of a single gateway.
+    /// Each gateway sends its counts to every other gateway. This is also the mode of a single gateway. The
+    /// other three modes share the rules for a large fleet, see `FleetMode`.
     Broadcast,
     /// One gateway owns each customer's quota. Quota messages also carry means over the fleet.
     Gossip,
--- a/crates/admission/src/policy/customer_retention.rs
+++ b/crates/admission/src/policy/customer_retention.rs
@@ -5,17 +5,19 @@
 /// Number of customers above which idle customers are evicted earlier. This bounds memory.
 const MAX_CUSTOMERS: usize = 50_000;
 
-/// Shortest time for which an idle customer is retained, in ms.
+/// Shortest time for which an idle customer is retained, in ms, unless there are too many customers.
 const MIN_CUSTOMER_IDLE_MS: f64 = 30_000.0;
 
-/// Time for which an idle customer is retained, as a multiple of the time in which its quota fills. A
-/// customer that returns after its eviction starts with a full quota, so it must not be evicted sooner.
+/// Time for which an idle customer is retained, as a multiple of the time in which its quota fills, unless
+/// there are too many customers. A customer that returns after its eviction starts with a full quota, so it
+/// is not evicted before its quota is full.
 const IDLE_REFILLS: f64 = 2.0;
 
 /// Returns how long an idle customer is retained, in ms. `plan` is `None` if the customer is known only from
 /// peers' reports; `customers` is the number of customers in the records. If there are too many, the customer
-/// is evicted earlier, unless it has a hard ceiling: a customer that returns could have more tokens of its
-/// ceiling than it had left.
+/// is evicted after `PEER_TIMEOUT_MS`, even if its quota is not full by then. A customer with a hard ceiling
+/// is not evicted early: it would return with the ceiling tokens that accrued since the gateway's start,
+/// which may be more than it had left.
 pub(crate) fn idle_limit_ms(plan: Option<&PlanSettings>, customers: usize) -> f64 {
     if customers > MAX_CUSTOMERS && plan.is_none_or(|p| p.ceiling_rate_per_second <= 0.0) {
         return PEER_TIMEOUT_MS;
--- a/crates/admission/src/policy/customer_usage/attempt_start_usage.rs
+++ b/crates/admission/src/policy/customer_usage/attempt_start_usage.rs
@@ -27,8 +27,9 @@
     pub triggers_report: bool,
 }
 
-/// Returns what an attempt takes when it starts. It takes nothing here if another gateway counts it, and the
-/// request's units are taken only with the first attempt.
+/// Returns what an attempt takes when it starts. It takes nothing here if the quota's owner counts it, or if
+/// the request is `QuotaState::OverQuota`, whose attempts take no slot. The request's units are taken only
+/// with the first attempt.
 pub(crate) fn usage_at_attempt_start(input: &AttemptStartInput) -> AttemptStartUsage {
     if !input.quota.holds_slot_here() {
         return AttemptStartUsage::default();
--- a/crates/admission/src/policy/queue/customer_limits.rs
+++ b/crates/admission/src/policy/queue/customer_limits.rs
@@ -1,12 +1,14 @@
-//! Whether a customer's quota, open limit and ceiling permit a request now, by this gateway's own records.
+//! Whether a customer's quota, concurrency limit and ceiling permit a request now, by this gateway's own
+//! records.
 use crate::settings::PlanSettings;
 use crate::state::QuotaDecision;
 
-/// Gateways that share `OVERCOMMIT_SLOTS` slots, if a customer has fewer slots than gateways. More gateways
-/// than slots may send, because few of them have requests of the customer at the same time.
+/// Numerator of the number of gateways per slot that may each use one slot, if a customer has fewer slots
+/// than gateways. More gateways than slots may send, because few of them have requests of the customer at the
+/// same time.
 const OVERCOMMIT_GATEWAYS: u32 = 4;
 
-/// Slots that `OVERCOMMIT_GATEWAYS` gateways share.
+/// Denominator of the number of gateways per slot that may each use one slot.
 const OVERCOMMIT_SLOTS: u32 = 3;
 
 /// A request and the limits of its customer.
@@ -16,19 +18,19 @@
     pub(crate) plan: &'a PlanSettings,
     /// Units that the request consumes.
     pub(crate) units: f64,
-    /// Whether this gateway's token bucket decides on the quota; if not, another gateway or the quota counter
-    /// has decided.
+    /// Whether this gateway's token bucket decides on the quota; if not, the quota counter has decided, or
+    /// the request was admitted without a check.
     pub(crate) local_bucket_decides: bool,
     /// Units in the quota's bucket.
     pub(crate) quota_tokens: f64,
     /// Units in the bucket of this gateway's fraction of the hard ceiling.
     pub(crate) ceiling_tokens: f64,
-    /// The customer's attempts in flight; `None` if the plan has no open limit.
+    /// The customer's attempts in flight; `None` if the plan has no concurrency limit.
     pub(crate) slots: Option<SlotUse>,
 }
 
 /// How many of a customer's slots are in use, and how they are divided among gateways. A slot is one of the
-/// attempts in flight that the plan's open limit allows.
+/// attempts in flight that the plan's `concurrency_limit` allows.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct SlotUse {
     /// The customer's attempts in flight that this gateway sent.
@@ -67,14 +69,15 @@
     }
 }
 
-/// Checks a request against quota, open limit and ceiling, in this order.
+/// Checks a request against quota, concurrency limit and ceiling, in this order.
 pub(crate) fn check_customer_limits(input: &LimitInput) -> LimitDecision {
     let plan = input.plan;
     let has_quota = plan.rate_per_second > 0.0;
     if input.local_bucket_decides && has_quota && input.quota_tokens < input.units {
         return LimitDecision::OverQuota;
     }
-    let lacks_slot = input.slots.is_some_and(|slots| open_limit_reached(plan.concurrency_limit, &slots));
+    let lacks_slot =
+        input.slots.is_some_and(|slots| concurrency_limit_reached(plan.concurrency_limit, &slots));
     if plan.concurrency_limit > 0 && lacks_slot {
         return LimitDecision::WaitForSlot;
     }
@@ -87,7 +90,7 @@
 /// Returns whether a customer has as many attempts in flight as its plan allows. Peers' reports arrive late:
 /// once this gateway uses its own fraction of the slots, each reporting peer is assumed to have one attempt
 /// more in flight than it reported.
-fn open_limit_reached(limit: u32, slots: &SlotUse) -> bool {
+fn concurrency_limit_reached(limit: u32, slots: &SlotUse) -> bool {
     let has_slot = slots.gateway_position < (OVERCOMMIT_GATEWAYS * limit).div_ceil(OVERCOMMIT_SLOTS);
     let own_slots = (limit / slots.gateways).max(u32::from(has_slot));
     let unreported = if slots.in_flight < own_slots { 0 } else { slots.reporting_peers };
--- a/crates/admission/src/policy/queue/dispatch_order.rs
+++ b/crates/admission/src/policy/queue/dispatch_order.rs
@@ -1,7 +1,8 @@
 //! Which queued request is dispatched next.
 //!
 //! Only the head of each customer's flow is considered, so that requests of a customer stay in order. Of the
-//! heads that quota and band permit, the one with the smallest virtual finish time is dispatched.
+//! heads that their customers' limits and the band permit, the one with the smallest virtual finish time is
+//! dispatched.
 use crate::mechanism::virtual_finish_queue::FlowHead;
 use crate::state::{BandPosition, QuotaDecision};
 
@@ -10,7 +11,7 @@
 pub(crate) enum HeadDecision {
     /// The head may be dispatched next.
     Eligible,
-    /// The customer's quota does not permit the head yet.
+    /// The head waits for a response about its quota, for a slot, or for units of the customer's ceiling.
     AwaitsCustomerLimit,
     /// The quota permits the head, but there is too little dispatch credit for its class.
     BlockedByBand,
@@ -53,7 +54,7 @@
 }
 
 /// Returns whether a head that is over its quota is sent all the same: only if it may exceed its quota,
-/// because its plan pays for that and its ceiling permits it, and if the band is under its lower bound. In
+/// because its plan allows that and its ceiling permits it, and if the band is under its lower bound. In
 /// broadcast mode no head may exceed its quota, because only requests within their quota are queued there.
 /// `band_position` is called only for a head that may exceed its quota.
 pub(crate) fn may_send_over_quota(
--- a/crates/admission/src/policy/quota_counter/count_decision.rs
+++ b/crates/admission/src/policy/quota_counter/count_decision.rs
@@ -13,7 +13,7 @@
     }
 }
 
-/// Decides on a request over the quota. If its plan pays for use over the quota, it may still be sent while
+/// Decides on a request over the quota. If its plan allows use over the quota, it may still be sent while
 /// there is capacity. Under a hard ceiling it is not, because no gateway knows how much of the ceiling the
 /// others spent.
 pub(crate) fn decide_over_quota(plan: &PlanSettings) -> QuotaState {
--- a/crates/admission/src/policy/quota_owner/owner_verdict.rs
+++ b/crates/admission/src/policy/quota_owner/owner_verdict.rs
@@ -1,5 +1,5 @@
 //! What the owner of a customer's quota decides on a quota request. A slot is one of the attempts that a plan
-//! lets a customer have in flight, up to `open_limit`.
+//! lets a customer have in flight, up to `concurrency_limit`.
 use crate::messages::quota_message::QuotaVerdict;
 use crate::policy::ample_quota::is_ample;
 use crate::policy::over_quota_use::allows_over_quota;
--- a/crates/admission/src/policy/request_end/quota_settlement.rs
+++ b/crates/admission/src/policy/request_end/quota_settlement.rs
@@ -14,14 +14,15 @@
     pub(crate) units: f64,
     /// Units that the attempts consumed beyond the estimate; negative if they consumed less.
     pub(crate) excess_units: f64,
-    /// Whether the plan has an open limit, so that the quota's owner counts the request as in flight.
+    /// Whether the plan has a concurrency limit, so that the quota's owner counts the request as in flight.
     pub(crate) has_concurrency_limit: bool,
 }
 
 /// What is sent to the quota's owner or to the quota counter about a request that has ended.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum QuotaSettlement {
-    /// Nothing is sent: only this gateway counts the request, or the count is already right.
+    /// Nothing is sent: only this gateway counts the request, the count is already right, or the request does
+    /// not count towards the quota.
     Nothing,
     /// The request's units in the quota counter are corrected.
     SettleWithCounter,
--- a/crates/admission/src/policy/upkeep.rs
+++ b/crates/admission/src/policy/upkeep.rs
@@ -4,10 +4,11 @@
 /// requests and stalled attempts are noticed in time.
 pub(crate) const UPKEEP_INTERVAL_MS: f64 = 20.0;
 
-/// Time between two reviews of all endpoints in a large fleet, and between two rounds of upkeep there while
-/// the gateway has no active request, in ms. It is longer because a review costs more with many gateways and
-/// endpoints.
-const LARGE_FLEET_REVIEW_INTERVAL_MS: f64 = 100.0;
+/// Time between two reviews in a large fleet, and between two rounds of upkeep there while the gateway has no
+/// active request, in ms. A review is the part of upkeep that visits all endpoints: it detects a correlated
+/// failure and updates the means over the fleet. It is longer than `UPKEEP_INTERVAL_MS`, because a review
+/// costs more with many gateways and endpoints.
+const LARGE_FLEET_SLOW_INTERVAL_MS: f64 = 100.0;
 
 /// Time between two evictions of idle customers, in ms.
 const EVICTION_INTERVAL_MS: f64 = 1000.0;
@@ -25,7 +26,7 @@
     if has_active_requests {
         UPKEEP_INTERVAL_MS
     } else {
-        LARGE_FLEET_REVIEW_INTERVAL_MS
+        LARGE_FLEET_SLOW_INTERVAL_MS
     }
 }
 
@@ -34,10 +35,9 @@
     now_ms >= next_ms - TIMER_TOLERANCE_MS
 }
 
-/// Returns whether a gateway of a large fleet is due to review all endpoints, `since_review_ms` after the
-/// last review.
+/// Returns whether the next review is due in a large fleet, `since_review_ms` after the last one.
 pub(crate) fn review_is_due(since_review_ms: f64) -> bool {
-    since_review_ms >= LARGE_FLEET_REVIEW_INTERVAL_MS
+    since_review_ms >= LARGE_FLEET_SLOW_INTERVAL_MS
 }
 
 /// Returns whether an eviction of idle customers is due, `since_eviction_ms` after the last one.
--- a/crates/admission/src/settings.rs
+++ b/crates/admission/src/settings.rs
@@ -98,7 +98,7 @@
     pub this_gateway: GatewayIndex,
     /// Number of gateways in the fleet.
     pub gateways: usize,
-    /// Shortest time between two rounds of events, in milliseconds.
+    /// The tick: the shortest step of the clock by which the host dates events, in milliseconds.
     pub tick_ms: f64,
     /// This gateway's zone.
     pub zone: ZoneIndex,
--- a/crates/admission/src/state/fleet/band_state.rs
+++ b/crates/admission/src/state/fleet/band_state.rs
@@ -10,15 +10,13 @@
     blocked: bool,
     /// Whether queued requests have waited for the band since the last step of the watermark.
     blocked_since_step: bool,
-    /// Whether the endpoints are loaded: the fleet's attempts in flight exceed a fraction of the band's
-    /// middle.
+    /// Whether the endpoints are loaded: the fleet's attempts in flight exceed half of the band's middle.
     loaded: bool,
     /// When the watermark last took a step, in milliseconds.
     stepped_ms: f64,
     /// Ready endpoints as the band last counted them; an endpoint that is warming up counts as a fraction.
     ready_capacity: f64,
-    /// Requests that this gateway may send by its even fraction of the band; below 0, the credit is
-    /// overdrawn.
+    /// Requests that this gateway may send by its equal share of the band; below 0, the credit is overdrawn.
     dispatch_credit: f64,
     /// When the dispatch credit was last refilled, in milliseconds.
     refilled_ms: f64,
@@ -133,8 +131,8 @@
         now_ms - self.stepped_ms
     }
 
-    /// Begins a step of the watermark, and returns whether queued requests wait now, or have waited for the
-    /// band since the last step.
+    /// Begins a step of the watermark, and returns whether queued requests wait now, for the band or for an
+    /// endpoint, or have waited for the band since the last step.
     pub(crate) fn begin_step(&mut self, now_ms: f64) -> bool {
         let was_blocked = self.blocked || self.blocked_since_step;
         self.blocked_since_step = false;
@@ -184,12 +182,12 @@
         self.ready_capacity = ready_capacity;
     }
 
-    /// Returns the requests that this gateway may send by its even fraction of the band.
+    /// Returns the requests that this gateway may send by its equal share of the band.
     pub(crate) fn dispatch_credit(&self) -> f64 {
         self.dispatch_credit
     }
 
-    /// Sets the requests that this gateway may send by its even fraction of the band.
+    /// Sets the requests that this gateway may send by its equal share of the band.
     pub(crate) fn set_dispatch_credit(&mut self, dispatch_credit: f64) {
         self.dispatch_credit = dispatch_credit;
     }
--- a/crates/admission/src/state/fleet/coordination_mode.rs
+++ b/crates/admission/src/state/fleet/coordination_mode.rs
@@ -22,7 +22,8 @@
 pub(crate) enum FleetMode {
     /// Each gateway knows the counts of every other.
     Broadcast,
-    /// Gateways use means over the fleet, received or assumed. This covers gossip, counter and isolated mode.
+    /// Every mode but broadcast, that is, gossip, counter and isolated mode, whatever the fleet's size.
+    /// Gateways use means over the fleet, received or assumed.
     LargeFleet,
 }
 
--- a/crates/admission/src/tests/load_rules/band_position_rules.rs
+++ b/crates/admission/src/tests/load_rules/band_position_rules.rs
@@ -6,7 +6,7 @@
 };
 use crate::state::{Band, BandPosition};
 
-/// A band of two gateways with bounds of 90 and 110 around 100 attempts in flight: an even fraction of the
+/// A band of two gateways with bounds of 90 and 110 around 100 attempts in flight: an equal share of the
 /// lower bound is 45.
 fn reported_band(own_in_flight: f64, in_flight: f64) -> Band {
     Band { own_in_flight, in_flight, middle: 100.0, gateways: 2.0 }
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn broadcast_position_follows_both_bounds_above_the_even_fraction() {
+fn bounds_hold_back_a_gateway_only_from_its_equal_share_on() {
     let cases = [
         (60.0, 89.0, BandPosition::BelowLowerBound),
         (60.0, 91.0, BandPosition::BetweenBounds),
@@ -67,7 +67,7 @@
     for (weight, required) in [(1.0, 1.0), (3.0, 0.0), (0.0, 1.0)] {
         assert!(is_close(credit_required(weight, 1.0), required), "weight {weight}");
     }
-    assert!(is_close(credit_required(1e12, 1.0), -0.5), "the overdraft is at most half a credit");
+    assert!(is_close(credit_required(1e12, 1.0), -0.5), "required credit is at least -0.5");
     assert_eq!(credit_required(0.0, 0.0), -0.5, "no division by 0 if no class has a weight");
 }
 
@@ -78,20 +78,16 @@
         let credit = credit_after_refill(-1.0, &gossip_band(in_flight), 500.0, 0.1);
         assert!(is_close(credit, earned - 1.0), "{credit} at {in_flight}");
     }
-    assert_eq!(
-        credit_after_refill(9.0, &gossip_band(0.0), 500.0, 1.0),
-        10.0,
-        "the even fraction is the limit"
-    );
+    assert_eq!(credit_after_refill(9.0, &gossip_band(0.0), 500.0, 1.0), 10.0, "the equal share is the limit");
     let band = LargeFleetBand { ready_capacity: 1.0, ..gossip_band(0.0) };
     assert_eq!(
         credit_after_refill(0.9, &band, 500.0, 1.0),
         1.0,
-        "one request may be saved for if the even fraction is 0.4"
+        "one request may be saved for if the equal share is 0.4"
     );
 }
 
 #[test]
-fn request_spends_one_credit_down_to_an_overdraft_of_one() {
+fn sent_request_spends_one_credit_down_to_minus_one() {
     assert_eq!([2.0, 0.5, -0.5].map(credit_after_send), [1.0, -0.5, -1.0]);
 }
--- a/crates/admission/src/tests/load_rules/counted_endpoint_rules.rs
+++ b/crates/admission/src/tests/load_rules/counted_endpoint_rules.rs
@@ -3,7 +3,7 @@
     is_counted_in_broadcast_mode, is_counted_in_large_fleet, is_counted_or_correlated_failure, HealthSignals,
 };
 
-const HEALTHY: HealthSignals = HealthSignals {
+const COUNTED: HealthSignals = HealthSignals {
     is_gone: false,
     consecutive_failures: 0,
     is_ejected: false,
@@ -14,14 +14,14 @@
 #[test]
 fn failed_endpoints_are_not_counted_in_either_mode() {
     let cases = [
-        (HEALTHY, true),
-        (HealthSignals { is_gone: true, ..HEALTHY }, false),
-        (HealthSignals { consecutive_failures: 1, is_ejected: true, ..HEALTHY }, false),
+        (COUNTED, true),
+        (HealthSignals { is_gone: true, ..COUNTED }, false),
+        (HealthSignals { consecutive_failures: 1, is_ejected: true, ..COUNTED }, false),
         // The endpoint is paused after an overload response, or its ejection has ended.
-        (HealthSignals { is_ejected: true, ..HEALTHY }, true),
-        (HealthSignals { consecutive_failures: 1, ..HEALTHY }, true),
-        (HealthSignals { is_any_class_ejected: true, ..HEALTHY }, false),
-        (HealthSignals { stall_ratio: 2.1, ..HEALTHY }, false),
+        (HealthSignals { is_ejected: true, ..COUNTED }, true),
+        (HealthSignals { consecutive_failures: 1, ..COUNTED }, true),
+        (HealthSignals { is_any_class_ejected: true, ..COUNTED }, false),
+        (HealthSignals { stall_ratio: 2.1, ..COUNTED }, false),
     ];
     for (signals, counted) in cases {
         assert_eq!(is_counted_in_broadcast_mode(&signals), counted, "{signals:?}");
@@ -31,9 +31,9 @@
 
 #[test]
 fn large_fleet_does_not_count_unresponsive_or_far_slower_endpoints() {
-    assert!(is_counted_in_large_fleet(&HEALTHY, false, 1.6));
-    assert!(!is_counted_in_large_fleet(&HEALTHY, false, 1.7));
-    assert!(!is_counted_in_large_fleet(&HEALTHY, true, 1.0));
+    assert!(is_counted_in_large_fleet(&COUNTED, false, 1.6));
+    assert!(!is_counted_in_large_fleet(&COUNTED, false, 1.7));
+    assert!(!is_counted_in_large_fleet(&COUNTED, true, 1.0));
 }
 
 #[test]
--- a/crates/admission/src/tests/load_rules/customer_limit_rules.rs
+++ b/crates/admission/src/tests/load_rules/customer_limit_rules.rs
@@ -1,4 +1,4 @@
-//! Whether a customer's quota, open limit and ceiling permit a request.
+//! Whether a customer's quota, concurrency limit and ceiling permit a request.
 use super::plan;
 use crate::policy::queue::customer_limits::{check_customer_limits, LimitDecision, LimitInput, SlotUse};
 use crate::settings::PlanSettings;
@@ -47,9 +47,9 @@
 }
 
 /// With a limit of 4 and 3 gateways, each gateway has one slot of its own. With a limit of 2 and 8 gateways,
-/// the first 3 positions have one: 4 gateways for 3 slots, rounded up.
+/// the first 3 positions have one: 4/3 gateways per slot, rounded up.
 #[test]
-fn open_limit_counts_unreported_attempts_once_own_slots_are_used() {
+fn concurrency_limit_counts_unreported_attempts_once_own_slots_are_used() {
     let cases = [
         (4, 3, 2, [0, 3, 2], LimitDecision::Admit),
         (4, 3, 2, [0, 4, 2], LimitDecision::WaitForSlot),
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn quota_decision_follows_the_limit_decision() {
+fn queued_request_waits_if_a_slot_or_ceiling_units_are_lacking() {
     let cases = [
         (LimitDecision::Admit, QuotaDecision::Admit),
         (LimitDecision::OverQuota, QuotaDecision::OverQuota),
--- a/crates/admission/src/tests/load_rules/deadline_rules.rs
+++ b/crates/admission/src/tests/load_rules/deadline_rules.rs
@@ -18,10 +18,10 @@
 };
 
 #[test]
-fn time_left_ends_at_the_objective_or_the_last_upkeep_before_the_deadline() {
-    assert_eq!(TIMES.time_left_ms(), 500.0);
+fn time_to_respond_ends_at_objective_or_last_upkeep_before_deadline() {
+    assert_eq!(TIMES.time_left_to_respond_ms(), 500.0);
     // 400 ms less 20 ms for a round of upkeep and 4 ms for two ticks.
-    assert_eq!(RequestTimes { deadline_at_ms: 1400.0, ..TIMES }.time_left_ms(), 376.0);
+    assert_eq!(RequestTimes { deadline_at_ms: 1400.0, ..TIMES }.time_left_to_respond_ms(), 376.0);
 }
 
 #[test]
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn retry_after_is_the_longest_that_clients_honour() {
+fn no_retry_after_if_sent_or_over_quota_in_broadcast_mode_else_longest() {
     assert_eq!((retry_after_overload(1000.0), retry_after_overload(0.0)), (Some(1000.0), None));
     assert_eq!((retry_after_overdue(true, 1000.0), retry_after_overdue(false, 1000.0)), (Some(1000.0), None));
     assert_eq!(retry_after_over_quota_in_broadcast_mode(), None);
--- a/crates/admission/src/tests/load_rules/local_bucket_rules.rs
+++ b/crates/admission/src/tests/load_rules/local_bucket_rules.rs
@@ -32,12 +32,15 @@
 }
 
 #[test]
-fn quota_may_be_exceeded_if_the_plan_pays_and_the_ceiling_permits() {
-    let paying = PlanSettings { over_quota_value: 2.0, ..plan() };
-    let with_ceiling = PlanSettings { ceiling_rate_per_second: 1.0, ..paying.clone() };
-    for (plan, units, may_exceed) in
-        [(&plan(), 1.0, false), (&paying, 2.0, true), (&with_ceiling, 1.0, true), (&with_ceiling, 2.0, false)]
-    {
+fn quota_may_be_exceeded_if_the_plan_allows_it_and_the_ceiling_permits() {
+    let allowing = PlanSettings { over_quota_value: 2.0, ..plan() };
+    let with_ceiling = PlanSettings { ceiling_rate_per_second: 1.0, ..allowing.clone() };
+    for (plan, units, may_exceed) in [
+        (&plan(), 1.0, false),
+        (&allowing, 2.0, true),
+        (&with_ceiling, 1.0, true),
+        (&with_ceiling, 2.0, false),
+    ] {
         let check = check_local_bucket(&LocalBucketInput { units, ..input(plan) });
         assert_eq!(check.may_exceed, may_exceed, "{units} units of {plan:?}");
     }
--- a/crates/admission/src/tests/load_rules/mod.rs
+++ b/crates/admission/src/tests/load_rules/mod.rs
@@ -14,8 +14,8 @@
 use crate::settings::PlanSettings;
 use crate::tests::plan_builder::quota_plan;
 
-/// A plan with a quota of 10 units per second and a burst of 40 units, without an open limit, a ceiling or
-/// paid use over the quota.
+/// A plan with a quota of 10 units per second and a burst of 40 units, without a concurrency limit, a ceiling
+/// or use over the quota.
 fn plan() -> PlanSettings {
     quota_plan(10.0, 40.0)
 }
--- a/crates/admission/src/tests/load_rules/new_request_rules.rs
+++ b/crates/admission/src/tests/load_rules/new_request_rules.rs
@@ -46,16 +46,16 @@
 }
 
 #[test]
-fn request_over_quota_is_sent_under_the_lower_bound_if_the_plan_pays() {
+fn request_over_quota_is_sent_under_the_lower_bound_if_the_plan_allows() {
     let over = LocalBucketCheck { is_within_quota: false, ..ADMITTED.quota };
-    let paying = LocalBucketCheck { may_exceed: true, ..over };
+    let allowed = LocalBucketCheck { may_exceed: true, ..over };
     // The customer's limits apply only to a request within the quota.
     let limits = LimitDecision::WaitForSlot;
     let cases = [
         (AdmissionInput { quota: over, ..ADMITTED }, REJECTED),
-        (AdmissionInput { quota: paying, limits, ..ADMITTED }, Admission::Send),
-        (AdmissionInput { quota: paying, band: BandPosition::BetweenBounds, ..ADMITTED }, REJECTED),
-        (AdmissionInput { quota: paying, queue_is_blocked: true, ..ADMITTED }, REJECTED),
+        (AdmissionInput { quota: allowed, limits, ..ADMITTED }, Admission::Send),
+        (AdmissionInput { quota: allowed, band: BandPosition::BetweenBounds, ..ADMITTED }, REJECTED),
+        (AdmissionInput { quota: allowed, queue_is_blocked: true, ..ADMITTED }, REJECTED),
     ];
     for (input, expected) in cases {
         assert_eq!(admit_in_broadcast_mode(&input), expected, "{input:?}");
--- a/crates/admission/src/tests/load_rules/watermark_rules.rs
+++ b/crates/admission/src/tests/load_rules/watermark_rules.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn floor_depends_on_the_mode_and_the_step_interval_does_not() {
+fn watermark_floor_is_2_or_4_and_a_step_is_due_after_0_12_objectives() {
     assert_eq!((watermark_floor_in_broadcast_mode(), watermark_floor_in_large_fleet()), (2.0, 4.0));
     assert!(watermark_step_is_due(120.0, 1000.0) && !watermark_step_is_due(119.0, 1000.0));
 }
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn large_fleet_has_higher_thresholds_and_raises_a_full_band() {
+fn large_fleet_has_higher_thresholds_and_raises_above_credit_threshold() {
     let step = |input, fill| watermark_step_in_large_fleet(&input, &gossip_band(fill));
     // The thresholds are 0.39 and 0.54 objectives. The age has a weight of 0.9: 610 ms count as 0.549
     // objectives.
--- a/crates/admission/src/tests/quota_rules/counter_rules.rs
+++ b/crates/admission/src/tests/quota_rules/counter_rules.rs
@@ -57,8 +57,8 @@
     }
 }
 
-/// The quota is ample above half the burst, and only a plan that pays for it and has no hard ceiling may
-/// exceed it.
+/// The quota is ample above half the burst, and only a plan that allows it and has no hard ceiling may exceed
+/// it.
 #[test]
 fn count_admits_request_if_tokens_suffice() {
     let paying = paying_plan(2.0, 8.0);
--- a/crates/settings/src/document.rs
+++ b/crates/settings/src/document.rs
@@ -14,7 +14,7 @@
     /// The number of this gateway in the fleet, counted from 0.
     #[serde(rename = "me")]
     pub(crate) gateway_number: usize,
-    /// Shortest time between two rounds of events, in milliseconds.
+    /// The tick: the shortest step of the clock by which the host dates events, in milliseconds.
     #[serde(rename = "tickMs")]
     pub(crate) tick_ms: f64,
     /// The name of this gateway's zone.
