--- a/crates/admission/src/event.rs
+++ b/crates/admission/src/event.rs
@@ -88,8 +88,8 @@
     Reset,
     /// The attempt was cancelled. The request may have run.
     Cancelled,
-    /// The attempt was never sent, through no fault of the endpoint: its time was over, or the endpoint list
-    /// had expired.
+    /// The attempt was never sent, through no fault of the endpoint: either no time was left for it, or the
+    /// endpoint list had expired.
     NotSent,
 }
 
--- a/crates/admission/src/policy/observation/attempt_observation.rs
+++ b/crates/admission/src/policy/observation/attempt_observation.rs
@@ -1,10 +1,10 @@
-//! What the end of an attempt tells the other gateways about its endpoint, and how many observations are sent
-//! on.
+//! What the end of an attempt tells the other gateways about its endpoint, and how many observations a
+//! message carries.
 use crate::event::Outcome;
 use crate::id::{ClassIndex, PlanIndex};
 use crate::messages::observation_code::{ObservationKind, ResponseTimeCode};
 
-/// Maximum number of observations in a message, and of those that are retained for the next messages.
+/// Maximum number of this gateway's observations that are retained, and that a message carries.
 pub(crate) const MAX_OBSERVATIONS: usize = 3;
 
 /// Span over which the rate of observed responses is smoothed, in seconds.
--- a/crates/admission/src/policy/outlier/attempt_failure.rs
+++ b/crates/admission/src/policy/outlier/attempt_failure.rs
@@ -61,8 +61,8 @@
         Outcome::Overloaded => {
             EjectionDecision::Pause { duration_ms: OVERLOAD_PAUSE_FRACTION * EJECTION.base_ms }
         }
-        Outcome::TimedOut => eject_if(input.got_no_response() && input.took_long()),
-        _ => decide_ejection_in_any_mode(input),
+        Outcome::TimedOut => eject_if(input.endpoint_was_silent() && input.took_long()),
+        _ => decide_ejection_by_default(input),
     }
 }
 
@@ -70,13 +70,13 @@
 /// few attempts, so a time-out is enough if the endpoint has not responded since the attempt was sent.
 pub(crate) fn decide_ejection_in_large_fleet(input: &EjectionInput) -> EjectionDecision {
     match input.outcome {
-        Outcome::TimedOut => eject_if(input.got_no_response()),
-        _ => decide_ejection_in_any_mode(input),
+        Outcome::TimedOut => eject_if(input.endpoint_was_silent()),
+        _ => decide_ejection_by_default(input),
     }
 }
 
-/// Decides about the outcomes that both modes treat alike.
-fn decide_ejection_in_any_mode(input: &EjectionInput) -> EjectionDecision {
+/// Decides about the outcomes that the mode's own rule has not decided on.
+fn decide_ejection_by_default(input: &EjectionInput) -> EjectionDecision {
     match input.outcome {
         Outcome::Error => {
             eject_if(input.error_fraction > ERROR_EJECTION_THRESHOLD || input.consecutive_failures > 0)
@@ -88,7 +88,7 @@
                     || input.since_response_ms > silent_ms,
             )
         }
-        Outcome::Cancelled => eject_if(input.got_no_response() && input.took_long()),
+        Outcome::Cancelled => eject_if(input.endpoint_was_silent() && input.took_long()),
         Outcome::Ok | Outcome::Overloaded | Outcome::NotSent | Outcome::TimedOut => {
             EjectionDecision::Unchanged
         }
@@ -106,7 +106,7 @@
 
 impl EjectionInput {
     /// Returns whether the endpoint has responded to none of this gateway's attempts since this one was sent.
-    fn got_no_response(&self) -> bool {
+    fn endpoint_was_silent(&self) -> bool {
         self.since_response_ms > self.took_ms
     }
 
--- a/crates/admission/src/policy/outlier/stall.rs
+++ b/crates/admission/src/policy/outlier/stall.rs
@@ -1,4 +1,10 @@
 //! How long an endpoint with attempts in flight has not responded, compared with the usual response time.
+//!
+//! Four times build on each other. The mean response time is the smoothed time that responses took. The
+//! typical age is that of the attempts now in flight, over all endpoints. The usual response time is the
+//! mean, or `TYPICAL_AGE_FACTOR` times the typical age if that is longer. The expected response time of one
+//! endpoint is the usual one, longer if the endpoint is slower than the mean or does not have its full
+//! capacity yet.
 use crate::mechanism::percentile::percentile;
 
 /// Time without a response that counts as a stall if several attempts are in flight, in expected response
@@ -42,9 +48,10 @@
 /// Returns the time without any response from an endpoint with attempts in flight, as a multiple of the time
 /// that counts as a stall.
 ///
-/// One attempt in flight is a stall after 5 expected response times, two or more are after 2.5. The expected
-/// response time grows with the age of this gateway's attempts at all endpoints, so that no endpoint counts
-/// as stalled if all slow down.
+/// With one attempt in flight, a time without a response counts as a stall after
+/// `SINGLE_STALL_RESPONSE_TIMES` expected response times; with two or more, after `STALL_RESPONSE_TIMES`. The
+/// expected response time grows with the age of this gateway's attempts at all endpoints, so that no endpoint
+/// counts as stalled if all slow down.
 pub(crate) fn stall_ratio(input: &StallInput) -> f64 {
     let stalled_ms = input.now_ms - input.oldest_sent_ms.max(input.last_response_ms);
     let relative = input.relative_response_time.max(1.0);
@@ -54,7 +61,8 @@
 }
 
 /// Returns the response time that is usual at present, in ms: the mean response time, or more if the attempts
-/// in flight are old.
+/// in flight are old. `mean_response_ms` is the mean over the classes if an endpoint's silence is judged, and
+/// that of the request's class if the end of an attempt is.
 pub(crate) fn usual_response_ms(mean_response_ms: f64, typical_age_ms: f64) -> f64 {
     mean_response_ms.max(TYPICAL_AGE_FACTOR * typical_age_ms)
 }
--- a/crates/admission/src/policy/outlier/unresponsive.rs
+++ b/crates/admission/src/policy/outlier/unresponsive.rs
@@ -1,29 +1,29 @@
-//! Large fleets: which endpoints respond to no gateway any more. A gateway in a large fleet sends too few
-//! attempts to an endpoint to tell by itself.
+//! Large fleets: which endpoints give no gateway a good response any more. A gateway in a large fleet sends
+//! too few attempts to an endpoint to tell by itself.
 
-/// Attempts without a response that must have been observed since the last response; fewer may be chance.
+/// Failed or slow attempts that must have been observed since the last good response; fewer may be chance.
 const MIN_FAILED_OR_SLOW_ATTEMPTS: u32 = 2;
 
-/// Number of responses that an average endpoint would have given in the time without a response.
+/// Number of good responses that an average endpoint would have given in the time without one.
 const EXPECTED_RESPONSES: f64 = 2.5;
 
-/// Upper limit of the time without an observed response that makes an endpoint unresponsive, in ms.
+/// Upper limit of the time without an observed good response that makes an endpoint unresponsive, in ms.
 const MAX_UNRESPONSIVE_MS: f64 = 2000.0;
 
 /// What this gateway and those that it receives messages from have observed of an endpoint.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct UnresponsiveInput {
-    /// Attempts that failed or were slow since the endpoint's last response.
+    /// Attempts that failed, error responses included, or were slow since the endpoint's last good response.
     pub failed_or_slow_attempts: u32,
-    /// Time since the endpoint's last response, in ms.
+    /// Time since the endpoint's last good response, in ms.
     pub since_good_response_ms: f64,
-    /// Rate of observed responses of all endpoints, per second.
+    /// Rate of observed good responses of all endpoints, per second.
     pub observed_responses_per_second: f64,
     /// Number of endpoints in the list.
     pub endpoints: usize,
 }
 
-/// Returns whether an endpoint responds to no gateway any more, as far as this gateway knows.
+/// Returns whether an endpoint gives no gateway a good response any more, as far as this gateway knows.
 pub(crate) fn is_unresponsive(input: &UnresponsiveInput) -> bool {
     let per_endpoint = input.observed_responses_per_second / input.endpoints.max(1) as f64;
     let limit_ms = (1000.0 * EXPECTED_RESPONSES / per_endpoint).min(MAX_UNRESPONSIVE_MS);
--- a/crates/admission/src/policy/response_time/kind_deviation.rs
+++ b/crates/admission/src/policy/response_time/kind_deviation.rs
@@ -18,8 +18,8 @@
 pub(crate) struct KindDeviation {
     /// Usual relative response time of the kind.
     pub baseline: f64,
-    /// The endpoint's relative response time divided by that from which an endpoint of its kind is clearly
-    /// slow; at least 1.
+    /// 1 up to `SLOW_ENDPOINT_RATIO` times the kind's usual response time, and above that in proportion to
+    /// the endpoint's response time.
     pub slowness: f64,
 }
 
--- a/crates/admission/src/policy/response_time/response_samples.rs
+++ b/crates/admission/src/policy/response_time/response_samples.rs
@@ -38,16 +38,17 @@
     pub class_response_ms: f64,
     /// Latency objective of the request's class, in ms.
     pub latency_objective_ms: f64,
-    /// The endpoint has warmed up. Response times of endpoints that have not are no samples for the class.
+    /// The endpoint's process is past the warm-up time. Response times before that are no samples for the
+    /// class.
     pub is_past_warm_up: bool,
 }
 
-/// A sample of a response time.
+/// A sample of a response time, as a ratio. The field of `OwnAttemptSamples` names what it is relative to.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum ResponseTimeSample {
-    /// The response arrived after this time.
+    /// The response took this long.
     Measured(f64),
-    /// No response arrived within this time.
+    /// No response arrived in this time, so a response would have taken longer.
     AtLeast(f64),
 }
 
--- a/crates/admission/src/policy/retry/after_attempt.rs
+++ b/crates/admission/src/policy/retry/after_attempt.rs
@@ -15,13 +15,14 @@
 /// What a request does after one of its attempts has ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum AfterAttempt {
-    /// The request is closed.
+    /// No response is due: a good response or another final response was given, or the client has
+    /// disconnected.
     Close,
     /// The request waits for its other attempt.
     AwaitOtherAttempt,
     /// The request is retried if a retry is allowed, and otherwise gets its final response.
     Retry,
-    /// The request gets its final response.
+    /// This gateway gives the request its final response, without a retry.
     Finish,
 }
 
--- a/crates/admission/src/policy/retry/mod.rs
+++ b/crates/admission/src/policy/retry/mod.rs
@@ -1,5 +1,8 @@
 //! Retries: whether a request gets another attempt, at which endpoints, what the attempt costs, and when an
 //! attempt is stalled.
+//!
+//! A stalled attempt is not the same as a stalled endpoint (`policy::outlier`). In broadcast mode the
+//! attempts at outliers are stalled. In a large fleet an attempt is also stalled by its own age.
 mod after_attempt;
 mod attempt_timeout;
 mod possible_run;
--- a/crates/admission/src/policy/retry/retry_scope.rs
+++ b/crates/admission/src/policy/retry/retry_scope.rs
@@ -6,9 +6,9 @@
 /// endpoints measure the window, and network delays take some of it.
 const KEY_WINDOW_FRACTION: f64 = 0.9;
 
-/// Rounds of events that are subtracted from that part of the window, because they may pass before an attempt
-/// reaches the network and before the gateway notices how much time has passed.
-const KEY_WINDOW_ROUNDS: f64 = 2.0;
+/// Ticks that are subtracted from that part of the window, because they may pass before an attempt reaches
+/// the network and before the gateway notices how much time has passed.
+const KEY_WINDOW_TICKS: f64 = 2.0;
 
 /// The earlier attempts of a request, and the settings that restrict where it may be retried.
 #[derive(Debug, Clone, Copy)]
@@ -21,7 +21,7 @@
     pub hedging_allowed: bool,
     /// What the request's class allows after an attempt that may have run.
     pub idempotency: Idempotency,
-    /// Shortest time between two rounds of events, from the settings, in ms.
+    /// Length of a tick, from the settings, in ms.
     pub tick_ms: f64,
 }
 
@@ -48,7 +48,7 @@
         Idempotency::Idempotent => RetryScope::AnyEndpoint,
         Idempotency::NonIdempotent => RetryScope::NoEndpoint,
         Idempotency::IdempotencyKey { group, window_ms } => {
-            let limit_ms = KEY_WINDOW_FRACTION * window_ms - KEY_WINDOW_ROUNDS * input.tick_ms;
+            let limit_ms = KEY_WINDOW_FRACTION * window_ms - KEY_WINDOW_TICKS * input.tick_ms;
             if since_first_ms < limit_ms {
                 RetryScope::DedupGroup(group)
             } else {
--- a/crates/admission/src/policy/retry/stalled_attempt.rs
+++ b/crates/admission/src/policy/retry/stalled_attempt.rs
@@ -8,7 +8,7 @@
 /// Lower limit of the age from which an attempt is slow, in latency objectives.
 const SLOW_OBJECTIVE_FRACTION: f64 = 0.25;
 
-/// Multiple of the age from which an attempt is slow after which it is stalled, if its endpoint shows no
+/// Age from which an attempt is presumed stalled, as a multiple of `slow_after_ms`, if its endpoint shows no
 /// fault.
 const STALLED_FACTOR: f64 = 1.6;
 
@@ -23,7 +23,7 @@
     pub is_ejected_for_class: bool,
     /// The endpoint is an outlier.
     pub is_outlier: bool,
-    /// The endpoint responds to no gateway any more.
+    /// The endpoint gives no gateway a good response any more.
     pub is_unresponsive: bool,
 }
 
@@ -39,9 +39,9 @@
     age_ms > slow_after_ms && age_ms < slow_after_ms + UPKEEP_INTERVAL_MS
 }
 
-/// Returns whether an attempt is stalled: at any age if its endpoint is an outlier or unresponsive, from the
-/// age at which it is slow if the endpoint is ejected for the class, and otherwise from `STALLED_FACTOR`
-/// times that age.
+/// Returns whether an attempt is presumed stalled: at any age if its endpoint is an outlier or unresponsive,
+/// from the age at which it is slow if the endpoint is ejected for the class, and otherwise from
+/// `STALLED_FACTOR` times that age.
 pub(crate) fn is_presumed_stalled(input: &InFlightAttemptInput) -> bool {
     let factor = if input.is_ejected_for_class { 1.0 } else { STALLED_FACTOR };
     let limit_ms = input.slow_after_ms * factor;
--- a/crates/admission/src/policy/selection/attempt_cost.rs
+++ b/crates/admission/src/policy/selection/attempt_cost.rs
@@ -1,16 +1,18 @@
 //! The expected cost of an attempt at an endpoint. A cost has no unit: only ratios of costs matter.
 use crate::policy::response_time::KindDeviation;
-use crate::policy::slow_start::{is_warming_up, TOKENS_PER_ATTEMPT, WARM_UP_BUDGET_FRACTION, WARM_UP_WEIGHT};
+use crate::policy::slow_start::{
+    is_warming_up, LARGE_FLEET_WARM_UP_FRACTION, TOKENS_PER_ATTEMPT, WARM_UP_BUDGET_FRACTION,
+};
 
 /// Factor on the cost of an endpoint that an earlier attempt of the request was sent to.
-const ATTEMPTED_BEFORE_COST: f64 = 4.0;
+const ATTEMPTED_BEFORE_COST_FACTOR: f64 = 4.0;
 
 /// Factor on the cost of an endpoint in another zone, in broadcast mode.
-const REMOTE_ZONE_COST: f64 = 1.1;
+const REMOTE_ZONE_COST_FACTOR: f64 = 1.1;
 
-/// Factor on the cost of an unresponsive endpoint. Some gateway still sends to the endpoint now and then,
-/// which shows when it is healthy again.
-const SUSPECT_COST: f64 = 20.0;
+/// Factor on the cost of an endpoint that is suspected not to respond to the request. Some gateway still
+/// sends to the endpoint now and then, which shows when it is healthy again.
+const SUSPECT_COST_FACTOR: f64 = 20.0;
 
 /// The warm-up tokens of an endpoint that is warming up.
 #[derive(Debug, Clone, Copy)]
@@ -42,14 +44,15 @@
 /// response times, or `None` if the endpoint is warming up and has no token left.
 pub(crate) fn cost_in_broadcast_mode(input: &BroadcastCostInput) -> Option<f64> {
     let mut cost = (input.in_flight as f64 + 1.0) / input.warm_fraction;
-    cost *= if input.was_attempted { ATTEMPTED_BEFORE_COST } else { 1.0 };
-    cost *= if input.is_local { 1.0 } else { REMOTE_ZONE_COST };
+    cost *= if input.was_attempted { ATTEMPTED_BEFORE_COST_FACTOR } else { 1.0 };
+    cost *= if input.is_local { 1.0 } else { REMOTE_ZONE_COST_FACTOR };
     cost *= input.relative_response_time;
     if let Some(warm_up) = input.warm_up {
         if warm_up.available_tokens < TOKENS_PER_ATTEMPT {
             return None;
         }
-        // A smaller bucket lowers the cost, so that a token that is rarely available is used before it
+        // The cost is lowered in proportion to the bucket if that holds less than
+        // `1 / WARM_UP_BUDGET_FRACTION` tokens, so that a token that is rarely available is used before it
         // expires.
         cost *= (WARM_UP_BUDGET_FRACTION * warm_up.max_tokens).min(1.0);
     }
@@ -69,7 +72,7 @@
     pub was_attempted: bool,
     /// The endpoint's response time compared with that of its machine kind.
     pub kind_deviation: KindDeviation,
-    /// The endpoint counts as unresponsive for this request.
+    /// The endpoint is suspected not to respond to this request.
     pub is_suspect: bool,
 }
 
@@ -83,13 +86,13 @@
     let is_warming_up = is_warming_up(input.warm_fraction);
     let least_in_flight = if is_warming_up { input.mean_warm_in_flight } else { 0.0 };
     let load = least_in_flight.max(input.in_flight as f64) + 1.0;
-    let warm_up_weight = if is_warming_up { WARM_UP_WEIGHT } else { 1.0 };
+    let warm_up_fraction = if is_warming_up { LARGE_FLEET_WARM_UP_FRACTION } else { 1.0 };
     let kind_deviation = input.kind_deviation;
     let mut cost = load / input.warm_fraction;
-    cost *= if input.was_attempted { ATTEMPTED_BEFORE_COST } else { 1.0 };
+    cost *= if input.was_attempted { ATTEMPTED_BEFORE_COST_FACTOR } else { 1.0 };
     cost *=
-        load * kind_deviation.baseline * kind_deviation.slowness * kind_deviation.slowness / warm_up_weight;
-    cost *= if input.is_suspect { SUSPECT_COST } else { 1.0 };
+        load * kind_deviation.baseline * kind_deviation.slowness * kind_deviation.slowness / warm_up_fraction;
+    cost *= if input.is_suspect { SUSPECT_COST_FACTOR } else { 1.0 };
     cost
 }
 
--- a/crates/admission/src/policy/selection/fitness.rs
+++ b/crates/admission/src/policy/selection/fitness.rs
@@ -6,7 +6,7 @@
 pub(crate) struct BroadcastFitnessInput {
     /// The endpoint is an outlier.
     pub is_outlier: bool,
-    /// Consecutive failures of the endpoint.
+    /// Consecutive failures of the endpoint that each led to an ejection.
     pub consecutive_failures: u32,
     /// Number of this gateway's attempts in flight at the endpoint.
     pub in_flight: usize,
@@ -26,26 +26,27 @@
     pub is_outlier: bool,
     /// The endpoint is ejected for the request's class or plan.
     pub is_ejected_for_request: bool,
-    /// The endpoint responds to no gateway any more.
+    /// The endpoint gives no gateway a good response any more.
     pub is_unresponsive: bool,
-    /// Observed attempts at the endpoint that failed or were slow since its last response.
+    /// Observed attempts at the endpoint that failed or were slow since its last good response.
     pub failed_or_slow_attempts: u32,
     /// What the request's class allows after an attempt that may have run.
     pub idempotency: Idempotency,
 }
 
-/// The reasons not to send a request to an endpoint.
+/// How fit an endpoint is for a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct EndpointFitness {
     /// The endpoint is left out while enough others are healthy.
     pub is_unfit: bool,
-    /// Other attempts got no response from the endpoint, so that it costs more.
+    /// The endpoint is suspected not to respond to this request, so that it costs more. It is unresponsive,
+    /// or an attempt failed or was slow there since its last good response and the request is not idempotent.
     pub is_suspect: bool,
 }
 
 /// Returns whether, in a large fleet, an endpoint is fit for a request. Only idempotent requests are sent to
-/// an endpoint that has missed responses, to find out whether it is healthy again: any other request cannot
-/// be sent elsewhere if its response is lost.
+/// an endpoint at which attempts have failed or been slow since its last good response, to find out whether
+/// it is healthy again: any other request may not be retried freely if its response is lost.
 pub(crate) fn fitness_in_large_fleet(input: &LargeFleetFitnessInput) -> EndpointFitness {
     let is_idempotent = input.idempotency == Idempotency::Idempotent;
     let must_avoid = !is_idempotent && input.failed_or_slow_attempts > 0;
--- a/crates/admission/src/policy/selection/local_zone.rs
+++ b/crates/admission/src/policy/selection/local_zone.rs
@@ -14,7 +14,8 @@
 const MIN_MEAN_CAPACITY: f64 = 1e-9;
 
 /// Returns the fraction of attempts that stay in the local zone, by the capacity of its candidates compared
-/// with that of an average zone: a local candidate gets no more than a remote one of the same capacity.
+/// with that of an average zone. If the gateways of every zone send the same load, candidates of the same
+/// capacity then get about as much from all gateways together, although each gateway prefers its own zone.
 /// `capacities` has the zone and the capacity of each candidate, as a fraction of a warm endpoint's capacity.
 pub(crate) fn local_fraction(
     capacities: impl Iterator<Item = (ZoneIndex, f64)>,
--- a/crates/admission/src/policy/selection/weighted_draw.rs
+++ b/crates/admission/src/policy/selection/weighted_draw.rs
@@ -47,7 +47,7 @@
     pub local_zone: ZoneIndex,
     /// Whether the attempt may be sent to an endpoint that is warming up.
     pub warm_up: WarmUpAdmission,
-    /// Most endpoints of the list look like outliers.
+    /// More than three quarters of the ready endpoints are outliers.
     pub is_correlated_failure: bool,
 }
 
--- a/crates/admission/src/policy/slow_start/warm_fraction.rs
+++ b/crates/admission/src/policy/slow_start/warm_fraction.rs
@@ -4,9 +4,9 @@
 /// requests differ in size and endpoints of a machine kind differ in speed.
 pub(crate) const WARM_UP_BUDGET_FRACTION: f64 = 0.6;
 
-/// Fraction of a warming endpoint's capacity that counts in a large fleet, where endpoints are drawn by
-/// weight.
-pub(crate) const WARM_UP_WEIGHT: f64 = 0.5;
+/// Fraction of a warming endpoint's capacity that is used in a large fleet, where endpoints are drawn by
+/// weight. The rest is a margin for the same reasons.
+pub(crate) const LARGE_FLEET_WARM_UP_FRACTION: f64 = 0.5;
 
 /// Returns a lower bound of an endpoint's capacity, as a fraction of its full capacity. The fraction rises
 /// linearly from `initial_fraction`, when its process starts, to 1 after `warm_up_ms`. `age_ms` is `None` if
@@ -17,12 +17,14 @@
     initial_fraction + (1.0 - initial_fraction) * progress
 }
 
-/// Returns whether an endpoint does not have its full capacity yet.
+/// Returns whether an endpoint does not have its full capacity yet, by the lower bound of its capacity. If
+/// endpoints start at full capacity, this is never so, even before the end of the warm-up time.
 pub(crate) fn is_warming_up(warm_fraction: f64) -> bool {
     warm_fraction < 1.0
 }
 
-/// Returns whether an endpoint's process is old enough for its response times to be typical.
+/// Returns whether an endpoint's process is at least as old as the warm-up time, so that its response times
+/// are typical.
 pub(crate) fn is_past_warm_up(age_ms: Option<f64>, warm_up_ms: f64) -> bool {
     age_ms.is_none_or(|age_ms| age_ms >= warm_up_ms)
 }
@@ -41,7 +43,7 @@
 /// endpoint's.
 pub(crate) fn send_fraction_in_large_fleet(warm_fraction: f64) -> f64 {
     if is_warming_up(warm_fraction) {
-        WARM_UP_WEIGHT * warm_fraction
+        LARGE_FLEET_WARM_UP_FRACTION * warm_fraction
     } else {
         1.0
     }
--- a/crates/admission/src/policy/slow_start/warm_up_admission.rs
+++ b/crates/admission/src/policy/slow_start/warm_up_admission.rs
@@ -3,9 +3,9 @@
 use crate::mechanism::splitmix64::{fraction, mix};
 use crate::policy::slow_start::warm_fraction::is_warming_up;
 
-/// Fraction of attempts that are admitted to warming endpoints, as a multiple of these endpoints' fraction of
-/// the send capacity. The fraction of endpoints that are warm is added to it, since warm endpoints then take
-/// most of the work.
+/// Part of the factor by which the admitted fraction of attempts exceeds the warming endpoints' fraction of
+/// the send capacity. The other part, which is added, is the fraction of endpoints that are warm: more
+/// attempts must be admitted, since an admitted attempt may still be drawn to a warm endpoint.
 const WARM_UP_ADMISSION_FACTOR: f64 = 1.2;
 
 /// The work that the ready endpoints may be sent, in multiples of a warm endpoint's work.
@@ -51,7 +51,7 @@
 /// Decides whether an attempt may be sent to an endpoint that is warming up. `draw` is a random number from 0
 /// to 1.
 ///
-/// The admitted fraction of attempts is little more than the warming endpoints' fraction of the capacity,
+/// The admitted fraction of attempts is at most 2.2 times the warming endpoints' fraction of the capacity,
 /// even if the warm endpoints are busy or faulty: the work that those cannot take would overload an endpoint
 /// that has just started.
 pub(crate) fn warm_up_admission(capacity: &SendCapacity, draw: f64) -> WarmUpAdmission {
--- a/crates/admission/src/policy/slow_start/warm_up_budget.rs
+++ b/crates/admission/src/policy/slow_start/warm_up_budget.rs
@@ -35,17 +35,18 @@
 
 /// Returns this gateway's budget for an endpoint that is warming up.
 ///
-/// The budget is the larger of two rates: an even fraction of what all gateways may send, and what this
-/// gateway sends a warm endpoint of the same kind. Even the sum of both would stay within a warm endpoint's
-/// capacity, because response times grow with the load. Attempts in flight show longer response times before
-/// the responses arrive.
+/// The budget follows the larger of two rates: this gateway's equal share of the rate of an endpoint with one
+/// attempt in flight, which is one attempt per response time, and what this gateway sends a warm endpoint of
+/// the same kind. Even the sum of both rates would stay within a warm endpoint's capacity, because response
+/// times grow with the load. The response time is taken from the age of attempts in flight if that is longer,
+/// because they show longer response times before the responses arrive.
 pub(crate) fn warm_up_budget(input: &WarmUpBudgetInput) -> WarmUpBudget {
     let warm_rate = WARM_ENDPOINT_FRACTION * input.warm_send_rate;
     let response_ms = input.mean_response_ms.max(input.typical_age_ms);
-    let even_rate = 1000.0 / response_ms / input.gateways as f64;
+    let equal_rate = 1000.0 / response_ms / input.gateways as f64;
     let window_s = SAVED_WINDOW_FRACTION * input.overload_window_ms / 1000.0;
     let multiple = WARM_UP_BUDGET_FRACTION * input.overload_multiple;
-    let tokens_per_second = multiple * input.warm_fraction * warm_rate.max(even_rate);
+    let tokens_per_second = multiple * input.warm_fraction * warm_rate.max(equal_rate);
     WarmUpBudget { tokens_per_second, max_tokens: tokens_per_second * window_s }
 }
 
@@ -54,9 +55,10 @@
 
 /// Returns an endpoint's warm-up tokens, `since_update_ms` after it had `saved_tokens`.
 ///
-/// If the budget lets less than one token be saved, a full token is available only for a limited time, which
-/// differs between gateways, and then expires. Otherwise every gateway of the fleet would have a token ready
-/// when a burst of requests arrives, and together they would overload the endpoint.
+/// If the budget lets less than one token be saved, tokens accrue up to 1 + `max_tokens`, and then one
+/// expires: a full token is available from 1 until that limit is reached. This time differs between gateways,
+/// because an endpoint starts with a random fraction of a token at each. Otherwise every gateway of the fleet
+/// would have a token ready when a burst of requests arrives, and together they would overload the endpoint.
 pub(crate) fn available_tokens(saved_tokens: f64, since_update_ms: f64, budget: WarmUpBudget) -> f64 {
     let tokens = saved_tokens + budget.tokens_per_second * since_update_ms / 1000.0;
     if budget.max_tokens >= TOKENS_PER_ATTEMPT {
--- a/crates/admission/src/state/endpoint/latency_model.rs
+++ b/crates/admission/src/state/endpoint/latency_model.rs
@@ -101,7 +101,8 @@
         self.response_ms(class).max(self.floors.response_ms)
     }
 
-    /// Returns the mean of the classes' smoothed response times, in ms.
+    /// Returns the mean of the smoothed response times over the classes, in ms. That of one class is
+    /// `response_ms`.
     pub(crate) fn mean_response_ms(&self) -> f64 {
         self.mean_by_class_ms.iter().sum::<f64>() / self.mean_by_class_ms.len() as f64
     }
--- a/crates/admission/src/state/endpoint/observed_health.rs
+++ b/crates/admission/src/state/endpoint/observed_health.rs
@@ -16,9 +16,9 @@
 /// An endpoint's health, as the gateways of a large fleet observe it.
 #[derive(Debug)]
 pub(crate) struct ObservedHealth {
-    /// When any gateway last observed a response, in ms.
+    /// When any gateway last observed a good response, in ms. Errors and rejections do not count.
     last_good_response_ms: f64,
-    /// Attempts observed since the last response that failed or were slow.
+    /// Attempts observed since the last good response that failed or were slow.
     failed_or_slow_attempts: u32,
     /// Smoothed fraction of the requests of each class that failed.
     class_failure_fraction: BTreeMap<ClassIndex, f64>,
@@ -27,7 +27,7 @@
 }
 
 impl ObservedHealth {
-    /// Creates the health of a new endpoint, which counts as having responded at `now_ms`.
+    /// Creates the health of a new endpoint, which counts as having given a good response at `now_ms`.
     pub(crate) fn new(now_ms: f64) -> Self {
         ObservedHealth {
             last_good_response_ms: now_ms,
@@ -37,16 +37,16 @@
         }
     }
 
-    /// Records a response to a request of a class, with the weight `gain` in the class's fraction of failed
-    /// requests.
+    /// Records a good response to a request of a class, with the weight `gain` in the class's fraction of
+    /// failed requests.
     pub(crate) fn record_good_response(&mut self, class: ClassIndex, now_ms: f64, gain: f64) {
         self.last_good_response_ms = now_ms;
         self.failed_or_slow_attempts = 0;
         smooth(self.class_failure_fraction.entry(class).or_insert(0.0), 0.0, gain);
     }
 
-    /// Records that a request of a class failed or got no response, and returns the class's smoothed fraction
-    /// of failed requests.
+    /// Records that an attempt of a request of a class failed or was slow, and returns the class's smoothed
+    /// fraction of failed requests.
     pub(crate) fn record_failure(&mut self, class: ClassIndex, gain: f64) -> f64 {
         self.failed_or_slow_attempts += 1;
         let fraction = self.class_failure_fraction.entry(class).or_insert(0.0);
@@ -54,12 +54,12 @@
         *fraction
     }
 
-    /// Returns the number of attempts observed since the last response that failed or were slow.
+    /// Returns the number of attempts observed since the last good response that failed or were slow.
     pub(crate) fn failed_or_slow_attempts(&self) -> u32 {
         self.failed_or_slow_attempts
     }
 
-    /// Returns the time since a response was last observed, in ms.
+    /// Returns the time since a good response was last observed, in ms.
     pub(crate) fn since_good_response_ms(&self, now_ms: f64) -> f64 {
         now_ms - self.last_good_response_ms
     }
--- a/crates/admission/src/state/endpoint/outlier_detection_state.rs
+++ b/crates/admission/src/state/endpoint/outlier_detection_state.rs
@@ -4,29 +4,30 @@
 /// The state of outlier detection that concerns all endpoints together.
 #[derive(Debug, Default)]
 pub(crate) struct OutlierDetectionState {
-    /// Most endpoints look like outliers.
+    /// More than three quarters of the endpoints are outliers.
     correlated_failure: bool,
-    /// Rate of responses that this gateway and those it receives messages from observe, per second.
+    /// Rate of good responses that this gateway and those it receives messages from observe, per second.
     response_rate: DecayingRate,
 }
 
 impl OutlierDetectionState {
-    /// Returns whether most endpoints look like outliers, so that the cause must lie outside them.
+    /// Returns whether more than three quarters of the endpoints are outliers, so that the cause must lie
+    /// outside them.
     pub(crate) fn is_correlated_failure(&self) -> bool {
         self.correlated_failure
     }
 
-    /// Sets whether most endpoints look like outliers.
+    /// Sets whether more than three quarters of the endpoints are outliers.
     pub(crate) fn set_correlated_failure(&mut self, correlated: bool) {
         self.correlated_failure = correlated;
     }
 
-    /// Counts a response that any gateway observed. The rate is smoothed over `span_s` seconds.
+    /// Counts a good response that any gateway observed. The rate is smoothed over `span_s` seconds.
     pub(crate) fn record_observed_response(&mut self, now_ms: f64, span_s: f64) {
         self.response_rate.add(1.0, now_ms, span_s);
     }
 
-    /// Returns the rate of observed responses, per second.
+    /// Returns the rate of observed good responses, per second.
     pub(crate) fn observed_responses_per_second(&self, now_ms: f64, span_s: f64) -> f64 {
         self.response_rate.now(now_ms, span_s)
     }
--- a/crates/admission/src/tests/endpoint_rules/outlier_rules.rs
+++ b/crates/admission/src/tests/endpoint_rules/outlier_rules.rs
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn endpoint_is_unresponsive_after_missed_responses_and_time() {
+fn endpoint_is_unresponsive_after_two_failed_attempts_and_some_time() {
     // 20 responses per second from 10 endpoints: 2.5 responses from one endpoint take 1250 ms.
     let silent = UnresponsiveInput {
         failed_or_slow_attempts: 2,
@@ -68,7 +68,7 @@
     };
     let rows = [
         ("silent", silent, true),
-        ("one missed", UnresponsiveInput { failed_or_slow_attempts: 1, ..silent }, false),
+        ("one failed or slow attempt", UnresponsiveInput { failed_or_slow_attempts: 1, ..silent }, false),
         ("too early", UnresponsiveInput { since_good_response_ms: 1249.0, ..silent }, false),
         ("few observations", UnresponsiveInput { observed_responses_per_second: 2.0, ..silent }, false),
         (
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn both_modes_eject_alike_for_most_outcomes() {
+fn both_modes_eject_for_a_high_error_fraction_or_a_long_silence() {
     use EjectionDecision::{Eject, Unchanged};
     let failing = |outcome, error_fraction| EjectionInput { error_fraction, ..ended(outcome) };
     let silent = |outcome, since_response_ms| EjectionInput { since_response_ms, ..ended(outcome) };
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn ejection_after_overload_or_timeout_depends_on_the_mode() {
+fn overload_pauses_in_broadcast_mode_only_and_silent_timeout_ejects() {
     let overloaded = ended(Outcome::Overloaded);
     assert_eq!(
         decide_ejection_in_broadcast_mode(&overloaded),
@@ -177,7 +177,7 @@
 }
 
 #[test]
-fn each_outcome_gives_its_health_evidence() {
+fn timed_out_cancelled_and_unsent_attempts_give_no_health_evidence() {
     let rows = [
         (Outcome::Ok, HealthEvidence::GoodResponse),
         (Outcome::Error, HealthEvidence::ErrorResponse),
--- a/crates/admission/src/tests/endpoint_rules/retry_rules.rs
+++ b/crates/admission/src/tests/endpoint_rules/retry_rules.rs
@@ -11,7 +11,7 @@
 use crate::state::{Attempt, Endpoint, EndpointSmoothing};
 
 #[test]
-fn idempotency_decides_the_retry_scope() {
+fn non_idempotent_retry_has_no_endpoint_and_keyed_one_its_dedup_group() {
     let idempotent = RetryScopeInput {
         since_first_possible_run_ms: Some(100.0),
         has_attempt_in_flight: false,
@@ -21,7 +21,7 @@
     };
     let non_idempotent = RetryScopeInput { idempotency: Idempotency::NonIdempotent, ..idempotent };
     let group = DedupGroup::Zone;
-    // 0.9 of 1000 ms minus two rounds of 5 ms: keys are used for 890 ms.
+    // 0.9 of 1000 ms minus two ticks of 5 ms: keys are used for 890 ms.
     let keyed = |since_first_ms| RetryScopeInput {
         since_first_possible_run_ms: Some(since_first_ms),
         idempotency: Idempotency::IdempotencyKey { group, window_ms: 1000.0 },
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn stalled_attempt_is_hedged_or_cancelled() {
+fn stalled_attempt_is_hedged_or_cancelled_if_allowed_and_else_left() {
     let hedging = StalledActionInput {
         is_closed: false,
         attempts: 1,
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn an_attempt_is_stalled_by_its_age_or_by_its_endpoint() {
+fn attempt_is_presumed_stalled_by_its_age_or_by_its_endpoint() {
     assert!(is_close(slow_after_ms(100.0, 800.0), 250.0), "2.5 mean response times");
     assert!(is_close(slow_after_ms(10.0, 800.0), 200.0), "a quarter of the objective");
     for (age_ms, expected) in [(250.0, false), (251.0, true), (269.0, true), (270.0, false)] {
--- a/crates/admission/src/tests/endpoint_rules/selection_rules.rs
+++ b/crates/admission/src/tests/endpoint_rules/selection_rules.rs
@@ -59,7 +59,7 @@
         ("two attempts including the new one", plain, 4.0),
         ("attempted before", LargeFleetCostInput { was_attempted: true, ..plain }, 16.0),
         ("slow for its kind", LargeFleetCostInput { kind_deviation: slow, ..plain }, 4.0 * 0.5 * 9.0),
-        ("unresponsive", LargeFleetCostInput { is_suspect: true, ..plain }, 80.0),
+        ("suspect", LargeFleetCostInput { is_suspect: true, ..plain }, 80.0),
         // Counts with the mean of three attempts in flight, at half capacity and half weight.
         ("warming up", LargeFleetCostInput { warm_fraction: 0.5, ..plain }, 16.0 / 0.5 / 0.5),
         ("warming up, busy", LargeFleetCostInput { warm_fraction: 0.5, in_flight: 7, ..plain }, 256.0),
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn only_idempotent_requests_fit_an_endpoint_with_missed_responses() {
+fn only_idempotent_requests_fit_an_endpoint_after_a_failed_attempt() {
     let healthy = LargeFleetFitnessInput {
         is_outlier: false,
         is_ejected_for_request: false,
@@ -92,16 +92,16 @@
         idempotency: Idempotency::NonIdempotent,
     };
     let keyed = Idempotency::IdempotencyKey { group: DedupGroup::All, window_ms: 1000.0 };
-    let missed = LargeFleetFitnessInput { failed_or_slow_attempts: 1, ..healthy };
-    // The input, and whether the endpoint is unfit and unresponsive for the request.
+    let failed_once = LargeFleetFitnessInput { failed_or_slow_attempts: 1, ..healthy };
+    // The input, and whether the endpoint is unfit and suspect for the request.
     let rows = [
         (healthy, (false, false)),
         (LargeFleetFitnessInput { is_outlier: true, ..healthy }, (true, false)),
         (LargeFleetFitnessInput { is_ejected_for_request: true, ..healthy }, (true, false)),
         (LargeFleetFitnessInput { is_unresponsive: true, ..healthy }, (false, true)),
-        (missed, (true, true)),
-        (LargeFleetFitnessInput { idempotency: keyed, ..missed }, (true, true)),
-        (LargeFleetFitnessInput { idempotency: Idempotency::Idempotent, ..missed }, (false, false)),
+        (failed_once, (true, true)),
+        (LargeFleetFitnessInput { idempotency: keyed, ..failed_once }, (true, true)),
+        (LargeFleetFitnessInput { idempotency: Idempotency::Idempotent, ..failed_once }, (false, false)),
     ];
     for (input, (is_unfit, is_suspect)) in rows {
         let expected = EndpointFitness { is_unfit, is_suspect };
--- a/crates/admission/src/tests/endpoint_rules/slow_start_rules.rs
+++ b/crates/admission/src/tests/endpoint_rules/slow_start_rules.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn endpoint_has_warmed_up_after_the_warm_up_time() {
+fn endpoint_is_past_warm_up_after_the_warm_up_time() {
     for (age_ms, expected) in [(None, true), (Some(999.0), false), (Some(1000.0), true)] {
         assert_eq!(is_past_warm_up(age_ms, 1000.0), expected, "{age_ms:?}");
     }
@@ -53,7 +53,7 @@
     };
     // 10 responses per second over 4 gateways; 0.6 of twice that, at half capacity.
     let rows = [
-        ("even fraction", quiet, 1.5),
+        ("equal share", quiet, 1.5),
         ("warm endpoints are sent more", WarmUpBudgetInput { warm_send_rate: 10.0, ..quiet }, 0.6 * 7.0),
         ("attempts in flight are old", WarmUpBudgetInput { typical_age_ms: 200.0, ..quiet }, 0.75),
     ];
