--- a/crates/admission/src/tests/load_rules/band_position_rules.rs
+++ b/crates/admission/src/tests/load_rules/band_position_rules.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn endpoints_are_saturated_above_half_of_the_middle() {
+fn endpoints_are_loaded_above_half_of_the_middle() {
     for (in_flight, loaded) in [(50.0, false), (51.0, true)] {
         assert_eq!(is_loaded_in_broadcast_mode(&reported_band(0.0, in_flight)), loaded, "{in_flight}");
         assert_eq!(gossip_band(in_flight).is_loaded(), loaded, "{in_flight} by gossip");
