--- a/crates/admission/src/coordination/observations.rs
+++ b/crates/admission/src/coordination/observations.rs
@@ -5,10 +5,10 @@
 use crate::mechanism::splitmix64::short_tag;
 use crate::messages::observation_code::{Observation, ObservationKind, ResponseTimeCode};
 use crate::policy::observation::{observation_of_attempt, MAX_OBSERVATIONS, OBSERVATION_SPAN_S};
-use crate::policy::outlier::{ejection_jitter, fails_class, CLASS_FAILURE_GAIN, SCOPED_EJECTION};
+use crate::policy::outlier::{ejection_jitter, is_class_ejection_due, CLASS_FAILURE_GAIN, SCOPED_EJECTION};
 use crate::policy::quota_owner::owner_sampling::QUOTA_RATE_SPAN_S;
 use crate::policy::response_time::{kind_sample, OBSERVED_RESPONSE_TIME_GAIN};
-use crate::policy::slow_start::has_warmed_up;
+use crate::policy::slow_start::is_past_warm_up;
 use crate::state::{EjectionScope, PendingAttempt};
 
 impl Gateway {
@@ -66,7 +66,7 @@
         let (now_ms, jitter) = (self.clock.now_ms(), self.observation_jitter(tag));
         let Some(endpoint) = self.endpoints.get_by_tag_mut(tag) else { return };
         let failed_fraction = endpoint.observed_health.record_failure(class, CLASS_FAILURE_GAIN);
-        if fails_class(failed_fraction) {
+        if is_class_ejection_due(failed_fraction) {
             endpoint.observed_health.eject(EjectionScope::Class(class), now_ms, SCOPED_EJECTION, jitter);
         }
     }
@@ -75,13 +75,13 @@
     fn apply_response(&mut self, tag: u32, class: ClassIndex, response_time: ResponseTimeCode) {
         let now_ms = self.clock.now_ms();
         let Some(endpoint) = self.endpoints.get_by_tag_mut(tag) else { return };
-        endpoint.observed_health.record_response(class, now_ms, CLASS_FAILURE_GAIN);
+        endpoint.observed_health.record_good_response(class, now_ms, CLASS_FAILURE_GAIN);
         self.outliers.record_observed_response(now_ms, OBSERVATION_SPAN_S);
         let objective_fraction = response_time.objective_fraction();
         let relative = self.latency.relative_to_mean(objective_fraction);
         let baseline = self.latency.kind_baseline(endpoint.kind());
         endpoint.response_time.record_observed(now_ms, relative, baseline, OBSERVED_RESPONSE_TIME_GAIN);
-        if has_warmed_up(endpoint.age_ms(now_ms), self.settings.warm_up_ms) {
+        if is_past_warm_up(endpoint.age_ms(now_ms), self.settings.warm_up_ms) {
             self.latency.record_kind_response_time(endpoint.kind(), kind_sample(relative));
             self.latency.record_observed_fraction(objective_fraction);
         }
--- a/crates/admission/src/event.rs
+++ b/crates/admission/src/event.rs
@@ -88,9 +88,9 @@
     Reset,
     /// The attempt was cancelled. The request may have run.
     Cancelled,
-    /// The attempt was never sent, through no fault of the endpoint: its time was over, or the endpoint list
-    /// had expired.
-    TooLate,
+    /// The attempt was never sent, through no fault of the endpoint: either no time was left for it, or the
+    /// endpoint list had expired.
+    NotSent,
 }
 
 /// The end of an attempt: its outcome and what came with it.
--- a/crates/admission/src/lifecycle/band_control.rs
+++ b/crates/admission/src/lifecycle/band_control.rs
@@ -1,11 +1,10 @@
 //! Updates the in-flight band and finds the position of requests in it: which endpoints the band counts,
-//! whether they are saturated, the watermark's steps, and dispatch credit.
+//! whether they are loaded, the watermark's steps, and dispatch credit.
 use crate::gateway::Gateway;
 use crate::id::RequestId;
-use crate::policy::band::band_bounds::{is_saturated_in_broadcast_mode, position_in_broadcast_mode};
+use crate::policy::band::band_bounds::{is_loaded_in_broadcast_mode, position_in_broadcast_mode};
 use crate::policy::band::counted_endpoints::{
-    is_counted_despite_correlated_failure, is_counted_in_broadcast_mode, is_counted_in_large_fleet,
-    HealthSignals,
+    is_counted_in_broadcast_mode, is_counted_in_large_fleet, is_counted_or_correlated_failure, HealthSignals,
 };
 use crate::policy::band::dispatch_credit::{
     credit_after_refill, credit_after_send, credit_required, position_in_large_fleet, LargeFleetBand,
@@ -32,7 +31,7 @@
         let mode = self.coordination.fleet_mode();
         let is_correlated_failure = self.outliers.is_correlated_failure();
         let counted = |endpoint: &&Endpoint| {
-            is_counted_despite_correlated_failure(is_correlated_failure, || self.is_counted(endpoint, mode))
+            is_counted_or_correlated_failure(is_correlated_failure, || self.is_counted(endpoint, mode))
         };
         let endpoints = self.endpoints.iter().filter(counted);
         BandLoad::sum(endpoints.map(|endpoint| (endpoint, self.send_fraction(endpoint))))
@@ -113,13 +112,13 @@
         self.band.set_dispatch_credit(credit_after_send(self.band.dispatch_credit()));
     }
 
-    /// Records whether the endpoints are saturated.
-    pub(crate) fn measure_saturation(&mut self) {
-        let is_saturated = match self.coordination.fleet_mode() {
-            FleetMode::Broadcast => is_saturated_in_broadcast_mode(&self.reported_band()),
-            FleetMode::LargeFleet => self.gossip_band().is_saturated(),
+    /// Records whether the endpoints are loaded.
+    pub(crate) fn measure_load(&mut self) {
+        let is_loaded = match self.coordination.fleet_mode() {
+            FleetMode::Broadcast => is_loaded_in_broadcast_mode(&self.reported_band()),
+            FleetMode::LargeFleet => self.gossip_band().is_loaded(),
         };
-        self.band.set_saturated(is_saturated);
+        self.band.set_loaded(is_loaded);
     }
 
     /// Moves the watermark if a step is due.
@@ -130,7 +129,7 @@
             return;
         }
         let input = WatermarkInput {
-            response_fraction: self.latency.objective_fraction(),
+            objective_fraction: self.latency.objective_fraction(),
             typical_age_ms: self.latency.typical_age_ms(),
             shortest_objective_ms,
             was_blocked: self.band.begin_step(now_ms),
--- a/crates/admission/src/lifecycle/endpoint_choice.rs
+++ b/crates/admission/src/lifecycle/endpoint_choice.rs
@@ -101,7 +101,7 @@
                 now_ms,
             ),
             is_unresponsive: self.is_unresponsive(endpoint),
-            missed_responses: endpoint.observed_health.missed_responses(),
+            failed_or_slow_attempts: endpoint.observed_health.failed_or_slow_attempts(),
             idempotency: self.settings.class(request.class).idempotency,
         });
         let cost = selection::cost_in_large_fleet(&LargeFleetCostInput {
@@ -109,8 +109,8 @@
             mean_warm_in_flight,
             warm_fraction,
             was_attempted: active.was_sent_to(endpoint.id()),
-            kind: self.kind_deviation(endpoint),
-            is_unresponsive: fitness.is_unresponsive,
+            kind_deviation: self.kind_deviation(endpoint),
+            is_suspect: fitness.is_suspect,
         });
         DrawCandidate { endpoint: endpoint.id(), zone: endpoint.zone(), warm_fraction, cost, fitness }
     }
--- a/crates/admission/src/lifecycle/queue_dispatch.rs
+++ b/crates/admission/src/lifecycle/queue_dispatch.rs
@@ -35,7 +35,7 @@
                 HeadDecision::Eligible => next = Some(earlier_head(next, head)),
                 HeadDecision::BlockedByBand => self.band.block(),
                 HeadDecision::OverQuota => self.dispatch_over_quota(head, actions),
-                HeadDecision::AwaitsQuota => {}
+                HeadDecision::AwaitsCustomerLimit => {}
             }
         }
         // In broadcast mode this is the only check of the band. In a large fleet the band was checked for
@@ -113,7 +113,7 @@
             peer_in_flight: peers.in_flight,
             reporting_peers: peers.reporting_peers,
             gateways: customer.gateways().len() as u32,
-            place: customer.gateways().rotated_position(active.tag, self.settings.this_gateway),
+            gateway_position: customer.gateways().rotated_position(active.tag, self.settings.this_gateway),
         }
     }
 }
--- a/crates/admission/src/lifecycle/request_deadlines.rs
+++ b/crates/admission/src/lifecycle/request_deadlines.rs
@@ -17,8 +17,8 @@
             objective_at_ms: active.objective_at_ms,
             deadline_at_ms: active.deadline_at_ms,
             tick_ms: self.settings.tick_ms,
-            mean_response_ms: self.latency.response_ms(active.request.class),
-            endpoints_saturated: self.band.is_saturated(),
+            class_response_ms: self.latency.response_ms(active.request.class),
+            endpoints_loaded: self.band.is_loaded(),
         }
     }
 
--- a/crates/admission/src/policy/response_time/response_samples.rs
+++ b/crates/admission/src/policy/response_time/response_samples.rs
@@ -38,16 +38,17 @@
     pub class_response_ms: f64,
     /// Latency objective of the request's class, in ms.
     pub latency_objective_ms: f64,
-    /// The endpoint has warmed up. Response times of endpoints that have not are no samples for the class.
-    pub has_warmed_up: bool,
+    /// The endpoint's process is past the warm-up time. Response times before that are no samples for the
+    /// class.
+    pub is_past_warm_up: bool,
 }
 
-/// A sample of a response time.
+/// A sample of a response time, as a ratio. The field of `OwnAttemptSamples` names what it is relative to.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum ResponseTimeSample {
-    /// The response arrived after this time.
+    /// The response took this long.
     Measured(f64),
-    /// No response arrived within this time.
+    /// No response arrived in this time, so a response would have taken longer.
     AtLeast(f64),
 }
 
@@ -70,9 +71,9 @@
     match input.outcome {
         Outcome::Ok => OwnAttemptSamples {
             relative: Some(ResponseTimeSample::Measured(relative)),
-            class_response_ms: input.has_warmed_up.then_some(input.took_ms),
+            class_response_ms: input.is_past_warm_up.then_some(input.took_ms),
             objective_fraction: input
-                .has_warmed_up
+                .is_past_warm_up
                 .then_some(ResponseTimeSample::Measured(objective_fraction)),
         },
         Outcome::Overloaded => OwnAttemptSamples {
@@ -84,7 +85,7 @@
             objective_fraction: Some(ResponseTimeSample::AtLeast(objective_fraction.min(1.0))),
             ..OwnAttemptSamples::default()
         },
-        Outcome::Error | Outcome::ConnectFailed | Outcome::Reset | Outcome::Cancelled | Outcome::TooLate => {
+        Outcome::Error | Outcome::ConnectFailed | Outcome::Reset | Outcome::Cancelled | Outcome::NotSent => {
             OwnAttemptSamples::default()
         }
     }
@@ -94,6 +95,6 @@
 /// `None` if it gives none. The other response times are learned from the observations of all gateways.
 pub(crate) fn class_sample_in_large_fleet(input: &OwnAttemptInput) -> Option<f64> {
     let max_ms = MAX_RESPONSE_SAMPLE * input.class_response_ms;
-    let is_typical = input.outcome == Outcome::Ok && input.has_warmed_up;
+    let is_typical = input.outcome == Outcome::Ok && input.is_past_warm_up;
     is_typical.then_some(input.took_ms.min(max_ms))
 }
--- a/crates/admission/src/policy/retry/mod.rs
+++ b/crates/admission/src/policy/retry/mod.rs
@@ -1,5 +1,8 @@
 //! Retries: whether a request gets another attempt, at which endpoints, what the attempt costs, and when an
 //! attempt is stalled.
+//!
+//! A stalled attempt is not the same as a stalled endpoint (`policy::outlier`). In broadcast mode the
+//! attempts at outliers are stalled. In a large fleet an attempt is also stalled by its own age.
 mod after_attempt;
 mod attempt_timeout;
 mod possible_run;
@@ -16,4 +19,4 @@
 };
 pub(crate) use retry_scope::{retry_scope, RetryScope, RetryScopeInput};
 pub(crate) use stalled_action::{stalled_action, StalledAction, StalledActionInput};
-pub(crate) use stalled_attempt::{has_become_slow, is_stalled, slow_after_ms, PendingAttemptInput};
+pub(crate) use stalled_attempt::{has_become_slow, is_presumed_stalled, slow_after_ms, InFlightAttemptInput};
--- a/crates/admission/src/policy/selection/weighted_draw.rs
+++ b/crates/admission/src/policy/selection/weighted_draw.rs
@@ -25,7 +25,7 @@
     /// Returns the work that the endpoint may be sent, as a fraction of a warm endpoint's; 0 if it is not
     /// fit.
     fn capacity(&self) -> f64 {
-        if self.fitness.is_unfit || self.fitness.is_unresponsive {
+        if self.fitness.is_unfit || self.fitness.is_suspect {
             0.0
         } else {
             send_fraction_in_large_fleet(self.warm_fraction)
@@ -47,7 +47,7 @@
     pub local_zone: ZoneIndex,
     /// Whether the attempt may be sent to an endpoint that is warming up.
     pub warm_up: WarmUpAdmission,
-    /// Most endpoints of the list look like outliers.
+    /// More than three quarters of the ready endpoints are outliers.
     pub is_correlated_failure: bool,
 }
 
--- a/crates/admission/src/tests/endpoint_rules/outlier_rules.rs
+++ b/crates/admission/src/tests/endpoint_rules/outlier_rules.rs
@@ -3,8 +3,8 @@
 use crate::event::Outcome;
 use crate::id::ClassIndex;
 use crate::policy::outlier::{
-    decide_ejection_in_broadcast_mode, decide_ejection_in_large_fleet, ejection_jitter, fails_class,
-    health_evidence, is_correlated_failure, is_outlier, is_unresponsive, stall_ratio, typical_age_ms,
+    decide_ejection_in_broadcast_mode, decide_ejection_in_large_fleet, ejection_jitter, health_evidence,
+    is_class_ejection_due, is_correlated_failure, is_outlier, is_unresponsive, stall_ratio, typical_age_ms,
     usual_response_ms, EjectionDecision, EjectionInput, HealthEvidence, OutlierInput, StallInput,
     UnresponsiveInput, CLASS_FAILURE_GAIN, ERROR_GAIN,
 };
@@ -58,24 +58,24 @@
 }
 
 #[test]
-fn endpoint_is_unresponsive_after_missed_responses_and_time() {
+fn endpoint_is_unresponsive_after_two_failed_attempts_and_some_time() {
     // 20 responses per second from 10 endpoints: 2.5 responses from one endpoint take 1250 ms.
     let silent = UnresponsiveInput {
-        missed_responses: 2,
-        since_response_ms: 1251.0,
+        failed_or_slow_attempts: 2,
+        since_good_response_ms: 1251.0,
         observed_responses_per_second: 20.0,
         endpoints: 10,
     };
     let rows = [
         ("silent", silent, true),
-        ("one missed", UnresponsiveInput { missed_responses: 1, ..silent }, false),
-        ("too early", UnresponsiveInput { since_response_ms: 1249.0, ..silent }, false),
+        ("one failed or slow attempt", UnresponsiveInput { failed_or_slow_attempts: 1, ..silent }, false),
+        ("too early", UnresponsiveInput { since_good_response_ms: 1249.0, ..silent }, false),
         ("few observations", UnresponsiveInput { observed_responses_per_second: 2.0, ..silent }, false),
         (
             "no observations, 2 s",
             UnresponsiveInput {
                 observed_responses_per_second: 0.0,
-                since_response_ms: 2001.0,
+                since_good_response_ms: 2001.0,
                 endpoints: 0,
                 ..silent
             },
@@ -96,7 +96,7 @@
 
 #[test]
 fn class_is_ejected_above_half_failed_with_jitter_of_a_quarter() {
-    assert!(!fails_class(0.5) && fails_class(0.51));
+    assert!(!is_class_ejection_due(0.5) && is_class_ejection_due(0.51));
     assert!(is_close(ejection_jitter(0.0), 0.75) && is_close(ejection_jitter(1.0), 1.25));
 }
 
@@ -114,13 +114,13 @@
 }
 
 #[test]
-fn both_modes_eject_alike_for_most_outcomes() {
+fn both_modes_eject_for_a_high_error_fraction_or_a_long_silence() {
     use EjectionDecision::{Eject, Unchanged};
     let failing = |outcome, error_fraction| EjectionInput { error_fraction, ..ended(outcome) };
     let silent = |outcome, since_response_ms| EjectionInput { since_response_ms, ..ended(outcome) };
     let rows = [
         (silent(Outcome::Ok, 9000.0), Unchanged),
-        (silent(Outcome::TooLate, 9000.0), Unchanged),
+        (silent(Outcome::NotSent, 9000.0), Unchanged),
         (failing(Outcome::Error, 0.3), Unchanged),
         (failing(Outcome::Error, 0.31), Eject),
         (EjectionInput { consecutive_failures: 1, ..ended(Outcome::Error) }, Eject),
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn ejection_after_overload_or_timeout_depends_on_the_mode() {
+fn overload_pauses_in_broadcast_mode_only_and_silent_timeout_ejects() {
     let overloaded = ended(Outcome::Overloaded);
     assert_eq!(
         decide_ejection_in_broadcast_mode(&overloaded),
@@ -172,12 +172,12 @@
     let unchanged = EjectionDecision::Unchanged;
     assert_eq!(decisions, [unchanged, unchanged, unchanged, EjectionDecision::Eject]);
     let mut observed = ObservedHealth::new(0.0);
-    let mut fails = || fails_class(observed.record_failure(ClassIndex(0), CLASS_FAILURE_GAIN));
+    let mut fails = || is_class_ejection_due(observed.record_failure(ClassIndex(0), CLASS_FAILURE_GAIN));
     assert_eq!([fails(), fails()], [false, true]);
 }
 
 #[test]
-fn each_outcome_gives_its_health_evidence() {
+fn timed_out_cancelled_and_unsent_attempts_give_no_health_evidence() {
     let rows = [
         (Outcome::Ok, HealthEvidence::GoodResponse),
         (Outcome::Error, HealthEvidence::ErrorResponse),
@@ -186,7 +186,7 @@
         (Outcome::Reset, HealthEvidence::ConnectionFailure),
         (Outcome::TimedOut, HealthEvidence::None),
         (Outcome::Cancelled, HealthEvidence::None),
-        (Outcome::TooLate, HealthEvidence::None),
+        (Outcome::NotSent, HealthEvidence::None),
     ];
     for (outcome, evidence) in rows {
         assert_eq!(health_evidence(outcome), evidence, "{outcome:?}");
--- a/crates/admission/src/tests/endpoint_rules/retry_rules.rs
+++ b/crates/admission/src/tests/endpoint_rules/retry_rules.rs
@@ -3,15 +3,15 @@
 use crate::event::{EndpointEntry, EndpointState, Outcome};
 use crate::id::{EndpointId, MachineKindIndex, ZoneIndex};
 use crate::policy::retry::{
-    after_attempt, decide_retry, earned_retry_tokens, has_become_slow, is_stalled, may_have_run, retry_scope,
-    slow_after_ms, stalled_action, AfterAttempt, AfterAttemptInput, PendingAttemptInput, RetryDecision,
-    RetryInput, RetryScope, RetryScopeInput, StalledAction, StalledActionInput,
+    after_attempt, decide_retry, earned_retry_tokens, has_become_slow, is_presumed_stalled, may_have_run,
+    retry_scope, slow_after_ms, stalled_action, AfterAttempt, AfterAttemptInput, InFlightAttemptInput,
+    RetryDecision, RetryInput, RetryScope, RetryScopeInput, StalledAction, StalledActionInput,
 };
 use crate::settings::{DedupGroup, Idempotency};
 use crate::state::{Attempt, Endpoint, EndpointSmoothing};
 
 #[test]
-fn idempotency_decides_the_retry_scope() {
+fn non_idempotent_retry_has_no_endpoint_and_keyed_one_its_dedup_group() {
     let idempotent = RetryScopeInput {
         since_first_possible_run_ms: Some(100.0),
         has_attempt_in_flight: false,
@@ -21,7 +21,7 @@
     };
     let non_idempotent = RetryScopeInput { idempotency: Idempotency::NonIdempotent, ..idempotent };
     let group = DedupGroup::Zone;
-    // 0.9 of 1000 ms minus two rounds of 5 ms: keys are used for 890 ms.
+    // 0.9 of 1000 ms minus two ticks of 5 ms: keys are used for 890 ms.
     let keyed = |since_first_ms| RetryScopeInput {
         since_first_possible_run_ms: Some(since_first_ms),
         idempotency: Idempotency::IdempotencyKey { group, window_ms: 1000.0 },
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn stalled_attempt_is_hedged_or_cancelled() {
+fn stalled_attempt_is_hedged_or_cancelled_if_allowed_and_else_left() {
     let hedging = StalledActionInput {
         is_closed: false,
         attempts: 1,
@@ -132,13 +132,13 @@
 }
 
 #[test]
-fn an_attempt_is_stalled_by_its_age_or_by_its_endpoint() {
+fn attempt_is_presumed_stalled_by_its_age_or_by_its_endpoint() {
     assert!(is_close(slow_after_ms(100.0, 800.0), 250.0), "2.5 mean response times");
     assert!(is_close(slow_after_ms(10.0, 800.0), 200.0), "a quarter of the objective");
     for (age_ms, expected) in [(250.0, false), (251.0, true), (269.0, true), (270.0, false)] {
         assert_eq!(has_become_slow(age_ms, 250.0), expected, "{age_ms} ms; a round of upkeep every 20 ms");
     }
-    let young = PendingAttemptInput {
+    let young = InFlightAttemptInput {
         age_ms: 399.0,
         slow_after_ms: 250.0,
         is_ejected_for_class: false,
@@ -147,14 +147,14 @@
     };
     let rows = [
         (young, false),
-        (PendingAttemptInput { age_ms: 401.0, ..young }, true),
-        (PendingAttemptInput { is_ejected_for_class: true, ..young }, true),
-        (PendingAttemptInput { is_ejected_for_class: true, age_ms: 250.0, ..young }, false),
-        (PendingAttemptInput { is_outlier: true, ..young }, true),
-        (PendingAttemptInput { is_unresponsive: true, ..young }, true),
+        (InFlightAttemptInput { age_ms: 401.0, ..young }, true),
+        (InFlightAttemptInput { is_ejected_for_class: true, ..young }, true),
+        (InFlightAttemptInput { is_ejected_for_class: true, age_ms: 250.0, ..young }, false),
+        (InFlightAttemptInput { is_outlier: true, ..young }, true),
+        (InFlightAttemptInput { is_unresponsive: true, ..young }, true),
     ];
     for (input, expected) in rows {
-        assert_eq!(is_stalled(&input), expected, "{input:?}");
+        assert_eq!(is_presumed_stalled(&input), expected, "{input:?}");
     }
 }
 
@@ -166,11 +166,11 @@
         (failed, AfterAttempt::Retry),
         (AfterAttemptInput { outcome: Outcome::Ok, ..failed }, AfterAttempt::Close),
         (AfterAttemptInput { is_closed: true, ..failed }, AfterAttempt::Close),
-        (AfterAttemptInput { has_attempt_in_flight: true, ..failed }, AfterAttempt::AwaitOther),
-        (AfterAttemptInput { outcome: Outcome::TooLate, ..failed }, AfterAttempt::Finish),
+        (AfterAttemptInput { has_attempt_in_flight: true, ..failed }, AfterAttempt::AwaitOtherAttempt),
+        (AfterAttemptInput { outcome: Outcome::NotSent, ..failed }, AfterAttempt::Finish),
         (
-            AfterAttemptInput { outcome: Outcome::TooLate, has_attempt_in_flight: true, ..failed },
-            AfterAttempt::AwaitOther,
+            AfterAttemptInput { outcome: Outcome::NotSent, has_attempt_in_flight: true, ..failed },
+            AfterAttempt::AwaitOtherAttempt,
         ),
     ];
     for (input, expected) in rows {
@@ -181,8 +181,8 @@
 // Guards requests that must not run twice: they may be retried only if the attempt certainly did not run.
 #[test]
 fn rejected_and_unsent_attempts_did_not_run() {
-    use Outcome::{Cancelled, ConnectFailed, Error, Ok, Overloaded, Reset, TimedOut, TooLate};
-    for outcome in [Overloaded, ConnectFailed, TooLate] {
+    use Outcome::{Cancelled, ConnectFailed, Error, NotSent, Ok, Overloaded, Reset, TimedOut};
+    for outcome in [Overloaded, ConnectFailed, NotSent] {
         assert!(!may_have_run(outcome), "{outcome:?}");
     }
     for outcome in [Ok, Error, TimedOut, Reset, Cancelled] {
--- a/crates/admission/src/tests/load_rules/customer_limit_rules.rs
+++ b/crates/admission/src/tests/load_rules/customer_limit_rules.rs
@@ -1,4 +1,4 @@
-//! Whether a customer's quota, open limit and ceiling permit a request.
+//! Whether a customer's quota, concurrency limit and ceiling permit a request.
 use super::plan;
 use crate::policy::queue::customer_limits::{check_customer_limits, LimitDecision, LimitInput, SlotUse};
 use crate::settings::PlanSettings;
@@ -36,14 +36,20 @@
     assert_eq!(check_customer_limits(&short), LimitDecision::WaitForCeiling);
     assert_eq!(check_customer_limits(&input(&plan)), LimitDecision::Admit);
     assert_eq!(check_customer_limits(&LimitInput { plan: &without_ceiling, ..short }), LimitDecision::Admit);
-    let slots = Some(SlotUse { in_flight: 1, peer_in_flight: 0, reporting_peers: 0, gateways: 1, place: 0 });
+    let slots = Some(SlotUse {
+        in_flight: 1,
+        peer_in_flight: 0,
+        reporting_peers: 0,
+        gateways: 1,
+        gateway_position: 0,
+    });
     assert_eq!(check_customer_limits(&LimitInput { slots, ..short }), LimitDecision::WaitForSlot);
 }
 
 /// With a limit of 4 and 3 gateways, each gateway has one slot of its own. With a limit of 2 and 8 gateways,
-/// the first 3 positions have one: 4 gateways for 3 slots, rounded up.
+/// the first 3 positions have one: 4/3 gateways per slot, rounded up.
 #[test]
-fn open_limit_counts_unreported_attempts_once_own_slots_are_used() {
+fn concurrency_limit_counts_unreported_attempts_once_own_slots_are_used() {
     let cases = [
         (4, 3, 2, [0, 3, 2], LimitDecision::Admit),
         (4, 3, 2, [0, 4, 2], LimitDecision::WaitForSlot),
@@ -54,17 +60,23 @@
         (2, 8, 3, [0, 1, 0], LimitDecision::Admit),
         (0, 8, 3, [9, 9, 9], LimitDecision::Admit),
     ];
-    for (concurrency_limit, gateways, place, [in_flight, peer_in_flight, reporting_peers], expected) in cases
+    for (
+        concurrency_limit,
+        gateways,
+        gateway_position,
+        [in_flight, peer_in_flight, reporting_peers],
+        expected,
+    ) in cases
     {
         let plan = PlanSettings { concurrency_limit, ..plan() };
-        let slots = SlotUse { in_flight, peer_in_flight, reporting_peers, gateways, place };
+        let slots = SlotUse { in_flight, peer_in_flight, reporting_peers, gateways, gateway_position };
         let decision = check_customer_limits(&LimitInput { slots: Some(slots), ..input(&plan) });
         assert_eq!(decision, expected, "limit {concurrency_limit}, {slots:?}");
     }
 }
 
 #[test]
-fn quota_decision_follows_the_limit_decision() {
+fn queued_request_waits_if_a_slot_or_ceiling_units_are_lacking() {
     let cases = [
         (LimitDecision::Admit, QuotaDecision::Admit),
         (LimitDecision::OverQuota, QuotaDecision::OverQuota),
--- a/crates/admission/src/tests/load_rules/deadline_rules.rs
+++ b/crates/admission/src/tests/load_rules/deadline_rules.rs
@@ -13,24 +13,24 @@
     objective_at_ms: 1500.0,
     deadline_at_ms: 3000.0,
     tick_ms: 2.0,
-    mean_response_ms: 200.0,
-    endpoints_saturated: false,
+    class_response_ms: 200.0,
+    endpoints_loaded: false,
 };
 
 #[test]
-fn time_left_ends_at_the_objective_or_the_last_upkeep_before_the_deadline() {
-    assert_eq!(TIMES.time_left_ms(), 500.0);
+fn time_to_respond_ends_at_objective_or_last_upkeep_before_deadline() {
+    assert_eq!(TIMES.time_left_to_respond_ms(), 500.0);
     // 400 ms less 20 ms for a round of upkeep and 4 ms for two ticks.
-    assert_eq!(RequestTimes { deadline_at_ms: 1400.0, ..TIMES }.time_left_ms(), 376.0);
+    assert_eq!(RequestTimes { deadline_at_ms: 1400.0, ..TIMES }.time_left_to_respond_ms(), 376.0);
 }
 
 #[test]
-fn too_late_begins_earlier_while_the_endpoints_are_saturated() {
-    // The limit is 0.8 mean response times, 160 ms, or 2.5 while the endpoints are saturated, 500 ms.
+fn too_late_begins_earlier_while_the_endpoints_are_loaded() {
+    // The limit is 0.8 mean response times, 160 ms, or 2.5 while the endpoints are loaded, 500 ms.
     let cases = [(160.0, false, false), (159.0, false, true), (500.0, true, false), (499.0, true, true)];
-    for (left_ms, endpoints_saturated, too_late) in cases {
-        let times = RequestTimes { objective_at_ms: 1000.0 + left_ms, endpoints_saturated, ..TIMES };
-        assert_eq!(times.is_too_late(), too_late, "{left_ms} ms left, saturated: {endpoints_saturated}");
+    for (left_ms, endpoints_loaded, too_late) in cases {
+        let times = RequestTimes { objective_at_ms: 1000.0 + left_ms, endpoints_loaded, ..TIMES };
+        assert_eq!(times.is_too_late(), too_late, "{left_ms} ms left, loaded: {endpoints_loaded}");
     }
 }
 
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn retry_after_is_the_longest_that_clients_honour() {
+fn no_retry_after_if_sent_or_over_quota_in_broadcast_mode_else_longest() {
     assert_eq!((retry_after_overload(1000.0), retry_after_overload(0.0)), (Some(1000.0), None));
     assert_eq!((retry_after_overdue(true, 1000.0), retry_after_overdue(false, 1000.0)), (Some(1000.0), None));
     assert_eq!(retry_after_over_quota_in_broadcast_mode(), None);
--- a/crates/gateway/src/upstream/tests/connections.rs
+++ b/crates/gateway/src/upstream/tests/connections.rs
@@ -114,7 +114,7 @@
         pool.set_lease_end(until);
         let attempt = pool.attempt(id, &request, until, || true);
         pool.set_lease_end(Instant::now());
-        assert_eq!(attempt.await.outcome, Outcome::TooLate, "pooled: {pooled}");
+        assert_eq!(attempt.await.outcome, Outcome::NotSent, "pooled: {pooled}");
     }
     let (server, _) = listener.accept().await.expect("accept the connection");
     list_endpoint_as(EndpointState::Draining);
--- a/crates/gateway/src/upstream/tests/outcomes.rs
+++ b/crates/gateway/src/upstream/tests/outcomes.rs
@@ -13,8 +13,8 @@
         (sendable, None),
         (SendCheck { is_wanted: false, ..sendable }, Some(Outcome::ConnectFailed)),
         (SendCheck { is_endpoint_ready: false, ..sendable }, Some(Outcome::ConnectFailed)),
-        (SendCheck { is_lease_expired: true, ..sendable }, Some(Outcome::TooLate)),
-        (SendCheck { is_lease_expired: true, is_endpoint_ready: false, ..sendable }, Some(Outcome::TooLate)),
+        (SendCheck { is_lease_expired: true, ..sendable }, Some(Outcome::NotSent)),
+        (SendCheck { is_lease_expired: true, is_endpoint_ready: false, ..sendable }, Some(Outcome::NotSent)),
     ];
     for (check, outcome) in cases {
         assert_eq!(reason_not_to_send(&check), outcome, "{check:?}");
