--- a/crates/admission/src/coordination/count_reports.rs
+++ b/crates/admission/src/coordination/count_reports.rs
@@ -1,7 +1,7 @@
 //! Broadcast mode: each gateway reports its counts to every other gateway.
 use crate::action::Action;
 use crate::gateway::Gateway;
-use crate::id::{CustomerTag, GatewayIndex};
+use crate::id::{CustomerKey, GatewayIndex};
 use crate::messages::counts_message::{
     CeilingRequest, CeilingTransfer, ConsumedUnits, CountEntry, CountsMessage, QuotaFill, WatermarkOnWire,
     MAX_CUSTOMER_LEN,
@@ -124,7 +124,7 @@
             self.apply_count(from, message.incarnation, entry);
         }
         for request in &message.ceiling_requests {
-            self.on_ceiling_request(from, CustomerTag::from_short(request.tag));
+            self.on_ceiling_request(from, CustomerKey::from_short(request.tag));
         }
         for transfer in &message.ceiling_transfers {
             self.on_ceiling_transfer(transfer);
@@ -134,7 +134,7 @@
     /// Applies a peer's count of one customer.
     fn apply_count(&mut self, from: GatewayIndex, incarnation: u32, entry: &CountEntry) {
         let now_ms = self.clock.now_ms();
-        let customer = self.customers.get_or_insert(CustomerTag::from_short(entry.tag), now_ms);
+        let customer = self.customers.get_or_insert(CustomerKey::from_short(entry.tag), now_ms);
         let count = PeerCount {
             incarnation,
             consumed: entry.consumed,
@@ -159,7 +159,7 @@
     /// Guards against units that exist at two gateways at once, with which the ceiling could be exceeded.
     /// They are deducted here before the message that carries them is sent, so a lost message loses units
     /// instead.
-    fn on_ceiling_request(&mut self, from: GatewayIndex, tag: CustomerTag) {
+    fn on_ceiling_request(&mut self, from: GatewayIndex, tag: CustomerKey) {
         let Some(customer) = self.customers.get_mut(tag) else { return };
         let Some(plan) = customer.plan().map(|p| self.settings.plan(p)) else { return };
         customer.refill(plan, self.clock.now_ms());
@@ -171,7 +171,7 @@
 
     /// Adds the units of a customer's ceiling that a peer transferred.
     fn on_ceiling_transfer(&mut self, transfer: &CeilingTransfer) {
-        let Some(customer) = self.customers.get_mut(CustomerTag::from_short(transfer.tag)) else { return };
+        let Some(customer) = self.customers.get_mut(CustomerKey::from_short(transfer.tag)) else { return };
         let Some(plan) = customer.plan().map(|p| self.settings.plan(p)) else { return };
         customer.refill(plan, self.clock.now_ms());
         let max_units = max_ceiling_units(plan.ceiling_burst_units, customer.gateways().len());
--- a/crates/admission/src/coordination/counter_calls.rs
+++ b/crates/admission/src/coordination/counter_calls.rs
@@ -3,7 +3,7 @@
 use crate::action::Action;
 use crate::event::CounterOutcome;
 use crate::gateway::Gateway;
-use crate::id::{CustomerTag, PlanIndex, RequestId};
+use crate::id::{CustomerKey, PlanIndex, RequestId};
 use crate::policy::quota_counter::count_catch_up::{catch_up_units, is_duplicate_catch_up, COUNT_EPOCH_MS};
 use crate::policy::quota_counter::count_decision::{
     assumed_tokens, decide_by_count, decide_over_quota, is_certainly_over_quota,
@@ -22,7 +22,7 @@
 #[derive(Debug, Clone, Copy)]
 struct CompletedCall {
     /// The customer whose count was called.
-    tag: CustomerTag,
+    tag: CustomerKey,
     /// The customer's plan.
     plan: PlanIndex,
     /// The call.
@@ -58,7 +58,7 @@
     /// Queues a call to the counter if a request is sampled, or else admits the request uncounted.
     fn call_or_admit(
         &mut self,
-        tag: CustomerTag,
+        tag: CustomerKey,
         id: RequestId,
         units: f64,
         is_client_retry: bool,
@@ -101,7 +101,7 @@
     }
 
     /// Makes a customer's next call, unless one is in flight.
-    fn call_counter(&mut self, tag: CustomerTag, actions: &mut Vec<Action>) {
+    fn call_counter(&mut self, tag: CustomerKey, actions: &mut Vec<Action>) {
         let name = CounterEpoch::at(tag, self.clock.now_ms(), COUNT_EPOCH_MS).name;
         let Some(customer) = self.customers.get_mut(tag) else { return };
         let Coordination::Counter(calls) = &mut self.coordination else { return };
@@ -153,7 +153,7 @@
     /// lags.
     fn on_request_total(
         &mut self,
-        tag: CustomerTag,
+        tag: CustomerKey,
         plan: PlanIndex,
         request: CountedRequest,
         total: f64,
@@ -173,7 +173,7 @@
     /// units are due as a correction.
     fn on_missing_total(
         &mut self,
-        tag: CustomerTag,
+        tag: CustomerKey,
         plan: PlanIndex,
         request: CountedRequest,
         is_rejected: bool,
@@ -189,7 +189,7 @@
     }
 
     /// Takes a catch-up back if another gateway made the same catch-up at the same time.
-    fn on_catch_up_total(&mut self, tag: CustomerTag, catch_up: CatchUp, total: f64) {
+    fn on_catch_up_total(&mut self, tag: CustomerKey, catch_up: CatchUp, total: f64) {
         let Some(customer) = self.customers.get_mut(tag) else { return };
         if is_duplicate_catch_up(catch_up, total) {
             customer.counter.correct(-catch_up.units);
@@ -197,7 +197,7 @@
     }
 
     /// Records the customer's tokens from the total after a settlement.
-    fn on_settlement_total(&mut self, tag: CustomerTag, plan: PlanIndex, total: f64, epoch: CounterEpoch) {
+    fn on_settlement_total(&mut self, tag: CustomerKey, plan: PlanIndex, total: f64, epoch: CounterEpoch) {
         let Some(customer) = self.customers.get_mut(tag) else { return };
         let settings = self.settings.plan(plan);
         let tokens = epoch.tokens(settings, total).min(settings.burst_units);
@@ -206,7 +206,7 @@
 
     /// Decides on a counted request, given the customer's tokens before it, and records the tokens left. The
     /// units of a request that isn't admitted, or that no longer waits for the counter, are given back.
-    fn decide_counted(&mut self, tag: CustomerTag, plan: PlanIndex, request: CountedRequest, tokens: f64) {
+    fn decide_counted(&mut self, tag: CustomerKey, plan: PlanIndex, request: CountedRequest, tokens: f64) {
         let refund_units = self.refund_units(request.units);
         let active = self.requests.get_mut(request.id).filter(|active| active.awaits_counter());
         let is_admitted = match active {
--- a/crates/admission/src/coordination/quota_ownership.rs
+++ b/crates/admission/src/coordination/quota_ownership.rs
@@ -1,7 +1,7 @@
 //! Gossip mode, the quota owner's side: responses to the quota requests of other gateways.
 use crate::action::Action;
 use crate::gateway::Gateway;
-use crate::id::{CustomerTag, GatewayIndex, PlanIndex};
+use crate::id::{CustomerKey, GatewayIndex, PlanIndex};
 use crate::messages::gossip_message::GossipMessage;
 use crate::messages::quota_message::{
     QuotaRelease, QuotaRequest, QuotaRequestNumber, QuotaResponse, QuotaVerdict, SamplingFraction,
@@ -69,7 +69,7 @@
         let gateways = self.checked_gateways(from, request)?;
         let now_ms = self.clock.now_ms();
         let received = self.received_quota_request(from, request);
-        let tag = CustomerTag(request.customer);
+        let tag = CustomerKey(request.customer);
         let (customer, plan) = self.customer_with_plan(tag, plan_index, gateways);
         customer.grants.expire(now_ms);
         let verdict = apply_quota_request(customer, plan, &received, now_ms);
@@ -113,7 +113,7 @@
     /// Applies the release of a request that has ended: settles its units, and grants its slot to a waiting
     /// request.
     fn on_quota_release(&mut self, from: GatewayIndex, release: QuotaRelease, actions: &mut Vec<Action>) {
-        let Some(customer) = self.customers.get_mut(CustomerTag(release.customer)) else { return };
+        let Some(customer) = self.customers.get_mut(CustomerKey(release.customer)) else { return };
         let Some(plan) = customer.plan().map(|p| self.settings.plan(p)) else { return };
         if !customer.grants.release(from, release.number) {
             return;
@@ -124,12 +124,12 @@
             customer.settle_grant(plan, bounded_release_units(units, self.settings.max_units));
         }
         if has_free_slot(plan, customer.grants.active()) {
-            self.grant_next_waiting(CustomerTag(release.customer), actions);
+            self.grant_next_waiting(CustomerKey(release.customer), actions);
         }
     }
 
     /// Grants a free slot to the request that has waited longest.
-    fn grant_next_waiting(&mut self, tag: CustomerTag, actions: &mut Vec<Action>) {
+    fn grant_next_waiting(&mut self, tag: CustomerKey, actions: &mut Vec<Action>) {
         let now_ms = self.clock.now_ms();
         let lifetime_ms = self.grant_lifetime_ms();
         let Some(customer) = self.customers.get_mut(tag) else { return };
--- a/crates/admission/src/id.rs
+++ b/crates/admission/src/id.rs
@@ -11,12 +11,12 @@
 /// The key of a customer in a gateway's records. In a large fleet it is the customer's whole id. In broadcast
 /// mode it is the short tag that names the customer in messages between gateways.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub(crate) struct CustomerTag(pub(crate) u64);
+pub(crate) struct CustomerKey(pub(crate) u64);
 
-impl CustomerTag {
+impl CustomerKey {
     /// Returns the key of a customer that a message names by its short tag.
     pub(crate) fn from_short(tag: u32) -> Self {
-        CustomerTag(u64::from(tag))
+        CustomerKey(u64::from(tag))
     }
 
     /// Returns the low 32 bits of the key. If the key is a short tag, of 24 bits, these are the tag.
--- a/crates/admission/src/lifecycle/customers.rs
+++ b/crates/admission/src/lifecycle/customers.rs
@@ -1,6 +1,6 @@
 //! Creates, updates and evicts the records of customers.
 use crate::gateway::Gateway;
-use crate::id::{CustomerId, CustomerTag, PlanIndex};
+use crate::id::{CustomerId, CustomerKey, PlanIndex};
 use crate::mechanism::splitmix64::short_tag;
 use crate::policy::customer_retention::{idle_limit_ms, is_evicted};
 use crate::policy::peer_messages::report_schedule::REPORT_ROUNDS;
@@ -10,10 +10,10 @@
 
 impl Gateway {
     /// Returns the key of a customer in the records.
-    pub(crate) fn customer_tag(&self, customer: CustomerId) -> CustomerTag {
+    pub(crate) fn customer_tag(&self, customer: CustomerId) -> CustomerKey {
         match self.coordination.fleet_mode() {
-            FleetMode::Broadcast => CustomerTag::from_short(short_tag(customer.0)),
-            FleetMode::LargeFleet => CustomerTag(customer.0),
+            FleetMode::Broadcast => CustomerKey::from_short(short_tag(customer.0)),
+            FleetMode::LargeFleet => CustomerKey(customer.0),
         }
     }
 
@@ -21,7 +21,7 @@
     /// that the customer's requests come through.
     pub(crate) fn customer_entry(
         &mut self,
-        tag: CustomerTag,
+        tag: CustomerKey,
         plan: PlanIndex,
         gateways: GatewaySet,
     ) -> &mut Customer {
@@ -31,7 +31,7 @@
     /// Returns a customer's record as `customer_entry` does, together with the customer's plan.
     pub(crate) fn customer_with_plan(
         &mut self,
-        tag: CustomerTag,
+        tag: CustomerKey,
         plan: PlanIndex,
         gateways: GatewaySet,
     ) -> (&mut Customer, &PlanSettings) {
@@ -50,7 +50,7 @@
     }
 
     /// Returns this gateway's fraction of a customer's hard ceiling.
-    fn ceiling_fraction(&self, tag: CustomerTag, gateways: &GatewaySet) -> f64 {
+    fn ceiling_fraction(&self, tag: CustomerKey, gateways: &GatewaySet) -> f64 {
         match self.coordination {
             Coordination::Gossip(_) => ceiling_fraction_by_ranking(
                 gateways.len(),
@@ -64,7 +64,7 @@
 
     /// Schedules reports of a customer's count to the customer's other gateways. Does nothing in a large
     /// fleet, where gateways do not report counts.
-    pub(crate) fn schedule_report(&mut self, tag: CustomerTag) {
+    pub(crate) fn schedule_report(&mut self, tag: CustomerKey) {
         match self.coordination.fleet_mode() {
             FleetMode::Broadcast => self.customers.schedule_report(tag, REPORT_ROUNDS),
             FleetMode::LargeFleet => {}
@@ -73,7 +73,7 @@
 
     /// Schedules a request to peers for units of a customer's ceiling. Does nothing in a large fleet, where
     /// peers cannot give any.
-    pub(crate) fn schedule_ceiling_request(&mut self, tag: CustomerTag) {
+    pub(crate) fn schedule_ceiling_request(&mut self, tag: CustomerKey) {
         match self.coordination.fleet_mode() {
             FleetMode::Broadcast => self.customers.schedule_ceiling_request(tag),
             FleetMode::LargeFleet => {}
--- a/crates/admission/src/lifecycle/requests.rs
+++ b/crates/admission/src/lifecycle/requests.rs
@@ -2,7 +2,7 @@
 use crate::action::Action;
 use crate::event::Request;
 use crate::gateway::Gateway;
-use crate::id::{CustomerTag, GatewayIndex, RequestId};
+use crate::id::{CustomerKey, GatewayIndex, RequestId};
 use crate::messages::gossip_message::GossipMessage;
 use crate::messages::quota_message::{QuarterUnits, QuotaRelease, QuotaRequestNumber};
 use crate::policy::request_end::final_response::{final_response, FinalResponse};
@@ -101,7 +101,7 @@
     fn send_release(
         &mut self,
         owner: GatewayIndex,
-        tag: CustomerTag,
+        tag: CustomerKey,
         number: QuotaRequestNumber,
         additional_units: f64,
         actions: &mut Vec<Action>,
--- a/crates/admission/src/mechanism/virtual_finish_queue.rs
+++ b/crates/admission/src/mechanism/virtual_finish_queue.rs
@@ -4,7 +4,7 @@
 //! times: the virtual finish time of the request enqueued before it in the flow, and the queue's virtual
 //! time. The caller selects one of the heads of all flows and releases it, which sets the queue's virtual
 //! time to that request's virtual finish time.
-use crate::id::{CustomerTag, RequestId};
+use crate::id::{CustomerKey, RequestId};
 use std::collections::{BTreeMap, VecDeque};
 
 /// A request in the queue.
@@ -30,7 +30,7 @@
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct FlowHead {
     /// The customer's tag, which names the flow.
-    pub(crate) tag: CustomerTag,
+    pub(crate) tag: CustomerKey,
     /// The request.
     pub(crate) id: RequestId,
     /// The request's virtual finish time. The head with the smallest one is released first.
@@ -47,7 +47,7 @@
 /// Queued requests: one flow per customer, ordered by virtual finish time.
 #[derive(Debug, Default)]
 pub(crate) struct VirtualFinishQueue {
-    flows: BTreeMap<CustomerTag, Flow>,
+    flows: BTreeMap<CustomerKey, Flow>,
     /// Number of queued requests of all flows.
     len: usize,
     /// Virtual finish time of the request that was released last.
@@ -61,13 +61,13 @@
     }
 
     /// Returns the sum of the sizes of a customer's queued requests.
-    pub(crate) fn queued_size(&self, tag: CustomerTag) -> f64 {
+    pub(crate) fn queued_size(&self, tag: CustomerKey) -> f64 {
         self.flows.get(&tag).map_or(0.0, |flow| flow.size)
     }
 
     /// Adds a request to the end of its customer's flow. A flow of twice the `weight` releases twice the size
     /// in the same virtual time.
-    pub(crate) fn enqueue(&mut self, tag: CustomerTag, id: RequestId, size: f64, weight: f64) {
+    pub(crate) fn enqueue(&mut self, tag: CustomerKey, id: RequestId, size: f64, weight: f64) {
         let flow = self.flows.entry(tag).or_default();
         let virtual_finish = self.virtual_time.max(flow.last_finish) + size / weight;
         flow.last_finish = virtual_finish;
@@ -78,7 +78,7 @@
 
     /// Returns the oldest request of each flow, ordered by customer tag.
     pub(crate) fn heads(&self) -> Vec<FlowHead> {
-        let head = |(tag, flow): (&CustomerTag, &Flow)| {
+        let head = |(tag, flow): (&CustomerKey, &Flow)| {
             let first = flow.requests.front()?;
             Some(FlowHead { tag: *tag, id: first.id, virtual_finish: first.virtual_finish })
         };
@@ -87,7 +87,7 @@
 
     /// Removes a request from any position of its flow. A flow without requests is removed, and its last
     /// virtual finish time is forgotten.
-    pub(crate) fn remove(&mut self, tag: CustomerTag, id: RequestId) {
+    pub(crate) fn remove(&mut self, tag: CustomerKey, id: RequestId) {
         let Some(flow) = self.flows.get_mut(&tag) else { return };
         let position = flow.requests.iter().position(|queued| queued.id == id);
         if let Some(removed) = position.and_then(|at| flow.requests.remove(at)) {
--- a/crates/admission/src/state/fleet/gateway_set.rs
+++ b/crates/admission/src/state/fleet/gateway_set.rs
@@ -1,6 +1,6 @@
 //! The set of gateways that a customer's requests come through.
 use crate::event::Request;
-use crate::id::{CustomerTag, GatewayIndex};
+use crate::id::{CustomerKey, GatewayIndex};
 use crate::mechanism::splitmix64::mix;
 use crate::settings::Settings;
 
@@ -33,7 +33,7 @@
 
 impl RankedGateway {
     /// Computes the gateway's rank by rendezvous hashing; every gateway computes the same one.
-    fn new(tag: CustomerTag, gateway: GatewayIndex) -> Self {
+    fn new(tag: CustomerKey, gateway: GatewayIndex) -> Self {
         RankedGateway { rank: mix(tag.0 ^ mix(gateway.0 as u64)), gateway }
     }
 }
@@ -77,7 +77,7 @@
 
     /// Returns a gateway's position in the set for a customer, from 0. Positions are rotated by the
     /// customer's tag, so that different customers have different gateways in the first positions.
-    pub(crate) fn rotated_position(&self, tag: CustomerTag, gateway: GatewayIndex) -> u32 {
+    pub(crate) fn rotated_position(&self, tag: CustomerKey, gateway: GatewayIndex) -> u32 {
         let distance = gateway.0 + self.fleet_size - self.first.0;
         (distance as u32).wrapping_add(tag.short()) % self.len as u32
     }
@@ -89,12 +89,12 @@
     }
 
     /// Returns the set's gateways with their ranks for a customer, in the same order as `members`.
-    pub(crate) fn rendezvous_ranking(&self, tag: CustomerTag) -> impl Iterator<Item = RankedGateway> {
+    pub(crate) fn rendezvous_ranking(&self, tag: CustomerKey) -> impl Iterator<Item = RankedGateway> {
         self.members().map(move |gateway| RankedGateway::new(tag, gateway))
     }
 
     /// Returns how many of the set's gateways come before this gateway in a customer's ranking.
-    pub(crate) fn ranking_position(&self, tag: CustomerTag, gateway: GatewayIndex) -> usize {
+    pub(crate) fn ranking_position(&self, tag: CustomerKey, gateway: GatewayIndex) -> usize {
         let rank = RankedGateway::new(tag, gateway).rank;
         self.rendezvous_ranking(tag).filter(|other| other.rank < rank).count()
     }
--- a/crates/admission/src/state/quota/counter_call_table.rs
+++ b/crates/admission/src/state/quota/counter_call_table.rs
@@ -1,6 +1,6 @@
 //! Counter mode: a gateway's calls in flight to the shared counter, and the fraction of requests for which it
 //! calls the counter.
-use crate::id::CustomerTag;
+use crate::id::CustomerKey;
 use std::collections::BTreeMap;
 
 /// A gateway's calls to the shared counter, for all customers.
@@ -9,7 +9,7 @@
     /// Fraction of the requests for which the counter is called, 0 to 1.
     sampling_fraction: f64,
     /// Customers with a call in flight, by the name of their count.
-    in_flight: BTreeMap<u64, CustomerTag>,
+    in_flight: BTreeMap<u64, CustomerKey>,
 }
 
 impl CounterCalls {
@@ -29,12 +29,12 @@
     }
 
     /// Records that a call for a customer has started; `name` is the name of the customer's count.
-    pub(crate) fn start(&mut self, name: u64, tag: CustomerTag) {
+    pub(crate) fn start(&mut self, name: u64, tag: CustomerKey) {
         self.in_flight.insert(name, tag);
     }
 
     /// Ends a call and returns the customer that it was for.
-    pub(crate) fn complete(&mut self, name: u64) -> Option<CustomerTag> {
+    pub(crate) fn complete(&mut self, name: u64) -> Option<CustomerKey> {
         self.in_flight.remove(&name)
     }
 }
--- a/crates/admission/src/state/quota/counter_epoch.rs
+++ b/crates/admission/src/state/quota/counter_epoch.rs
@@ -1,5 +1,5 @@
 //! Counter mode: the epochs after which a customer's count restarts.
-use crate::id::CustomerTag;
+use crate::id::CustomerKey;
 use crate::mechanism::splitmix64::mix;
 use crate::settings::PlanSettings;
 
@@ -22,7 +22,7 @@
 
     /// Returns the epoch that a customer is in at `now_ms`, if epochs last `epoch_ms`. Epochs begin at a
     /// different time for each customer, so that the counts do not all restart at once.
-    pub(crate) fn at(tag: CustomerTag, now_ms: f64, epoch_ms: f64) -> Self {
+    pub(crate) fn at(tag: CustomerKey, now_ms: f64, epoch_ms: f64) -> Self {
         let phase_ms = (mix(tag.0) % epoch_ms as u64) as f64;
         let number = ((now_ms + phase_ms) / epoch_ms).floor();
         let name = mix(tag.0 ^ mix(number as i64 as u64)) >> 1;
--- a/crates/admission/src/state/request/active_request.rs
+++ b/crates/admission/src/state/request/active_request.rs
@@ -1,6 +1,6 @@
 //! Active requests: those that have no final response yet or have an attempt in flight.
 use crate::event::Request;
-use crate::id::{CustomerTag, EndpointId, RequestId};
+use crate::id::{CustomerKey, EndpointId, RequestId};
 use crate::state::{Attempt, AttemptId, Endpoint, PendingAttempt, QuotaState};
 use std::collections::BTreeMap;
 
@@ -10,7 +10,7 @@
     /// The request as it was received.
     pub(crate) request: Request,
     /// The customer's tag, which is the key of the customer's record.
-    pub(crate) tag: CustomerTag,
+    pub(crate) tag: CustomerKey,
     /// When the latency objective is reached, in milliseconds.
     pub(crate) objective_at_ms: f64,
     /// When the client stops waiting, in milliseconds.
@@ -35,7 +35,7 @@
 
     /// Creates the record of a request that is received now and whose latency objective is reached after
     /// `objective_ms`.
-    pub(crate) fn new(request: Request, tag: CustomerTag, now_ms: f64, objective_ms: f64) -> Self {
+    pub(crate) fn new(request: Request, tag: CustomerKey, now_ms: f64, objective_ms: f64) -> Self {
         ActiveRequest {
             tag,
             objective_at_ms: now_ms + objective_ms,
--- a/crates/admission/src/tests/quota_rules/owner_rules.rs
+++ b/crates/admission/src/tests/quota_rules/owner_rules.rs
@@ -1,7 +1,7 @@
 //! Gossip mode: which gateway owns a quota, what the owner decides, and what a gateway does without a
 //! response.
 use super::is_close;
-use crate::id::{CustomerTag, GatewayIndex};
+use crate::id::{CustomerKey, GatewayIndex};
 use crate::messages::quota_message::{QuotaVerdict, SamplingFraction};
 use crate::policy::quota_owner::ceiling_fraction::{ceiling_fraction_by_ranking, even_ceiling_fraction};
 use crate::policy::quota_owner::fallback_decision::{decide_without_owner, FallbackInput};
@@ -96,7 +96,7 @@
 /// If gateways ranked differently, several of them would each grant the customer's whole quota.
 #[test]
 fn every_gateway_selects_the_same_owner() {
-    let (set, tag) = (GatewaySet::new(GatewayIndex(90), 20, 100), CustomerTag(7));
+    let (set, tag) = (GatewaySet::new(GatewayIndex(90), 20, 100), CustomerKey(7));
     let owners = set.members().map(|gateway| select_owner(set.rendezvous_ranking(tag), |_| false, gateway));
     let owners: Vec<GatewayIndex> = owners.collect();
     assert!(owners.iter().all(|owner| *owner == owners[0]), "{owners:?}");
