--- a/crates/admission/src/coordination/count_reports.rs
+++ b/crates/admission/src/coordination/count_reports.rs
@@ -70,23 +70,23 @@
 
     /// Packs what is to be reported about customers into messages.
     fn collect_reports(&mut self, mut round: ReportRound) -> ReportRound {
-        for tag in self.customers.unreported() {
-            let Some(customer) = self.customers.get_mut(tag) else {
-                self.customers.mark_reported(tag);
+        for key in self.customers.unreported() {
+            let Some(customer) = self.customers.get_mut(key) else {
+                self.customers.mark_reported(key);
                 continue;
             };
             let Some(plan) = customer.plan().map(|p| self.settings.plan(p)) else { continue };
             customer.refill(plan, self.clock.now_ms());
             let fill = quota_fill(customer.quota_tokens(), plan.burst_units);
             let entry = CountEntry {
-                tag: tag.short(),
+                tag: key.low_32_bits(),
                 consumed: ConsumedUnits::new(customer.reports.consumed_units()),
                 fill: QuotaFill::at_most(fill),
                 in_flight: customer.in_flight(),
             };
             round.add(customer, entry);
             if !customer.reports.end_round() {
-                self.customers.mark_reported(tag);
+                self.customers.mark_reported(key);
             }
         }
         round
@@ -124,7 +124,7 @@
             self.apply_count(from, message.incarnation, entry);
         }
         for request in &message.ceiling_requests {
-            self.on_ceiling_request(from, CustomerKey::from_short(request.tag));
+            self.on_ceiling_request(from, CustomerKey::from_tag(request.tag));
         }
         for transfer in &message.ceiling_transfers {
             self.on_ceiling_transfer(transfer);
@@ -134,7 +134,7 @@
     /// Applies a peer's count of one customer.
     fn apply_count(&mut self, from: GatewayIndex, incarnation: u32, entry: &CountEntry) {
         let now_ms = self.clock.now_ms();
-        let customer = self.customers.get_or_insert(CustomerKey::from_short(entry.tag), now_ms);
+        let customer = self.customers.get_or_insert(CustomerKey::from_tag(entry.tag), now_ms);
         let count = PeerCount {
             incarnation,
             consumed: entry.consumed,
@@ -159,19 +159,19 @@
     /// Guards against units that exist at two gateways at once, with which the ceiling could be exceeded.
     /// They are deducted here before the message that carries them is sent, so a lost message loses units
     /// instead.
-    fn on_ceiling_request(&mut self, from: GatewayIndex, tag: CustomerKey) {
-        let Some(customer) = self.customers.get_mut(tag) else { return };
+    fn on_ceiling_request(&mut self, from: GatewayIndex, key: CustomerKey) {
+        let Some(customer) = self.customers.get_mut(key) else { return };
         let Some(plan) = customer.plan().map(|p| self.settings.plan(p)) else { return };
         customer.refill(plan, self.clock.now_ms());
         let units = ceiling_transfer_units(customer.ceiling_tokens(), self.settings.max_units);
         if units > 0.0 {
-            self.customers.schedule_ceiling_transfer(tag, from, units);
+            self.customers.schedule_ceiling_transfer(key, from, units);
         }
     }
 
     /// Adds the units of a customer's ceiling that a peer transferred.
     fn on_ceiling_transfer(&mut self, transfer: &CeilingTransfer) {
-        let Some(customer) = self.customers.get_mut(CustomerKey::from_short(transfer.tag)) else { return };
+        let Some(customer) = self.customers.get_mut(CustomerKey::from_tag(transfer.tag)) else { return };
         let Some(plan) = customer.plan().map(|p| self.settings.plan(p)) else { return };
         customer.refill(plan, self.clock.now_ms());
         let max_units = max_ceiling_units(plan.ceiling_burst_units, customer.gateways().len());
--- a/crates/admission/src/coordination/counter_calls.rs
+++ b/crates/admission/src/coordination/counter_calls.rs
@@ -22,7 +22,7 @@
 #[derive(Debug, Clone, Copy)]
 struct CompletedCall {
     /// The customer whose count was called.
-    tag: CustomerKey,
+    key: CustomerKey,
     /// The customer's plan.
     plan: PlanIndex,
     /// The call.
@@ -35,11 +35,11 @@
     /// counter if the request is sampled, and admits it uncounted if not.
     pub(crate) fn check_quota_at_counter(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(active) = self.requests.get(id) else { return };
-        let (tag, plan_index) = (active.tag, active.request.plan);
+        let (key, plan_index) = (active.customer_key, active.request.plan);
         let (units, is_client_retry) = (active.request.units, active.request.is_client_retry);
         let gateways = GatewaySet::of_request(&active.request, self.settings.gateways);
         let now_ms = self.clock.now_ms();
-        let (customer, plan) = self.customer_with_plan(tag, plan_index, gateways);
+        let (customer, plan) = self.customer_with_plan(key, plan_index, gateways);
         if plan.rate_per_second <= 0.0 {
             return;
         }
@@ -47,18 +47,18 @@
         let quota = if is_certainly_over_quota(tokens_at_most, units) {
             decide_over_quota(plan)
         } else {
-            self.call_or_admit(tag, id, units, is_client_retry)
+            self.call_or_admit(key, id, units, is_client_retry)
         };
         if let Some(active) = self.requests.get_mut(id) {
             active.set_quota(quota);
         }
-        self.call_counter(tag, actions);
+        self.call_counter(key, actions);
     }
 
     /// Queues a call to the counter if a request is sampled, or else admits the request uncounted.
     fn call_or_admit(
         &mut self,
-        tag: CustomerKey,
+        key: CustomerKey,
         id: RequestId,
         units: f64,
         is_client_retry: bool,
@@ -66,7 +66,7 @@
         let Some(counted) = self.sample_for_counter(id, units, is_client_retry) else {
             return QuotaState::AdmittedUncounted;
         };
-        if let Some(customer) = self.customers.get_mut(tag) {
+        if let Some(customer) = self.customers.get_mut(key) {
             customer.counter.push(CounterCall::Request(counted));
         }
         QuotaState::AwaitingCounter
@@ -101,36 +101,36 @@
     }
 
     /// Makes a customer's next call, unless one is in flight.
-    fn call_counter(&mut self, tag: CustomerKey, actions: &mut Vec<Action>) {
-        let name = CounterEpoch::at(tag, self.clock.now_ms(), COUNT_EPOCH_MS).name;
-        let Some(customer) = self.customers.get_mut(tag) else { return };
+    fn call_counter(&mut self, key: CustomerKey, actions: &mut Vec<Action>) {
+        let name = CounterEpoch::at(key, self.clock.now_ms(), COUNT_EPOCH_MS).name;
+        let Some(customer) = self.customers.get_mut(key) else { return };
         let Coordination::Counter(calls) = &mut self.coordination else { return };
         let requests = &self.requests;
         let waits_for_reply = |id| requests.get(id).is_some_and(ActiveRequest::awaits_counter);
         let Some(amount) = customer.counter.next_call(waits_for_reply) else { return };
-        calls.start(name, tag);
+        calls.start(name, key);
         actions.push(Action::AddToCounter { name, amount, ttl_ms: COUNT_EPOCH_MS });
     }
 
     /// Applies the counter's reply to a customer's call, and makes the next call.
     pub(crate) fn on_counter_reply(&mut self, name: u64, outcome: CounterOutcome, actions: &mut Vec<Action>) {
-        let Some(CompletedCall { tag, plan, call }) = self.complete_counter_call(name, outcome) else {
+        let Some(CompletedCall { key, plan, call }) = self.complete_counter_call(name, outcome) else {
             return;
         };
-        let epoch = CounterEpoch::at(tag, self.clock.now_ms(), COUNT_EPOCH_MS);
+        let epoch = CounterEpoch::at(key, self.clock.now_ms(), COUNT_EPOCH_MS);
         let is_rejected = outcome == CounterOutcome::Rejected;
         match (call, total_of_epoch(outcome, name, epoch)) {
             (CounterCall::Request(request), Some(total)) => {
-                self.on_request_total(tag, plan, request, total, epoch);
+                self.on_request_total(key, plan, request, total, epoch);
             }
-            (CounterCall::Request(request), None) => self.on_missing_total(tag, plan, request, is_rejected),
-            (CounterCall::CatchUp(catch_up), Some(total)) => self.on_catch_up_total(tag, catch_up, total),
-            (CounterCall::Settle, Some(total)) => self.on_settlement_total(tag, plan, total, epoch),
+            (CounterCall::Request(request), None) => self.on_missing_total(key, plan, request, is_rejected),
+            (CounterCall::CatchUp(catch_up), Some(total)) => self.on_catch_up_total(key, catch_up, total),
+            (CounterCall::Settle, Some(total)) => self.on_settlement_total(key, plan, total, epoch),
             (CounterCall::CatchUp(_) | CounterCall::Settle, None) => {}
         }
-        let has_queued_calls = self.customers.get(tag).is_some_and(|c| c.counter.has_queued());
+        let has_queued_calls = self.customers.get(key).is_some_and(|c| c.counter.has_queued());
         if may_call_immediately(is_rejected, has_queued_calls) {
-            self.call_counter(tag, actions);
+            self.call_counter(key, actions);
         }
     }
 
@@ -138,22 +138,22 @@
     /// rejected call carried become due again. Returns `None` if no such call is in flight.
     fn complete_counter_call(&mut self, name: u64, outcome: CounterOutcome) -> Option<CompletedCall> {
         let Coordination::Counter(calls) = &mut self.coordination else { return None };
-        let tag = calls.complete(name)?;
+        let key = calls.complete(name)?;
         calls.set_sampling_fraction(sampling_fraction_after(outcome, calls.sampling_fraction()));
-        let customer = self.customers.get_mut(tag)?;
+        let customer = self.customers.get_mut(key)?;
         let ended = customer.counter.complete()?;
         let plan = customer.plan()?;
         if outcome == CounterOutcome::Rejected {
             customer.counter.correct(ended.correction_units);
         }
-        Some(CompletedCall { tag, plan, call: ended.call })
+        Some(CompletedCall { key, plan, call: ended.call })
     }
 
     /// Decides on a request from the total after its units were added, and queues a catch-up if the count
     /// lags.
     fn on_request_total(
         &mut self,
-        tag: CustomerKey,
+        key: CustomerKey,
         plan: PlanIndex,
         request: CountedRequest,
         total: f64,
@@ -163,42 +163,42 @@
         let tokens = epoch.tokens(settings, total - request.added_units);
         let burst_units = settings.burst_units;
         let lag_units = catch_up_units(burst_units, tokens);
-        if let (Some(units), Some(customer)) = (lag_units, self.customers.get_mut(tag)) {
+        if let (Some(units), Some(customer)) = (lag_units, self.customers.get_mut(key)) {
             customer.counter.push_front(CounterCall::CatchUp(CatchUp { units, seen_total: total }));
         }
-        self.decide_counted(tag, plan, request, tokens.min(burst_units));
+        self.decide_counted(key, plan, request, tokens.min(burst_units));
     }
 
     /// Decides on a request for which the counter returned no total. If the call was rejected, the request's
     /// units are due as a correction.
     fn on_missing_total(
         &mut self,
-        tag: CustomerKey,
+        key: CustomerKey,
         plan: PlanIndex,
         request: CountedRequest,
         is_rejected: bool,
     ) {
-        let Some(customer) = self.customers.get_mut(tag) else { return };
+        let Some(customer) = self.customers.get_mut(key) else { return };
         let settings = self.settings.plan(plan);
         let tokens_at_most = customer.counter.tokens_at_most(settings, self.clock.now_ms());
         let tokens = assumed_tokens(settings.burst_units, tokens_at_most);
         if is_rejected {
             customer.counter.correct(request.added_units);
         }
-        self.decide_counted(tag, plan, request, tokens);
+        self.decide_counted(key, plan, request, tokens);
     }
 
     /// Takes a catch-up back if another gateway made the same catch-up at the same time.
-    fn on_catch_up_total(&mut self, tag: CustomerKey, catch_up: CatchUp, total: f64) {
-        let Some(customer) = self.customers.get_mut(tag) else { return };
+    fn on_catch_up_total(&mut self, key: CustomerKey, catch_up: CatchUp, total: f64) {
+        let Some(customer) = self.customers.get_mut(key) else { return };
         if is_duplicate_catch_up(catch_up, total) {
             customer.counter.correct(-catch_up.units);
         }
     }
 
     /// Records the customer's tokens from the total after a settlement.
-    fn on_settlement_total(&mut self, tag: CustomerKey, plan: PlanIndex, total: f64, epoch: CounterEpoch) {
-        let Some(customer) = self.customers.get_mut(tag) else { return };
+    fn on_settlement_total(&mut self, key: CustomerKey, plan: PlanIndex, total: f64, epoch: CounterEpoch) {
+        let Some(customer) = self.customers.get_mut(key) else { return };
         let settings = self.settings.plan(plan);
         let tokens = epoch.tokens(settings, total).min(settings.burst_units);
         customer.counter.record_tokens(tokens, self.clock.now_ms());
@@ -206,7 +206,7 @@
 
     /// Decides on a counted request, given the customer's tokens before it, and records the tokens left. The
     /// units of a request that isn't admitted, or that no longer waits for the counter, are given back.
-    fn decide_counted(&mut self, tag: CustomerKey, plan: PlanIndex, request: CountedRequest, tokens: f64) {
+    fn decide_counted(&mut self, key: CustomerKey, plan: PlanIndex, request: CountedRequest, tokens: f64) {
         let refund_units = self.refund_units(request.units);
         let active = self.requests.get_mut(request.id).filter(|active| active.awaits_counter());
         let is_admitted = match active {
@@ -216,7 +216,7 @@
             }
             None => false,
         };
-        let Some(customer) = self.customers.get_mut(tag) else { return };
+        let Some(customer) = self.customers.get_mut(key) else { return };
         let tokens_left = tokens - consumed_units(request, is_admitted);
         customer.counter.record_tokens(tokens_left, self.clock.now_ms());
         if !is_admitted {
@@ -233,10 +233,10 @@
         } else {
             settlement_units(active.quota(), active.excess_units())
         };
-        let Some(customer) = self.customers.get_mut(active.tag) else { return };
+        let Some(customer) = self.customers.get_mut(active.customer_key) else { return };
         customer.counter.correct(correction_units);
         if unsent {
-            self.call_counter(active.tag, actions);
+            self.call_counter(active.customer_key, actions);
         }
     }
 }
--- a/crates/admission/src/coordination/quota_ownership.rs
+++ b/crates/admission/src/coordination/quota_ownership.rs
@@ -69,8 +69,8 @@
         let gateways = self.checked_gateways(from, request)?;
         let now_ms = self.clock.now_ms();
         let received = self.received_quota_request(from, request);
-        let tag = CustomerKey(request.customer);
-        let (customer, plan) = self.customer_with_plan(tag, plan_index, gateways);
+        let key = CustomerKey(request.customer);
+        let (customer, plan) = self.customer_with_plan(key, plan_index, gateways);
         customer.grants.expire(now_ms);
         let verdict = apply_quota_request(customer, plan, &received, now_ms);
         let verdict = verdict_to_send(plan, verdict, customer.quota_tokens());
@@ -129,10 +129,10 @@
     }
 
     /// Grants a free slot to the request that has waited longest.
-    fn grant_next_waiting(&mut self, tag: CustomerKey, actions: &mut Vec<Action>) {
+    fn grant_next_waiting(&mut self, key: CustomerKey, actions: &mut Vec<Action>) {
         let now_ms = self.clock.now_ms();
         let lifetime_ms = self.grant_lifetime_ms();
-        let Some(customer) = self.customers.get_mut(tag) else { return };
+        let Some(customer) = self.customers.get_mut(key) else { return };
         let Some(waiting) = customer.grants.next_waiting(now_ms) else { return };
         let grant = Grant { expires_ms: waiting.expires_ms + lifetime_ms, ..waiting };
         customer.grants.grant(grant, SLOT_GRANT_UNITS, now_ms, QUOTA_RATE_SPAN_S);
--- a/crates/admission/src/coordination/quota_requests.rs
+++ b/crates/admission/src/coordination/quota_requests.rs
@@ -38,9 +38,9 @@
             Coordination::Broadcast(_) | Coordination::Isolated => {
                 let Some(active) = self.requests.get_mut(id) else { return };
                 active.set_quota(QuotaState::LocalBucket { within_quota: true });
-                let (tag, plan) = (active.tag, active.request.plan);
+                let (key, plan) = (active.customer_key, active.request.plan);
                 let gateways = GatewaySet::of_request(&active.request, self.settings.gateways);
-                self.customer_entry(tag, plan, gateways);
+                self.customer_entry(key, plan, gateways);
             }
         }
     }
@@ -52,16 +52,16 @@
         let now_ms = self.clock.now_ms();
         let this_gateway = self.settings.this_gateway;
         let wait_budget = WaitBudget::from_ms(self.grant_useful_until_ms(active) - now_ms);
-        let (tag, previous) = (active.tag, active.quota());
+        let (key, previous) = (active.customer_key, active.quota());
         let (plan, units) = (active.request.plan, active.request.units);
         let gateways = GatewaySet::of_request(&active.request, self.settings.gateways);
-        let customer = self.customer_entry(tag, plan, gateways);
+        let customer = self.customer_entry(key, plan, gateways);
         let sampling =
             sampling_fraction_at_age(customer.sampling_fraction(), customer.sampling_age_ms(now_ms));
         let sampling_fraction = SamplingFraction::nearest_above_zero(sampling);
         let Some(gossip) = self.coordination.gossip_mut() else { return };
         let is_suspected = |gateway| gossip.is_suspected(gateway, now_ms);
-        let owner = select_owner(gateways.rendezvous_ranking(tag), is_suspected, this_gateway);
+        let owner = select_owner(gateways.rendezvous_ranking(key), is_suspected, this_gateway);
         let number = gossip.requests.number_for(previous, owner);
         let route = route_quota_request(QuotaRouteInput {
             owns_quota: owner == this_gateway,
@@ -74,7 +74,7 @@
             return self.decide_without_owner(id, expectation);
         }
         let quota_request = QuotaRequest {
-            customer: tag.0,
+            customer: key.0,
             plan: plan.0 as u32,
             units: units.ceil().max(0.0) as u32,
             first_gateway: gateways.first().0 as u32,
@@ -171,7 +171,7 @@
         if response.verdict != QuotaVerdict::Queued {
             gossip.requests.remove(number);
         }
-        if let Some(customer) = self.customers.get_mut(active.tag) {
+        if let Some(customer) = self.customers.get_mut(active.customer_key) {
             customer.set_sampling_fraction(response.sampling_fraction.fraction(), self.clock.now_ms());
         }
     }
--- a/crates/admission/src/id.rs
+++ b/crates/admission/src/id.rs
@@ -15,13 +15,13 @@
 
 impl CustomerKey {
     /// Returns the key of a customer that a message names by its short tag.
-    pub(crate) fn from_short(tag: u32) -> Self {
+    pub(crate) fn from_tag(tag: u32) -> Self {
         CustomerKey(u64::from(tag))
     }
 
     /// Returns the low 32 bits of the key. If the key is a short tag, of 24 bits, these are the tag.
     /// Customers with the same tag share one record.
-    pub(crate) fn short(self) -> u32 {
+    pub(crate) fn low_32_bits(self) -> u32 {
         self.0 as u32
     }
 }
--- a/crates/admission/src/lifecycle/attempts.rs
+++ b/crates/admission/src/lifecycle/attempts.rs
@@ -49,8 +49,8 @@
     /// Counts a new attempt towards the limits of its customer, unless another gateway owns the quota.
     fn count_attempt(&mut self, id: RequestId) {
         let Some(active) = self.requests.get(id) else { return };
-        let tag = active.tag;
-        let Some(customer) = self.customers.get_mut(tag) else { return };
+        let key = active.customer_key;
+        let Some(customer) = self.customers.get_mut(key) else { return };
         let plan = self.settings.plan(active.request.plan);
         let usage = usage_at_attempt_start(&AttemptStartInput {
             quota: active.quota(),
@@ -68,7 +68,7 @@
             customer.consume_quota(active.request.units);
         }
         if usage.triggers_report {
-            self.schedule_report(tag);
+            self.schedule_report(key);
         }
     }
 
@@ -116,8 +116,8 @@
         if let ExcessCharge::Request { excess_units } = usage.charge {
             active.add_excess_units(excess_units);
         }
-        let tag = active.tag;
-        let Some(customer) = self.customers.get_mut(tag) else { return };
+        let key = active.customer_key;
+        let Some(customer) = self.customers.get_mut(key) else { return };
         if usage.frees_slot {
             customer.end_attempt();
         }
@@ -125,7 +125,7 @@
             customer.consume_quota(excess_units);
         }
         if usage.triggers_report {
-            self.schedule_report(tag);
+            self.schedule_report(key);
         }
     }
 }
--- a/crates/admission/src/lifecycle/customers.rs
+++ b/crates/admission/src/lifecycle/customers.rs
@@ -10,9 +10,9 @@
 
 impl Gateway {
     /// Returns the key of a customer in the records.
-    pub(crate) fn customer_tag(&self, customer: CustomerId) -> CustomerKey {
+    pub(crate) fn customer_key(&self, customer: CustomerId) -> CustomerKey {
         match self.coordination.fleet_mode() {
-            FleetMode::Broadcast => CustomerKey::from_short(short_tag(customer.0)),
+            FleetMode::Broadcast => CustomerKey::from_tag(short_tag(customer.0)),
             FleetMode::LargeFleet => CustomerKey(customer.0),
         }
     }
@@ -21,40 +21,40 @@
     /// that the customer's requests come through.
     pub(crate) fn customer_entry(
         &mut self,
-        tag: CustomerKey,
+        key: CustomerKey,
         plan: PlanIndex,
         gateways: GatewaySet,
     ) -> &mut Customer {
-        self.customer_with_plan(tag, plan, gateways).0
+        self.customer_with_plan(key, plan, gateways).0
     }
 
     /// Returns a customer's record as `customer_entry` does, together with the customer's plan.
     pub(crate) fn customer_with_plan(
         &mut self,
-        tag: CustomerKey,
+        key: CustomerKey,
         plan: PlanIndex,
         gateways: GatewaySet,
     ) -> (&mut Customer, &PlanSettings) {
         let now_ms = self.clock.now_ms();
-        if !self.customers.knows_plan(tag) {
-            let ceiling_fraction = self.ceiling_fraction(tag, &gateways);
+        if !self.customers.knows_plan(key) {
+            let ceiling_fraction = self.ceiling_fraction(key, &gateways);
             let uptime_s = self.clock.since_start_ms() / 1000.0;
-            let customer = self.customers.get_or_insert(tag, now_ms);
+            let customer = self.customers.get_or_insert(key, now_ms);
             customer.set_plan(plan, self.settings.plan(plan), ceiling_fraction, uptime_s, now_ms);
         }
         let plan = self.settings.plan(plan);
-        let customer = self.customers.get_or_insert(tag, now_ms);
+        let customer = self.customers.get_or_insert(key, now_ms);
         customer.record_request(gateways, now_ms);
         customer.refill(plan, now_ms);
         (customer, plan)
     }
 
     /// Returns this gateway's fraction of a customer's hard ceiling.
-    fn ceiling_fraction(&self, tag: CustomerKey, gateways: &GatewaySet) -> f64 {
+    fn ceiling_fraction(&self, key: CustomerKey, gateways: &GatewaySet) -> f64 {
         match self.coordination {
             Coordination::Gossip(_) => ceiling_fraction_by_ranking(
                 gateways.len(),
-                gateways.ranking_position(tag, self.settings.this_gateway),
+                gateways.ranking_position(key, self.settings.this_gateway),
             ),
             Coordination::Broadcast(_) | Coordination::Counter(_) | Coordination::Isolated => {
                 even_ceiling_fraction(gateways.len())
@@ -64,18 +64,18 @@
 
     /// Schedules reports of a customer's count to the customer's other gateways. Does nothing in a large
     /// fleet, where gateways do not report counts.
-    pub(crate) fn schedule_report(&mut self, tag: CustomerKey) {
+    pub(crate) fn schedule_report(&mut self, key: CustomerKey) {
         match self.coordination.fleet_mode() {
-            FleetMode::Broadcast => self.customers.schedule_report(tag, REPORT_ROUNDS),
+            FleetMode::Broadcast => self.customers.schedule_report(key, REPORT_ROUNDS),
             FleetMode::LargeFleet => {}
         }
     }
 
     /// Schedules a request to peers for units of a customer's ceiling. Does nothing in a large fleet, where
     /// peers cannot give any.
-    pub(crate) fn schedule_ceiling_request(&mut self, tag: CustomerKey) {
+    pub(crate) fn schedule_ceiling_request(&mut self, key: CustomerKey) {
         match self.coordination.fleet_mode() {
-            FleetMode::Broadcast => self.customers.schedule_ceiling_request(tag),
+            FleetMode::Broadcast => self.customers.schedule_ceiling_request(key),
             FleetMode::LargeFleet => {}
         }
     }
--- a/crates/admission/src/lifecycle/queue_dispatch.rs
+++ b/crates/admission/src/lifecycle/queue_dispatch.rs
@@ -58,7 +58,7 @@
 
     /// Removes a request that is over its quota from the queue, and sends or finishes it.
     fn dispatch_over_quota(&mut self, head: FlowHead, actions: &mut Vec<Action>) {
-        self.queue.remove(head.tag, head.id);
+        self.queue.remove(head.key, head.id);
         let endpoint = if self.may_send_over_quota(head.id) { self.select_endpoint(head.id) } else { None };
         match endpoint {
             Some(endpoint) => self.send(head.id, endpoint, actions),
@@ -79,12 +79,12 @@
         if let Some(decision) = active.quota().decision() {
             return decision;
         }
-        let tag = active.tag;
+        let key = active.customer_key;
         let plan = self.settings.plan(active.request.plan);
-        self.customers.refill(tag, plan, self.clock.now_ms());
+        self.customers.refill(key, plan, self.clock.now_ms());
         let Some(limits) = self.customer_limits(id) else { return QuotaDecision::OverQuota };
         if limits == LimitDecision::WaitForCeiling {
-            self.schedule_ceiling_request(tag);
+            self.schedule_ceiling_request(key);
         }
         limits.quota_decision()
     }
@@ -93,7 +93,7 @@
     /// `None` if there is no such request or customer.
     pub(crate) fn customer_limits(&self, id: RequestId) -> Option<LimitDecision> {
         let active = self.requests.get(id)?;
-        let customer = self.customers.get(active.tag)?;
+        let customer = self.customers.get(active.customer_key)?;
         let plan = self.settings.plan(active.request.plan);
         Some(check_customer_limits(&LimitInput {
             plan,
@@ -113,7 +113,7 @@
             peer_in_flight: peers.in_flight,
             reporting_peers: peers.reporting_peers,
             gateways: customer.gateways().len() as u32,
-            place: customer.gateways().rotated_position(active.tag, self.settings.this_gateway),
+            place: customer.gateways().rotated_position(active.customer_key, self.settings.this_gateway),
         }
     }
 }
--- a/crates/admission/src/lifecycle/request_admission.rs
+++ b/crates/admission/src/lifecycle/request_admission.rs
@@ -18,7 +18,7 @@
     pub(crate) fn admit_in_broadcast_mode(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(quota) = self.local_bucket_check(id) else { return };
         let Some(active) = self.requests.get(id) else { return };
-        let tag = active.tag;
+        let key = active.customer_key;
         let times = self.request_times(active);
         if let Some(rejection) = reject_if_too_late(&times, self.settings.max_retry_after_ms) {
             self.apply_admission(id, rejection, actions);
@@ -33,7 +33,7 @@
             queued_requests: self.queue.len(),
         };
         if lacks_ceiling_units_only(&input) {
-            self.schedule_ceiling_request(tag);
+            self.schedule_ceiling_request(key);
         }
         let is_applied = self.apply_admission(id, admit_in_broadcast_mode(&input), actions);
         if !is_applied {
@@ -82,7 +82,7 @@
             }
         };
         let weight = self.flow_weight(self.settings.plan(active.request.plan));
-        self.queue.enqueue(active.tag, id, size, weight);
+        self.queue.enqueue(active.customer_key, id, size, weight);
     }
 
     /// Returns the weight of a plan's flows in the queue, in units per second.
@@ -94,9 +94,9 @@
     /// the request. Returns `None` if there is no such request.
     fn local_bucket_check(&mut self, id: RequestId) -> Option<LocalBucketCheck> {
         let active = self.requests.get(id)?;
-        let (tag, plan_index, units) = (active.tag, active.request.plan, active.request.units);
+        let (key, plan_index, units) = (active.customer_key, active.request.plan, active.request.units);
         let gateways = GatewaySet::of_request(&active.request, self.settings.gateways);
-        let customer = self.customer_entry(tag, plan_index, gateways);
+        let customer = self.customer_entry(key, plan_index, gateways);
         let (quota_tokens, ceiling_tokens) = (customer.quota_tokens(), customer.ceiling_tokens());
         let plan = self.settings.plan(plan_index);
         let check = check_local_bucket(&LocalBucketInput {
@@ -104,7 +104,7 @@
             units,
             quota_tokens,
             ceiling_tokens,
-            queued_units: self.queue.queued_size(tag),
+            queued_units: self.queue.queued_size(key),
             withheld_units: withheld_burst_units(
                 plan.burst_units,
                 gateways.len(),
--- a/crates/admission/src/lifecycle/requests.rs
+++ b/crates/admission/src/lifecycle/requests.rs
@@ -35,10 +35,10 @@
 
     /// Adds a request to the records.
     fn insert_request(&mut self, request: Request) {
-        let tag = self.customer_tag(request.customer);
+        let key = self.customer_key(request.customer);
         let objective_ms = self.settings.class(request.class).latency_objective_ms;
         let objective_ms = objective_ms - self.already_waited_ms(request.class, request.time_left_ms);
-        let active = ActiveRequest::new(request, tag, self.clock.now_ms(), objective_ms);
+        let active = ActiveRequest::new(request, key, self.clock.now_ms(), objective_ms);
         self.requests.insert(active);
     }
 
@@ -60,11 +60,11 @@
         let Some(active) = self.requests.get_mut(id) else { return };
         let pending: Vec<u32> = active.pending_attempts().map(|(number, _)| number).collect();
         let is_first_time = active.close();
-        let tag = active.tag;
+        let key = active.customer_key;
         if self.settings.cancel_allowed && is_first_time {
             actions.extend(pending.iter().map(|number| Action::Cancel { request: id, attempt: *number }));
         }
-        self.queue.remove(tag, id);
+        self.queue.remove(key, id);
         if pending.is_empty() {
             if let Some(active) = self.requests.remove(id) {
                 self.settle_quota(&active, actions);
@@ -85,13 +85,13 @@
             QuotaSettlement::Nothing => {}
             QuotaSettlement::SettleWithCounter => self.settle_with_counter(active, actions),
             QuotaSettlement::Release { owner, number, additional_units } => {
-                self.send_release(owner, active.tag, number, additional_units, actions);
+                self.send_release(owner, active.customer_key, number, additional_units, actions);
             }
             QuotaSettlement::Withdraw { owner, number, additional_units } => {
                 if let Some(gossip) = self.coordination.gossip_mut() {
                     gossip.requests.remove(number);
                 }
-                self.send_release(owner, active.tag, number, additional_units, actions);
+                self.send_release(owner, active.customer_key, number, additional_units, actions);
             }
         }
     }
@@ -101,13 +101,13 @@
     fn send_release(
         &mut self,
         owner: GatewayIndex,
-        tag: CustomerKey,
+        key: CustomerKey,
         number: QuotaRequestNumber,
         additional_units: f64,
         actions: &mut Vec<Action>,
     ) {
         let additional_units = QuarterUnits::nearest(additional_units);
-        let release = QuotaRelease { customer: tag.0, number, additional_units };
+        let release = QuotaRelease { customer: key.0, number, additional_units };
         self.send_gossip(owner, GossipMessage::release(release), actions);
     }
 }
--- a/crates/admission/src/mechanism/virtual_finish_queue.rs
+++ b/crates/admission/src/mechanism/virtual_finish_queue.rs
@@ -29,8 +29,8 @@
 /// The oldest request of a flow.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct FlowHead {
-    /// The customer's tag, which names the flow.
-    pub(crate) tag: CustomerKey,
+    /// The customer's key, which names the flow.
+    pub(crate) key: CustomerKey,
     /// The request.
     pub(crate) id: RequestId,
     /// The request's virtual finish time. The head with the smallest one is released first.
@@ -61,14 +61,14 @@
     }
 
     /// Returns the sum of the sizes of a customer's queued requests.
-    pub(crate) fn queued_size(&self, tag: CustomerKey) -> f64 {
-        self.flows.get(&tag).map_or(0.0, |flow| flow.size)
+    pub(crate) fn queued_size(&self, key: CustomerKey) -> f64 {
+        self.flows.get(&key).map_or(0.0, |flow| flow.size)
     }
 
     /// Adds a request to the end of its customer's flow. A flow of twice the `weight` releases twice the size
     /// in the same virtual time.
-    pub(crate) fn enqueue(&mut self, tag: CustomerKey, id: RequestId, size: f64, weight: f64) {
-        let flow = self.flows.entry(tag).or_default();
+    pub(crate) fn enqueue(&mut self, key: CustomerKey, id: RequestId, size: f64, weight: f64) {
+        let flow = self.flows.entry(key).or_default();
         let virtual_finish = self.virtual_time.max(flow.last_finish) + size / weight;
         flow.last_finish = virtual_finish;
         flow.size += size;
@@ -76,32 +76,32 @@
         self.len += 1;
     }
 
-    /// Returns the oldest request of each flow, ordered by customer tag.
+    /// Returns the oldest request of each flow, ordered by customer key.
     pub(crate) fn heads(&self) -> Vec<FlowHead> {
-        let head = |(tag, flow): (&CustomerKey, &Flow)| {
+        let head = |(key, flow): (&CustomerKey, &Flow)| {
             let first = flow.requests.front()?;
-            Some(FlowHead { tag: *tag, id: first.id, virtual_finish: first.virtual_finish })
+            Some(FlowHead { key: *key, id: first.id, virtual_finish: first.virtual_finish })
         };
         self.flows.iter().filter_map(head).collect()
     }
 
     /// Removes a request from any position of its flow. A flow without requests is removed, and its last
     /// virtual finish time is forgotten.
-    pub(crate) fn remove(&mut self, tag: CustomerKey, id: RequestId) {
-        let Some(flow) = self.flows.get_mut(&tag) else { return };
+    pub(crate) fn remove(&mut self, key: CustomerKey, id: RequestId) {
+        let Some(flow) = self.flows.get_mut(&key) else { return };
         let position = flow.requests.iter().position(|queued| queued.id == id);
         if let Some(removed) = position.and_then(|at| flow.requests.remove(at)) {
             self.len -= 1;
             flow.size -= removed.size;
         }
         if flow.requests.is_empty() {
-            self.flows.remove(&tag);
+            self.flows.remove(&key);
         }
     }
 
     /// Removes a head that is to be sent, and sets the virtual time to its virtual finish time.
     pub(crate) fn release(&mut self, head: FlowHead) {
         self.virtual_time = head.virtual_finish;
-        self.remove(head.tag, head.id);
+        self.remove(head.key, head.id);
     }
 }
--- a/crates/admission/src/state/fleet/gateway_set.rs
+++ b/crates/admission/src/state/fleet/gateway_set.rs
@@ -33,8 +33,8 @@
 
 impl RankedGateway {
     /// Computes the gateway's rank by rendezvous hashing; every gateway computes the same one.
-    fn new(tag: CustomerKey, gateway: GatewayIndex) -> Self {
-        RankedGateway { rank: mix(tag.0 ^ mix(gateway.0 as u64)), gateway }
+    fn new(key: CustomerKey, gateway: GatewayIndex) -> Self {
+        RankedGateway { rank: mix(key.0 ^ mix(gateway.0 as u64)), gateway }
     }
 }
 
@@ -76,10 +76,10 @@
     }
 
     /// Returns a gateway's position in the set for a customer, from 0. Positions are rotated by the
-    /// customer's tag, so that different customers have different gateways in the first positions.
-    pub(crate) fn rotated_position(&self, tag: CustomerKey, gateway: GatewayIndex) -> u32 {
+    /// customer's key, so that different customers have different gateways in the first positions.
+    pub(crate) fn rotated_position(&self, key: CustomerKey, gateway: GatewayIndex) -> u32 {
         let distance = gateway.0 + self.fleet_size - self.first.0;
-        (distance as u32).wrapping_add(tag.short()) % self.len as u32
+        (distance as u32).wrapping_add(key.low_32_bits()) % self.len as u32
     }
 
     /// Returns the set's gateways, in the order of their numbers from the first one on.
@@ -89,13 +89,13 @@
     }
 
     /// Returns the set's gateways with their ranks for a customer, in the same order as `members`.
-    pub(crate) fn rendezvous_ranking(&self, tag: CustomerKey) -> impl Iterator<Item = RankedGateway> {
-        self.members().map(move |gateway| RankedGateway::new(tag, gateway))
+    pub(crate) fn rendezvous_ranking(&self, key: CustomerKey) -> impl Iterator<Item = RankedGateway> {
+        self.members().map(move |gateway| RankedGateway::new(key, gateway))
     }
 
     /// Returns how many of the set's gateways come before this gateway in a customer's ranking.
-    pub(crate) fn ranking_position(&self, tag: CustomerKey, gateway: GatewayIndex) -> usize {
-        let rank = RankedGateway::new(tag, gateway).rank;
-        self.rendezvous_ranking(tag).filter(|other| other.rank < rank).count()
+    pub(crate) fn ranking_position(&self, key: CustomerKey, gateway: GatewayIndex) -> usize {
+        let rank = RankedGateway::new(key, gateway).rank;
+        self.rendezvous_ranking(key).filter(|other| other.rank < rank).count()
     }
 }
--- a/crates/admission/src/state/quota/counter_call_table.rs
+++ b/crates/admission/src/state/quota/counter_call_table.rs
@@ -29,8 +29,8 @@
     }
 
     /// Records that a call for a customer has started; `name` is the name of the customer's count.
-    pub(crate) fn start(&mut self, name: u64, tag: CustomerKey) {
-        self.in_flight.insert(name, tag);
+    pub(crate) fn start(&mut self, name: u64, key: CustomerKey) {
+        self.in_flight.insert(name, key);
     }
 
     /// Ends a call and returns the customer that it was for.
--- a/crates/admission/src/state/quota/counter_epoch.rs
+++ b/crates/admission/src/state/quota/counter_epoch.rs
@@ -22,10 +22,10 @@
 
     /// Returns the epoch that a customer is in at `now_ms`, if epochs last `epoch_ms`. Epochs begin at a
     /// different time for each customer, so that the counts do not all restart at once.
-    pub(crate) fn at(tag: CustomerKey, now_ms: f64, epoch_ms: f64) -> Self {
-        let phase_ms = (mix(tag.0) % epoch_ms as u64) as f64;
+    pub(crate) fn at(key: CustomerKey, now_ms: f64, epoch_ms: f64) -> Self {
+        let phase_ms = (mix(key.0) % epoch_ms as u64) as f64;
         let number = ((now_ms + phase_ms) / epoch_ms).floor();
-        let name = mix(tag.0 ^ mix(number as i64 as u64)) >> 1;
+        let name = mix(key.0 ^ mix(number as i64 as u64)) >> 1;
         CounterEpoch { name, age_s: (now_ms + phase_ms - number * epoch_ms) / 1000.0 }
     }
 }
--- a/crates/admission/src/state/request/active_request.rs
+++ b/crates/admission/src/state/request/active_request.rs
@@ -9,8 +9,8 @@
 pub(crate) struct ActiveRequest {
     /// The request as it was received.
     pub(crate) request: Request,
-    /// The customer's tag, which is the key of the customer's record.
-    pub(crate) tag: CustomerKey,
+    /// The key of the customer's record.
+    pub(crate) customer_key: CustomerKey,
     /// When the latency objective is reached, in milliseconds.
     pub(crate) objective_at_ms: f64,
     /// When the client stops waiting, in milliseconds.
@@ -35,9 +35,9 @@
 
     /// Creates the record of a request that is received now and whose latency objective is reached after
     /// `objective_ms`.
-    pub(crate) fn new(request: Request, tag: CustomerKey, now_ms: f64, objective_ms: f64) -> Self {
+    pub(crate) fn new(request: Request, customer_key: CustomerKey, now_ms: f64, objective_ms: f64) -> Self {
         ActiveRequest {
-            tag,
+            customer_key,
             objective_at_ms: now_ms + objective_ms,
             deadline_at_ms: now_ms + request.time_left_ms,
             attempts: Vec::new(),
--- a/crates/admission/src/tests/load_rules/dispatch_order_rules.rs
+++ b/crates/admission/src/tests/load_rules/dispatch_order_rules.rs
@@ -43,7 +43,7 @@
 
 #[test]
 fn smallest_virtual_finish_is_dispatched_first_and_a_tie_keeps_the_order() {
-    let head = |id, virtual_finish| FlowHead { tag: CustomerKey(id), id: RequestId(id), virtual_finish };
+    let head = |id, virtual_finish| FlowHead { key: CustomerKey(id), id: RequestId(id), virtual_finish };
     let next = |earliest, other| earlier_head(earliest, other).id;
     assert_eq!(next(None, head(1, 5.0)), RequestId(1));
     assert_eq!(next(Some(head(1, 5.0)), head(2, 4.0)), RequestId(2));
--- a/crates/admission/src/tests/quota_rules/owner_rules.rs
+++ b/crates/admission/src/tests/quota_rules/owner_rules.rs
@@ -96,11 +96,11 @@
 /// If gateways ranked differently, several of them would each grant the customer's whole quota.
 #[test]
 fn every_gateway_selects_the_same_owner() {
-    let (set, tag) = (GatewaySet::new(GatewayIndex(90), 20, 100), CustomerKey(7));
-    let owners = set.members().map(|gateway| select_owner(set.rendezvous_ranking(tag), |_| false, gateway));
+    let (set, key) = (GatewaySet::new(GatewayIndex(90), 20, 100), CustomerKey(7));
+    let owners = set.members().map(|gateway| select_owner(set.rendezvous_ranking(key), |_| false, gateway));
     let owners: Vec<GatewayIndex> = owners.collect();
     assert!(owners.iter().all(|owner| *owner == owners[0]), "{owners:?}");
-    assert_eq!(set.ranking_position(tag, owners[0]), 0);
+    assert_eq!(set.ranking_position(key, owners[0]), 0);
 }
 
 /// One lost datagram must not move a quota to another owner. After a second missed response, the gateway is
