--- a/crates/admission/src/lifecycle/band_control.rs
+++ b/crates/admission/src/lifecycle/band_control.rs
@@ -15,7 +15,7 @@
     watermark_step_in_broadcast_mode, watermark_step_in_large_fleet, watermark_step_is_due, WatermarkInput,
 };
 use crate::policy::peer_messages::message_capacity::PEER_TIMEOUT_MS;
-use crate::state::{Band, BandLoad, BandPosition, Endpoint, FleetMode};
+use crate::state::{BandLoad, BandPosition, BroadcastBand, Endpoint, FleetMode};
 
 impl Gateway {
     /// Returns the watermark that the band starts with and never falls below.
@@ -59,9 +59,9 @@
     }
 
     /// Returns the band computed from the counts that gateways report to each other.
-    fn reported_band(&self) -> Band {
+    fn reported_band(&self) -> BroadcastBand {
         let live = self.coordination.live_peers(self.clock.now_ms(), PEER_TIMEOUT_MS);
-        Band::from_reports(self.band_load(), self.band.watermark(), live)
+        BroadcastBand::from_reports(self.band_load(), self.band.watermark(), live)
     }
 
     /// Returns the band of a large fleet, computed from means over the fleet.
--- a/crates/admission/src/policy/band/band_bounds.rs
+++ b/crates/admission/src/policy/band/band_bounds.rs
@@ -1,5 +1,5 @@
 //! The position of the fleet's attempts in flight relative to the band's bounds, in broadcast mode.
-use crate::state::{Band, BandPosition};
+use crate::state::{BandPosition, BroadcastBand};
 
 /// Distance of the bounds from the band's middle, as a fraction of the middle: `percentageDeviationForBounds`
 /// of the published design that the queue follows, "Inference Gateway Queuing System Design".
@@ -11,7 +11,7 @@
 /// Returns the position of the fleet's attempts in flight in broadcast mode. A gateway with fewer attempts in
 /// flight than an even fraction of the lower bound is always positioned under both bounds: otherwise peers
 /// with a higher watermark could keep it from sending at all.
-pub(crate) fn position_in_broadcast_mode(band: &Band) -> BandPosition {
+pub(crate) fn position_in_broadcast_mode(band: &BroadcastBand) -> BandPosition {
     let lower = band.middle * (1.0 - BAND_DEVIATION);
     let upper = band.middle * (1.0 + BAND_DEVIATION);
     let is_below_even_fraction = band.own_in_flight < lower / band.gateways;
@@ -25,6 +25,6 @@
 }
 
 /// Returns whether the endpoints are saturated, in broadcast mode.
-pub(crate) fn is_saturated_in_broadcast_mode(band: &Band) -> bool {
+pub(crate) fn is_saturated_in_broadcast_mode(band: &BroadcastBand) -> bool {
     band.in_flight > SATURATED_FILL * band.middle
 }
--- a/crates/admission/src/state/fleet/band_state.rs
+++ b/crates/admission/src/state/fleet/band_state.rs
@@ -35,7 +35,7 @@
 
 /// The band of a fleet in broadcast mode, whose gateways report their counts to each other.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Band {
+pub(crate) struct BroadcastBand {
     /// Attempts that this gateway has in flight.
     pub(crate) own_in_flight: f64,
     /// Attempts that all gateways together have in flight.
@@ -84,7 +84,7 @@
     }
 }
 
-impl Band {
+impl BroadcastBand {
     /// Returns the band that follows from this gateway's load and watermark and from the peers' reports:
     /// attempts in flight are summed, watermarks are averaged.
     pub(crate) fn from_reports<'a>(
@@ -98,7 +98,7 @@
             watermarks += peer.watermark();
             gateways += 1.0;
         }
-        Band {
+        BroadcastBand {
             own_in_flight: f64::from(load.in_flight),
             in_flight: f64::from(load.in_flight + peer_in_flight),
             middle: watermarks / gateways * load.ready_capacity,
--- a/crates/admission/src/state/fleet/mod.rs
+++ b/crates/admission/src/state/fleet/mod.rs
@@ -8,7 +8,7 @@
 mod gossip_peer;
 mod gossip_peers;
 
-pub(crate) use band_state::{Band, BandLoad, BandPosition, InFlightBand};
+pub(crate) use band_state::{BandLoad, BandPosition, BroadcastBand, InFlightBand};
 pub(crate) use broadcast_peer::BroadcastPeer;
 pub(crate) use broadcast_peers::Broadcast;
 pub(crate) use coordination_mode::{Coordination, FleetMode};
--- a/crates/admission/src/state/mod.rs
+++ b/crates/admission/src/state/mod.rs
@@ -13,7 +13,7 @@
 };
 pub(crate) use event_clock::EventClock;
 pub(crate) use fleet::{
-    peer_indices, Band, BandLoad, BandPosition, Broadcast, BroadcastPeer, Coordination, FleetMeans,
+    peer_indices, BandLoad, BandPosition, Broadcast, BroadcastBand, BroadcastPeer, Coordination, FleetMeans,
     FleetMode, GatewayMeans, GatewaySet, Gossip, GossipPeer, InFlightBand, RankedGateway,
 };
 pub(crate) use quota::{
--- a/crates/admission/src/tests/load_rules/band_position_rules.rs
+++ b/crates/admission/src/tests/load_rules/band_position_rules.rs
@@ -4,12 +4,12 @@
 use crate::policy::band::dispatch_credit::{
     credit_after_refill, credit_after_send, credit_required, position_in_large_fleet, LargeFleetBand,
 };
-use crate::state::{Band, BandPosition};
+use crate::state::{BandPosition, BroadcastBand};
 
 /// A band of two gateways with bounds of 90 and 110 around 100 attempts in flight: an even fraction of the
 /// lower bound is 45.
-fn reported_band(own_in_flight: f64, in_flight: f64) -> Band {
-    Band { own_in_flight, in_flight, middle: 100.0, gateways: 2.0 }
+fn reported_band(own_in_flight: f64, in_flight: f64) -> BroadcastBand {
+    BroadcastBand { own_in_flight, in_flight, middle: 100.0, gateways: 2.0 }
 }
 
 /// A band of 10 gateways, with 25 endpoints and a watermark of 4: its middle is 100 attempts in flight, 10
