--- a/crates/admission/src/coordination/gossip_exchange.rs
+++ b/crates/admission/src/coordination/gossip_exchange.rs
@@ -85,6 +85,6 @@
         let means = self.fleet_means.received();
         let mean_response_ms = self.latency.mean_response_ms();
         let age_ms = mean_attempt_age_ms(means, mean_response_ms, self.settings.longest_objective_ms());
-        self.latency.set_typical_age_ms(age_ms);
+        self.latency.set_typical_attempt_age_ms(age_ms);
     }
 }
--- a/crates/admission/src/event_handling.rs
+++ b/crates/admission/src/event_handling.rs
@@ -66,7 +66,7 @@
     /// Runs a round of upkeep in broadcast mode: all work that depends on time alone.
     fn upkeep_in_broadcast_mode(&mut self, actions: &mut Vec<Action>) {
         self.schedule_upkeep(self.upkeep_interval_ms(), actions);
-        self.update_typical_age();
+        self.update_typical_attempt_age();
         self.detect_correlated_failure();
         self.refill_warm_up_tokens();
         self.measure_saturation();
--- a/crates/admission/src/lifecycle/band_control.rs
+++ b/crates/admission/src/lifecycle/band_control.rs
@@ -131,7 +131,7 @@
         }
         let input = WatermarkInput {
             response_fraction: self.latency.objective_fraction(),
-            typical_age_ms: self.latency.typical_age_ms(),
+            typical_attempt_age_ms: self.latency.typical_attempt_age_ms(),
             shortest_objective_ms,
             was_blocked: self.band.begin_step(now_ms),
         };
--- a/crates/admission/src/lifecycle/outlier_checks.rs
+++ b/crates/admission/src/lifecycle/outlier_checks.rs
@@ -38,7 +38,7 @@
             warm_fraction: self.warm_fraction(endpoint),
             usual_response_ms: outlier::usual_response_ms(
                 self.latency.mean_response_ms(),
-                self.latency.typical_age_ms(),
+                self.latency.typical_attempt_age_ms(),
             ),
         })
     }
@@ -75,7 +75,7 @@
             consecutive_failures: endpoint.health.consecutive_failures(),
             since_response_ms: endpoint.health.since_response_ms(self.clock.now_ms()),
             class_response_ms: self.latency.floored_response_ms(class),
-            typical_age_ms: self.latency.typical_age_ms(),
+            typical_attempt_age_ms: self.latency.typical_attempt_age_ms(),
         };
         match self.coordination.fleet_mode() {
             FleetMode::Broadcast => outlier::decide_ejection_in_broadcast_mode(&input),
@@ -84,10 +84,10 @@
     }
 
     /// Measures the typical age of this gateway's attempts in flight, in broadcast mode.
-    pub(crate) fn update_typical_age(&mut self) {
+    pub(crate) fn update_typical_attempt_age(&mut self) {
         let now_ms = self.clock.now_ms();
         let ages_ms = self.endpoints.iter().map(|endpoint| endpoint.mean_in_flight_age_ms(now_ms));
-        let typical_ms = outlier::typical_age_ms(ages_ms, self.latency.mean_response_ms());
-        self.latency.set_typical_age_ms(typical_ms);
+        let typical_ms = outlier::typical_attempt_age_ms(ages_ms, self.latency.mean_response_ms());
+        self.latency.set_typical_attempt_age_ms(typical_ms);
     }
 }
--- a/crates/admission/src/lifecycle/warm_up.rs
+++ b/crates/admission/src/lifecycle/warm_up.rs
@@ -35,7 +35,7 @@
             warm_fraction,
             warm_send_rate: self.warm_send_rates.of_kind(endpoint.kind()),
             mean_response_ms: self.latency.mean_response_ms(),
-            typical_age_ms: self.latency.typical_age_ms(),
+            typical_attempt_age_ms: self.latency.typical_attempt_age_ms(),
             gateways: self.settings.gateways,
             overload_multiple: self.settings.overload_multiple,
             overload_window_ms: self.settings.overload_window_ms,
--- a/crates/admission/src/policy/band/watermark.rs
+++ b/crates/admission/src/policy/band/watermark.rs
@@ -63,7 +63,7 @@
     /// Smoothed response time, as a fraction of the latency objective.
     pub(crate) response_fraction: f64,
     /// Typical age of attempts in flight, in ms.
-    pub(crate) typical_age_ms: f64,
+    pub(crate) typical_attempt_age_ms: f64,
     /// Shortest latency objective of all classes, in ms.
     pub(crate) shortest_objective_ms: f64,
     /// Whether queued requests have waited for the band since the last step.
@@ -99,7 +99,7 @@
 
 /// Returns the watermark's step in broadcast mode. The watermark rises only if requests waited for the band.
 pub(crate) fn watermark_step_in_broadcast_mode(input: &WatermarkInput) -> WatermarkStep {
-    let age_fraction = AGE_WEIGHT * input.typical_age_ms / input.shortest_objective_ms;
+    let age_fraction = AGE_WEIGHT * input.typical_attempt_age_ms / input.shortest_objective_ms;
     choose_step(
         input.response_fraction.max(age_fraction),
         LOWER_ABOVE_OBJECTIVE_FRACTION,
@@ -111,7 +111,7 @@
 /// Returns the watermark's step in a large fleet. The watermark also rises if the band is so full that
 /// requests require dispatch credit.
 pub(crate) fn watermark_step_in_large_fleet(input: &WatermarkInput, band: &LargeFleetBand) -> WatermarkStep {
-    let age_fraction = LARGE_FLEET_AGE_WEIGHT * input.typical_age_ms / input.shortest_objective_ms;
+    let age_fraction = LARGE_FLEET_AGE_WEIGHT * input.typical_attempt_age_ms / input.shortest_objective_ms;
     let lower_above = LARGE_FLEET_THRESHOLD_FACTOR * LOWER_ABOVE_OBJECTIVE_FRACTION;
     let raise_below = LARGE_FLEET_THRESHOLD_FACTOR * RAISE_BELOW_OBJECTIVE_FRACTION;
     let is_needed = input.was_blocked || band.is_above_credit_threshold();
--- a/crates/admission/src/policy/outlier/attempt_failure.rs
+++ b/crates/admission/src/policy/outlier/attempt_failure.rs
@@ -37,7 +37,7 @@
     /// Mean response time of the request's class, in ms.
     pub class_response_ms: f64,
     /// Typical age of attempts in flight at an endpoint, in ms.
-    pub typical_age_ms: f64,
+    pub typical_attempt_age_ms: f64,
 }
 
 /// Whether an endpoint is ejected after an attempt has ended.
@@ -112,7 +112,7 @@
 
     /// Returns whether the attempt took much longer than the response time that is usual at present.
     fn took_long(&self) -> bool {
-        let usual_ms = usual_response_ms(self.class_response_ms, self.typical_age_ms);
+        let usual_ms = usual_response_ms(self.class_response_ms, self.typical_attempt_age_ms);
         self.took_ms > EJECTION_RESPONSE_TIMES * usual_ms
     }
 }
--- a/crates/admission/src/policy/outlier/mod.rs
+++ b/crates/admission/src/policy/outlier/mod.rs
@@ -15,5 +15,5 @@
 pub(crate) use correlated_failure::is_correlated_failure;
 pub(crate) use ejection::{ejection_jitter, is_outlier, OutlierInput, EJECTION, SCOPED_EJECTION};
 pub(crate) use health_evidence::{health_evidence, HealthEvidence};
-pub(crate) use stall::{stall_ratio, typical_age_ms, usual_response_ms, StallInput};
+pub(crate) use stall::{stall_ratio, typical_attempt_age_ms, usual_response_ms, StallInput};
 pub(crate) use unresponsive::{is_unresponsive, UnresponsiveInput};
--- a/crates/admission/src/policy/outlier/stall.rs
+++ b/crates/admission/src/policy/outlier/stall.rs
@@ -55,14 +55,17 @@
 
 /// Returns the response time that is usual at present, in ms: the mean response time, or more if the attempts
 /// in flight are old.
-pub(crate) fn usual_response_ms(mean_response_ms: f64, typical_age_ms: f64) -> f64 {
-    mean_response_ms.max(TYPICAL_AGE_FACTOR * typical_age_ms)
+pub(crate) fn usual_response_ms(mean_response_ms: f64, typical_attempt_age_ms: f64) -> f64 {
+    mean_response_ms.max(TYPICAL_AGE_FACTOR * typical_attempt_age_ms)
 }
 
 /// Returns the typical age of attempts in flight, in ms. `ages_ms` has the mean age at each endpoint, or
 /// `None` for an endpoint without attempts in flight. Each endpoint counts once, so that the many attempts in
 /// flight in a hung zone do not outweigh the rest.
-pub(crate) fn typical_age_ms(ages_ms: impl Iterator<Item = Option<f64>>, mean_response_ms: f64) -> f64 {
+pub(crate) fn typical_attempt_age_ms(
+    ages_ms: impl Iterator<Item = Option<f64>>,
+    mean_response_ms: f64,
+) -> f64 {
     let idle_age_ms = IDLE_AGE_FRACTION * mean_response_ms;
     let ages_ms = ages_ms.map(|age_ms| age_ms.unwrap_or(idle_age_ms)).collect();
     percentile(ages_ms, TYPICAL_AGE_PERCENTILE).unwrap_or(0.0)
--- a/crates/admission/src/policy/slow_start/warm_up_budget.rs
+++ b/crates/admission/src/policy/slow_start/warm_up_budget.rs
@@ -24,7 +24,7 @@
     /// Mean response time over the classes, in ms.
     pub mean_response_ms: f64,
     /// Typical age of this gateway's attempts in flight at an endpoint, in ms.
-    pub typical_age_ms: f64,
+    pub typical_attempt_age_ms: f64,
     /// Number of gateways in the fleet.
     pub gateways: usize,
     /// Multiple of its present capacity from which a warming endpoint is overloaded, from the settings.
@@ -41,7 +41,7 @@
 /// the responses arrive.
 pub(crate) fn warm_up_budget(input: &WarmUpBudgetInput) -> WarmUpBudget {
     let warm_rate = WARM_ENDPOINT_FRACTION * input.warm_send_rate;
-    let response_ms = input.mean_response_ms.max(input.typical_age_ms);
+    let response_ms = input.mean_response_ms.max(input.typical_attempt_age_ms);
     let even_rate = 1000.0 / response_ms / input.gateways as f64;
     let window_s = SAVED_WINDOW_FRACTION * input.overload_window_ms / 1000.0;
     let multiple = WARM_UP_BUDGET_FRACTION * input.overload_multiple;
--- a/crates/admission/src/state/endpoint/latency_model.rs
+++ b/crates/admission/src/state/endpoint/latency_model.rs
@@ -38,7 +38,7 @@
     /// The most common time budget of each class, that is, how long its clients wait.
     time_budgets: Vec<MostCommonValue>,
     /// Typical age of attempts in flight at an endpoint, in ms.
-    typical_age_ms: f64,
+    typical_attempt_age_ms: f64,
     /// Usual relative response time of each machine kind.
     baseline_by_kind: BTreeMap<MachineKindIndex, f64>,
 }
@@ -126,13 +126,13 @@
 
     /// Returns the typical age of attempts in flight at an endpoint, in ms. In broadcast mode it is a
     /// percentile over the endpoints, in a large fleet an estimate from the means over the gateways.
-    pub(crate) fn typical_age_ms(&self) -> f64 {
-        self.typical_age_ms
+    pub(crate) fn typical_attempt_age_ms(&self) -> f64 {
+        self.typical_attempt_age_ms
     }
 
     /// Sets the typical age of attempts in flight, in ms.
-    pub(crate) fn set_typical_age_ms(&mut self, age_ms: f64) {
-        self.typical_age_ms = age_ms;
+    pub(crate) fn set_typical_attempt_age_ms(&mut self, age_ms: f64) {
+        self.typical_attempt_age_ms = age_ms;
     }
 
     /// Returns the usual relative response time of a machine kind, or 1 while nothing is known.
--- a/crates/admission/src/tests/endpoint_rules/outlier_rules.rs
+++ b/crates/admission/src/tests/endpoint_rules/outlier_rules.rs
@@ -4,7 +4,7 @@
 use crate::id::ClassIndex;
 use crate::policy::outlier::{
     decide_ejection_in_broadcast_mode, decide_ejection_in_large_fleet, ejection_jitter, fails_class,
-    health_evidence, is_correlated_failure, is_outlier, is_unresponsive, stall_ratio, typical_age_ms,
+    health_evidence, is_correlated_failure, is_outlier, is_unresponsive, stall_ratio, typical_attempt_age_ms,
     usual_response_ms, EjectionDecision, EjectionInput, HealthEvidence, OutlierInput, StallInput,
     UnresponsiveInput, CLASS_FAILURE_GAIN, ERROR_GAIN,
 };
@@ -52,9 +52,9 @@
     assert!(is_close(usual_response_ms(100.0, 200.0), 300.0));
     // Of five ages the third lowest is typical; an endpoint without attempts counts with half of 100 ms.
     let ages = [Some(900.0), Some(10.0), None, Some(70.0), Some(800.0)];
-    assert!(is_close(typical_age_ms(ages.into_iter(), 100.0), 70.0));
-    assert!(is_close(typical_age_ms([None].into_iter(), 100.0), 50.0));
-    assert!(is_close(typical_age_ms([].into_iter(), 100.0), 0.0));
+    assert!(is_close(typical_attempt_age_ms(ages.into_iter(), 100.0), 70.0));
+    assert!(is_close(typical_attempt_age_ms([None].into_iter(), 100.0), 50.0));
+    assert!(is_close(typical_attempt_age_ms([].into_iter(), 100.0), 0.0));
 }
 
 #[test]
@@ -109,7 +109,7 @@
         consecutive_failures: 0,
         since_response_ms: 10.0,
         class_response_ms: 100.0,
-        typical_age_ms: 0.0,
+        typical_attempt_age_ms: 0.0,
     }
 }
 
@@ -152,7 +152,7 @@
     assert_eq!(decide_ejection_in_broadcast_mode(&silent), EjectionDecision::Eject);
     assert_eq!(decide_ejection_in_large_fleet(&silent), EjectionDecision::Eject);
     // Attempts at all endpoints are old: the usual response time is 300 ms, so 400 ms are not long.
-    let all_slow = EjectionInput { typical_age_ms: 200.0, ..silent };
+    let all_slow = EjectionInput { typical_attempt_age_ms: 200.0, ..silent };
     assert_eq!(decide_ejection_in_broadcast_mode(&all_slow), EjectionDecision::Unchanged);
     assert_eq!(decide_ejection_in_large_fleet(&all_slow), EjectionDecision::Eject);
     let responding = ended(Outcome::TimedOut);
--- a/crates/admission/src/tests/endpoint_rules/slow_start_rules.rs
+++ b/crates/admission/src/tests/endpoint_rules/slow_start_rules.rs
@@ -46,7 +46,7 @@
         warm_fraction: 0.5,
         warm_send_rate: 0.0,
         mean_response_ms: 100.0,
-        typical_age_ms: 50.0,
+        typical_attempt_age_ms: 50.0,
         gateways: 4,
         overload_multiple: 2.0,
         overload_window_ms: 1000.0,
@@ -55,7 +55,7 @@
     let rows = [
         ("even fraction", quiet, 1.5),
         ("warm endpoints are sent more", WarmUpBudgetInput { warm_send_rate: 10.0, ..quiet }, 0.6 * 7.0),
-        ("attempts in flight are old", WarmUpBudgetInput { typical_age_ms: 200.0, ..quiet }, 0.75),
+        ("attempts in flight are old", WarmUpBudgetInput { typical_attempt_age_ms: 200.0, ..quiet }, 0.75),
     ];
     for (name, input, expected) in rows {
         let budget = warm_up_budget(&input);
--- a/crates/admission/src/tests/load_rules/watermark_rules.rs
+++ b/crates/admission/src/tests/load_rules/watermark_rules.rs
@@ -10,8 +10,13 @@
 const LOWER: WatermarkStep = WatermarkStep::Lower { factor: 0.93 };
 
 /// The input of a step, with a latency objective of 1 s and requests that waited for the band.
-fn input(response_fraction: f64, typical_age_ms: f64) -> WatermarkInput {
-    WatermarkInput { response_fraction, typical_age_ms, shortest_objective_ms: 1000.0, was_blocked: true }
+fn input(response_fraction: f64, typical_attempt_age_ms: f64) -> WatermarkInput {
+    WatermarkInput {
+        response_fraction,
+        typical_attempt_age_ms,
+        shortest_objective_ms: 1000.0,
+        was_blocked: true,
+    }
 }
 
 /// The band of a large fleet that is filled to `fill` of its middle of 100 attempts in flight.
