--- a/crates/admission/src/mechanism/decaying_rate.rs
+++ b/crates/admission/src/mechanism/decaying_rate.rs
@@ -15,19 +15,19 @@
 impl DecayingRate {
     /// Returns the rate per second at `now_ms`. Without events it falls to 1/e of its value in one time
     /// constant.
-    pub(crate) fn now(&self, now_ms: f64, time_constant_s: f64) -> f64 {
+    pub(crate) fn per_second_at(&self, now_ms: f64, time_constant_s: f64) -> f64 {
         self.per_second * (-(now_ms - self.added_ms) / 1000.0 / time_constant_s).exp()
     }
 
     /// Returns the rate per second at `now_ms`, for use as a divisor: it is never 0.
-    pub(crate) fn divisor(&self, now_ms: f64, time_constant_s: f64) -> f64 {
-        self.now(now_ms, time_constant_s).max(MIN_DIVISOR_PER_SECOND)
+    pub(crate) fn nonzero_per_second_at(&self, now_ms: f64, time_constant_s: f64) -> f64 {
+        self.per_second_at(now_ms, time_constant_s).max(MIN_DIVISOR_PER_SECOND)
     }
 
     /// Counts `amount` events at `now_ms`. With a steady stream of events, the rate converges to that of the
     /// stream.
     pub(crate) fn add(&mut self, amount: f64, now_ms: f64, time_constant_s: f64) {
-        self.per_second = self.now(now_ms, time_constant_s) + amount / time_constant_s;
+        self.per_second = self.per_second_at(now_ms, time_constant_s) + amount / time_constant_s;
         self.added_ms = now_ms;
     }
 }
--- a/crates/admission/src/state/endpoint/endpoint_record.rs
+++ b/crates/admission/src/state/endpoint/endpoint_record.rs
@@ -146,6 +146,6 @@
 
     /// Returns the rate of attempts that this gateway sends to the endpoint, per second.
     pub(crate) fn send_rate(&self, now_ms: f64) -> f64 {
-        self.send_rate.now(now_ms, self.smoothing.send_rate_span_s)
+        self.send_rate.per_second_at(now_ms, self.smoothing.send_rate_span_s)
     }
 }
--- a/crates/admission/src/state/endpoint/outlier_detection_state.rs
+++ b/crates/admission/src/state/endpoint/outlier_detection_state.rs
@@ -28,6 +28,6 @@
 
     /// Returns the rate of observed responses, per second.
     pub(crate) fn observed_responses_per_second(&self, now_ms: f64, span_s: f64) -> f64 {
-        self.response_rate.now(now_ms, span_s)
+        self.response_rate.per_second_at(now_ms, span_s)
     }
 }
--- a/crates/admission/src/state/fleet/fleet_means.rs
+++ b/crates/admission/src/state/fleet/fleet_means.rs
@@ -68,7 +68,7 @@
         let gain = 1.0 - (-gain_per_second * seconds).exp();
         let own = GatewayMeans {
             in_flight: own_in_flight,
-            responses_per_second: self.own_rate.now(now_ms, span_s),
+            responses_per_second: self.own_rate.per_second_at(now_ms, span_s),
         };
         self.passed_on.follow(own, gain);
     }
--- a/crates/admission/src/state/fleet/gossip_peers.rs
+++ b/crates/admission/src/state/fleet/gossip_peers.rs
@@ -73,7 +73,7 @@
     /// Returns the rate of received messages that carry quota requests or releases of other gateways, per
     /// second.
     pub(crate) fn received_per_second(&self, now_ms: f64, span_s: f64) -> f64 {
-        self.received_rate.now(now_ms, span_s)
+        self.received_rate.per_second_at(now_ms, span_s)
     }
 
     /// Adds message tokens, up to a limit.
--- a/crates/admission/src/state/quota/quota_grants.rs
+++ b/crates/admission/src/state/quota/quota_grants.rs
@@ -99,11 +99,11 @@
 
     /// Returns the units requested per second, as a divisor: never 0.
     pub(crate) fn requested_per_second(&self, now_ms: f64, span_s: f64) -> f64 {
-        self.requested_rate.divisor(now_ms, span_s)
+        self.requested_rate.nonzero_per_second_at(now_ms, span_s)
     }
 
     /// Returns the units granted per second.
     pub(crate) fn granted_per_second(&self, now_ms: f64, span_s: f64) -> f64 {
-        self.granted_rate.now(now_ms, span_s)
+        self.granted_rate.per_second_at(now_ms, span_s)
     }
 }
