--- a/crates/admission/src/coordination/gossip_exchange.rs
+++ b/crates/admission/src/coordination/gossip_exchange.rs
@@ -8,7 +8,7 @@
     mean_attempt_age_ms, OWN_MEAN_GAIN_PER_SECOND, PASSED_ON_MEAN_GAIN, RECEIVED_MEAN_GAIN,
 };
 use crate::policy::peer_messages::quota_message_budget::{max_message_tokens, quota_messages_per_second};
-use crate::policy::quota_owner::owner_sampling::QUOTA_RATE_SPAN_S;
+use crate::policy::quota_owner::owner_sampling::RATE_TIME_CONSTANT_S;
 use crate::state::{peer_indices, Coordination, GatewayMeans};
 
 impl Gateway {
@@ -26,7 +26,7 @@
             self.apply_observation(*observation);
         }
         if let Some(gossip) = self.coordination.gossip_mut() {
-            gossip.record_message(from, &message, self.clock.now_ms(), QUOTA_RATE_SPAN_S);
+            gossip.record_message(from, &message, self.clock.now_ms(), RATE_TIME_CONSTANT_S);
         }
         self.on_quota_messages(from, message, actions);
     }
@@ -61,7 +61,7 @@
     /// Adds the message tokens that accrued in `seconds`, the time since the last call.
     pub(crate) fn refill_message_tokens(&mut self, seconds: f64) {
         let Some(gossip) = self.coordination.gossip_mut() else { return };
-        let received = gossip.received_per_second(self.clock.now_ms(), QUOTA_RATE_SPAN_S);
+        let received = gossip.received_per_second(self.clock.now_ms(), RATE_TIME_CONSTANT_S);
         let accepted = self.settings.peer_messages_per_second;
         let accrued = quota_messages_per_second(accepted, received) * seconds;
         gossip.add_message_tokens(accrued, max_message_tokens(accepted));
@@ -74,7 +74,7 @@
         self.band.set_ready_capacity(load.ready_capacity);
         let own_in_flight = f64::from(load.in_flight);
         let now_ms = self.clock.now_ms();
-        self.fleet_means.apply_own(own_in_flight, now_ms, OWN_MEAN_GAIN_PER_SECOND, QUOTA_RATE_SPAN_S);
+        self.fleet_means.apply_own(own_in_flight, now_ms, OWN_MEAN_GAIN_PER_SECOND, RATE_TIME_CONSTANT_S);
         match self.coordination {
             Coordination::Gossip(_) => {}
             // No means are received in these modes, so this gateway's own are used for the others'.
--- a/crates/admission/src/coordination/observations.rs
+++ b/crates/admission/src/coordination/observations.rs
@@ -4,9 +4,9 @@
 use crate::id::{ClassIndex, EndpointId, PlanIndex};
 use crate::mechanism::splitmix64::short_tag;
 use crate::messages::observation_code::{Observation, ObservationKind, ResponseTimeCode};
-use crate::policy::observation::{observation_of_attempt, MAX_OBSERVATIONS, OBSERVATION_SPAN_S};
+use crate::policy::observation::{observation_of_attempt, MAX_OBSERVATIONS, OBSERVATION_TIME_CONSTANT_S};
 use crate::policy::outlier::{ejection_jitter, fails_class, CLASS_FAILURE_GAIN, SCOPED_EJECTION};
-use crate::policy::quota_owner::owner_sampling::QUOTA_RATE_SPAN_S;
+use crate::policy::quota_owner::owner_sampling::RATE_TIME_CONSTANT_S;
 use crate::policy::response_time::{kind_sample, OBSERVED_RESPONSE_TIME_GAIN};
 use crate::policy::slow_start::has_warmed_up;
 use crate::state::{EjectionScope, PendingAttempt};
@@ -15,7 +15,7 @@
     /// Records what the end of an attempt of this gateway shows about its endpoint.
     pub(crate) fn observe_attempt(&mut self, end: &AttemptEnd, class: ClassIndex, plan: PlanIndex) {
         if end.outcome == Outcome::Ok {
-            self.fleet_means.record_response(self.clock.now_ms(), QUOTA_RATE_SPAN_S);
+            self.fleet_means.record_response(self.clock.now_ms(), RATE_TIME_CONSTANT_S);
             if let Some(endpoint) = self.endpoints.get_mut(end.endpoint) {
                 endpoint.observed_health.record_own_success(class, plan);
             }
@@ -76,7 +76,7 @@
         let now_ms = self.clock.now_ms();
         let Some(endpoint) = self.endpoints.get_by_tag_mut(tag) else { return };
         endpoint.observed_health.record_response(class, now_ms, CLASS_FAILURE_GAIN);
-        self.outliers.record_observed_response(now_ms, OBSERVATION_SPAN_S);
+        self.outliers.record_observed_response(now_ms, OBSERVATION_TIME_CONSTANT_S);
         let objective_fraction = response_time.objective_fraction();
         let relative = self.latency.relative_to_mean(objective_fraction);
         let baseline = self.latency.kind_baseline(endpoint.kind());
--- a/crates/admission/src/coordination/quota_ownership.rs
+++ b/crates/admission/src/coordination/quota_ownership.rs
@@ -7,7 +7,7 @@
     QuotaRelease, QuotaRequest, QuotaRequestNumber, QuotaResponse, QuotaVerdict, SamplingFraction,
 };
 use crate::policy::quota_owner::owner_sampling::{
-    wanted_sampling_fraction, QuotaDemand, AMPLE_SAMPLING_FRACTION, QUOTA_RATE_SPAN_S, SLOT_GRANT_UNITS,
+    wanted_sampling_fraction, QuotaDemand, AMPLE_SAMPLING_FRACTION, RATE_TIME_CONSTANT_S, SLOT_GRANT_UNITS,
 };
 use crate::policy::quota_owner::owner_verdict::{
     decide_quota_request, grant_lifetime_ms, has_free_slot, verdict_to_send, OwnedQuota,
@@ -135,7 +135,7 @@
         let Some(customer) = self.customers.get_mut(key) else { return };
         let Some(waiting) = customer.grants.next_waiting(now_ms) else { return };
         let grant = Grant { expires_ms: waiting.expires_ms + lifetime_ms, ..waiting };
-        customer.grants.grant(grant, SLOT_GRANT_UNITS, now_ms, QUOTA_RATE_SPAN_S);
+        customer.grants.grant(grant, SLOT_GRANT_UNITS, now_ms, RATE_TIME_CONSTANT_S);
         let response = QuotaResponse {
             number: grant.number,
             verdict: QuotaVerdict::Granted,
@@ -159,7 +159,7 @@
     if customer.grants.is_granted(gateway, number) {
         return QuotaVerdict::Granted;
     }
-    customer.grants.record_request(request.represented_units, now_ms, QUOTA_RATE_SPAN_S);
+    customer.grants.record_request(request.represented_units, now_ms, RATE_TIME_CONSTANT_S);
     if customer.grants.is_waiting(gateway, number) {
         return QuotaVerdict::Queued;
     }
@@ -174,7 +174,7 @@
         QuotaVerdict::Granted | QuotaVerdict::GrantedAmple => {
             let grant = Grant { gateway, number, expires_ms: request.expires_ms };
             customer.charge_grant(plan, units);
-            customer.grants.grant(grant, units, now_ms, QUOTA_RATE_SPAN_S);
+            customer.grants.grant(grant, units, now_ms, RATE_TIME_CONSTANT_S);
         }
         QuotaVerdict::Queued => {
             customer.grants.enqueue(Grant { gateway, number, expires_ms: request.waits_until_ms });
@@ -188,8 +188,8 @@
 /// Returns the units that were recently requested and granted for a customer.
 fn quota_demand(customer: &Customer, plan: &PlanSettings, now_ms: f64) -> QuotaDemand {
     QuotaDemand {
-        requested_per_second: customer.grants.requested_per_second(now_ms, QUOTA_RATE_SPAN_S),
-        granted_per_second: customer.grants.granted_per_second(now_ms, QUOTA_RATE_SPAN_S),
+        requested_per_second: customer.grants.requested_per_second(now_ms, RATE_TIME_CONSTANT_S),
+        granted_per_second: customer.grants.granted_per_second(now_ms, RATE_TIME_CONSTANT_S),
         plan_rate_per_second: plan.rate_per_second,
     }
 }
--- a/crates/admission/src/lifecycle/outlier_checks.rs
+++ b/crates/admission/src/lifecycle/outlier_checks.rs
@@ -2,7 +2,7 @@
 use crate::event::AttemptEnd;
 use crate::gateway::Gateway;
 use crate::id::ClassIndex;
-use crate::policy::observation::OBSERVATION_SPAN_S;
+use crate::policy::observation::OBSERVATION_TIME_CONSTANT_S;
 use crate::policy::outlier;
 use crate::policy::outlier::{EjectionDecision, EjectionInput, OutlierInput, StallInput, UnresponsiveInput};
 use crate::state::{Endpoint, FleetMode};
@@ -54,7 +54,7 @@
                 since_response_ms: endpoint.observed_health.since_response_ms(now_ms),
                 observed_responses_per_second: self
                     .outliers
-                    .observed_responses_per_second(now_ms, OBSERVATION_SPAN_S),
+                    .observed_responses_per_second(now_ms, OBSERVATION_TIME_CONSTANT_S),
                 endpoints: self.endpoints.len(),
             }),
         }
--- a/crates/admission/src/policy/observation/attempt_observation.rs
+++ b/crates/admission/src/policy/observation/attempt_observation.rs
@@ -8,7 +8,7 @@
 pub(crate) const MAX_OBSERVATIONS: usize = 3;
 
 /// Span over which the rate of observed responses is smoothed, in seconds.
-pub(crate) const OBSERVATION_SPAN_S: f64 = 3.0;
+pub(crate) const OBSERVATION_TIME_CONSTANT_S: f64 = 3.0;
 
 /// Returns what the end of one of this gateway's attempts shows about its endpoint, or `None` if it shows
 /// nothing. `objective_fraction` is the time that the attempt took, as a fraction of the latency objective.
--- a/crates/admission/src/policy/quota_owner/owner_sampling.rs
+++ b/crates/admission/src/policy/quota_owner/owner_sampling.rs
@@ -3,7 +3,7 @@
 //! end.
 
 /// Time constant of the smoothed rates of units, messages received and good responses, in seconds.
-pub(crate) const QUOTA_RATE_SPAN_S: f64 = 1.5;
+pub(crate) const RATE_TIME_CONSTANT_S: f64 = 1.5;
 
 /// Units that the owner wants quota requests for, as a multiple of the units that it grants, when more is
 /// requested than granted.
--- a/crates/admission/src/policy/slow_start/mod.rs
+++ b/crates/admission/src/policy/slow_start/mod.rs
@@ -9,5 +9,5 @@
 };
 pub(crate) use warm_up_admission::{warm_up_admission, warm_up_draw, SendCapacity, WarmUpAdmission};
 pub(crate) use warm_up_budget::{
-    available_tokens, warm_up_budget, WarmUpBudgetInput, SEND_RATE_SPAN_S, TOKENS_PER_ATTEMPT,
+    available_tokens, warm_up_budget, WarmUpBudgetInput, SEND_RATE_TIME_CONSTANT_S, TOKENS_PER_ATTEMPT,
 };
--- a/crates/admission/src/policy/slow_start/warm_up_budget.rs
+++ b/crates/admission/src/policy/slow_start/warm_up_budget.rs
@@ -11,7 +11,7 @@
 const SAVED_WINDOW_FRACTION: f64 = 0.5;
 
 /// Span over which the rate of attempts sent to an endpoint is smoothed, in seconds.
-pub(crate) const SEND_RATE_SPAN_S: f64 = 3.0;
+pub(crate) const SEND_RATE_TIME_CONSTANT_S: f64 = 3.0;
 
 /// What the budget of an endpoint that is warming up depends on.
 #[derive(Debug, Clone, Copy)]
--- a/crates/admission/src/startup.rs
+++ b/crates/admission/src/startup.rs
@@ -9,7 +9,7 @@
     INITIAL_OBJECTIVE_FRACTION, LATENCY_FLOORS, LATENCY_GAINS, RESPONSE_TIME_HALF_LIFE_MS,
 };
 use crate::policy::retry::INITIAL_RETRY_TOKENS;
-use crate::policy::slow_start::SEND_RATE_SPAN_S;
+use crate::policy::slow_start::SEND_RATE_TIME_CONSTANT_S;
 use crate::settings::{Settings, SettingsError};
 use crate::state::{
     Broadcast, Coordination, CounterCalls, EndpointSmoothing, EndpointTable, EventClock, Gossip,
@@ -32,7 +32,7 @@
             random: SplitMix64::new(seed),
             endpoints: EndpointTable::new(EndpointSmoothing {
                 response_time_half_life_ms: RESPONSE_TIME_HALF_LIFE_MS,
-                send_rate_span_s: SEND_RATE_SPAN_S,
+                send_rate_time_constant_s: SEND_RATE_TIME_CONSTANT_S,
             }),
             latency: LatencyModel::new(
                 objectives_ms,
--- a/crates/admission/src/state/endpoint/endpoint_record.rs
+++ b/crates/admission/src/state/endpoint/endpoint_record.rs
@@ -19,7 +19,7 @@
     /// Half-life with which the relative response time returns to the usual value without new samples, in ms.
     pub(crate) response_time_half_life_ms: f64,
     /// Span over which the rate of attempts sent is smoothed, in seconds.
-    pub(crate) send_rate_span_s: f64,
+    pub(crate) send_rate_time_constant_s: f64,
 }
 
 /// An endpoint of the list, and what is known about it.
@@ -119,7 +119,7 @@
 impl Endpoint {
     /// Records that an attempt was sent.
     pub(crate) fn record_sent(&mut self, attempt: InFlightAttempt) {
-        self.send_rate.add(1.0, attempt.sent_ms, self.smoothing.send_rate_span_s);
+        self.send_rate.add(1.0, attempt.sent_ms, self.smoothing.send_rate_time_constant_s);
         self.in_flight.push(attempt);
     }
 
@@ -146,6 +146,6 @@
 
     /// Returns the rate of attempts that this gateway sends to the endpoint, per second.
     pub(crate) fn send_rate(&self, now_ms: f64) -> f64 {
-        self.send_rate.per_second_at(now_ms, self.smoothing.send_rate_span_s)
+        self.send_rate.per_second_at(now_ms, self.smoothing.send_rate_time_constant_s)
     }
 }
--- a/crates/admission/src/state/endpoint/outlier_detection_state.rs
+++ b/crates/admission/src/state/endpoint/outlier_detection_state.rs
@@ -21,13 +21,13 @@
         self.correlated_failure = correlated;
     }
 
-    /// Counts a response that any gateway observed. The rate is smoothed over `span_s` seconds.
-    pub(crate) fn record_observed_response(&mut self, now_ms: f64, span_s: f64) {
-        self.response_rate.add(1.0, now_ms, span_s);
+    /// Counts a response that any gateway observed. The rate is smoothed over `time_constant_s` seconds.
+    pub(crate) fn record_observed_response(&mut self, now_ms: f64, time_constant_s: f64) {
+        self.response_rate.add(1.0, now_ms, time_constant_s);
     }
 
     /// Returns the rate of observed responses, per second.
-    pub(crate) fn observed_responses_per_second(&self, now_ms: f64, span_s: f64) -> f64 {
-        self.response_rate.per_second_at(now_ms, span_s)
+    pub(crate) fn observed_responses_per_second(&self, now_ms: f64, time_constant_s: f64) -> f64 {
+        self.response_rate.per_second_at(now_ms, time_constant_s)
     }
 }
--- a/crates/admission/src/state/fleet/fleet_means.rs
+++ b/crates/admission/src/state/fleet/fleet_means.rs
@@ -44,9 +44,9 @@
         self.received
     }
 
-    /// Counts a good response at this gateway, with the rate smoothed over `span_s`.
-    pub(crate) fn record_response(&mut self, now_ms: f64, span_s: f64) {
-        self.own_rate.add(1.0, now_ms, span_s);
+    /// Counts a good response at this gateway, with the rate smoothed over `time_constant_s`.
+    pub(crate) fn record_response(&mut self, now_ms: f64, time_constant_s: f64) {
+        self.own_rate.add(1.0, now_ms, time_constant_s);
     }
 
     /// Applies a peer's means, with one gain for the means passed on and one for those received.
@@ -61,14 +61,20 @@
     }
 
     /// Moves the means that are passed on towards this gateway's own values. `gain_per_second` sets how fast
-    /// they follow; the rate of responses is smoothed over `span_s`.
-    pub(crate) fn apply_own(&mut self, own_in_flight: f64, now_ms: f64, gain_per_second: f64, span_s: f64) {
+    /// they follow; the rate of responses is smoothed over `time_constant_s`.
+    pub(crate) fn apply_own(
+        &mut self,
+        own_in_flight: f64,
+        now_ms: f64,
+        gain_per_second: f64,
+        time_constant_s: f64,
+    ) {
         let seconds = self.since_own_applied_ms(now_ms).max(0.0) / 1000.0;
         self.own_applied_ms = now_ms;
         let gain = 1.0 - (-gain_per_second * seconds).exp();
         let own = GatewayMeans {
             in_flight: own_in_flight,
-            responses_per_second: self.own_rate.per_second_at(now_ms, span_s),
+            responses_per_second: self.own_rate.per_second_at(now_ms, time_constant_s),
         };
         self.passed_on.follow(own, gain);
     }
--- a/crates/admission/src/state/fleet/gossip_peers.rs
+++ b/crates/admission/src/state/fleet/gossip_peers.rs
@@ -60,20 +60,20 @@
         from: GatewayIndex,
         message: &GossipMessage,
         now_ms: f64,
-        span_s: f64,
+        time_constant_s: f64,
     ) {
         if let Some(peer) = self.peers.get_mut(&from) {
             peer.record_message();
         }
         if message.responses.is_empty() {
-            self.received_rate.add(1.0, now_ms, span_s);
+            self.received_rate.add(1.0, now_ms, time_constant_s);
         }
     }
 
     /// Returns the rate of received messages that carry quota requests or releases of other gateways, per
     /// second.
-    pub(crate) fn received_per_second(&self, now_ms: f64, span_s: f64) -> f64 {
-        self.received_rate.per_second_at(now_ms, span_s)
+    pub(crate) fn received_per_second(&self, now_ms: f64, time_constant_s: f64) -> f64 {
+        self.received_rate.per_second_at(now_ms, time_constant_s)
     }
 
     /// Adds message tokens, up to a limit.
--- a/crates/admission/src/state/quota/quota_grants.rs
+++ b/crates/admission/src/state/quota/quota_grants.rs
@@ -66,13 +66,13 @@
     }
 
     /// Adds requested units to the rate, including those of the requests that the sampled one stands for.
-    pub(crate) fn record_request(&mut self, units: f64, now_ms: f64, span_s: f64) {
-        self.requested_rate.add(units, now_ms, span_s);
+    pub(crate) fn record_request(&mut self, units: f64, now_ms: f64, time_constant_s: f64) {
+        self.requested_rate.add(units, now_ms, time_constant_s);
     }
 
     /// Grants a request and adds its units to the rate of granted units.
-    pub(crate) fn grant(&mut self, grant: Grant, units: f64, now_ms: f64, span_s: f64) {
-        self.granted_rate.add(units, now_ms, span_s);
+    pub(crate) fn grant(&mut self, grant: Grant, units: f64, now_ms: f64, time_constant_s: f64) {
+        self.granted_rate.add(units, now_ms, time_constant_s);
         self.granted.push(grant);
     }
 
@@ -98,12 +98,12 @@
     }
 
     /// Returns the units requested per second, as a divisor: never 0.
-    pub(crate) fn requested_per_second(&self, now_ms: f64, span_s: f64) -> f64 {
-        self.requested_rate.nonzero_per_second_at(now_ms, span_s)
+    pub(crate) fn requested_per_second(&self, now_ms: f64, time_constant_s: f64) -> f64 {
+        self.requested_rate.nonzero_per_second_at(now_ms, time_constant_s)
     }
 
     /// Returns the units granted per second.
-    pub(crate) fn granted_per_second(&self, now_ms: f64, span_s: f64) -> f64 {
-        self.granted_rate.per_second_at(now_ms, span_s)
+    pub(crate) fn granted_per_second(&self, now_ms: f64, time_constant_s: f64) -> f64 {
+        self.granted_rate.per_second_at(now_ms, time_constant_s)
     }
 }
