--- a/crates/admission/src/policy/admission/local_bucket.rs
+++ b/crates/admission/src/policy/admission/local_bucket.rs
@@ -1,5 +1,5 @@
 //! Checks a new request against its customer's token bucket at this gateway, in broadcast mode.
-use crate::policy::over_quota_use::pays_over_quota;
+use crate::policy::over_quota_use::over_quota_use_is_worthwhile;
 use crate::settings::PlanSettings;
 use crate::state::LocalBucketCheck;
 
@@ -32,7 +32,7 @@
     let has_ceiling_units = plan.ceiling_rate_per_second <= 0.0 || input.ceiling_tokens >= input.units;
     LocalBucketCheck {
         is_within_quota: plan.rate_per_second <= 0.0 || available_units >= input.units,
-        may_exceed: pays_over_quota(plan) && has_ceiling_units,
+        may_exceed: over_quota_use_is_worthwhile(plan) && has_ceiling_units,
         retry_after_ms: plan.refill_time_ms(input.units - available_units),
     }
 }
--- a/crates/admission/src/policy/quota_counter/count_decision.rs
+++ b/crates/admission/src/policy/quota_counter/count_decision.rs
@@ -1,6 +1,6 @@
 //! What a gateway decides on a request in counter mode, from the customer's count.
 use crate::policy::ample_quota::is_ample;
-use crate::policy::over_quota_use::pays_over_quota;
+use crate::policy::over_quota_use::over_quota_use_is_worthwhile;
 use crate::settings::PlanSettings;
 use crate::state::QuotaState;
 
@@ -17,7 +17,7 @@
 /// there is capacity. Under a hard ceiling it is not, because no gateway knows how much of the ceiling the
 /// others spent.
 pub(crate) fn decide_over_quota(plan: &PlanSettings) -> QuotaState {
-    let may_exceed = pays_over_quota(plan) && plan.ceiling_rate_per_second <= 0.0;
+    let may_exceed = over_quota_use_is_worthwhile(plan) && plan.ceiling_rate_per_second <= 0.0;
     QuotaState::OverQuota { may_exceed }
 }
 
--- a/crates/admission/src/policy/quota_owner/owner_verdict.rs
+++ b/crates/admission/src/policy/quota_owner/owner_verdict.rs
@@ -2,7 +2,7 @@
 //! lets a customer have in flight, up to `open_limit`.
 use crate::messages::quota_message::QuotaVerdict;
 use crate::policy::ample_quota::is_ample;
-use crate::policy::over_quota_use::pays_over_quota;
+use crate::policy::over_quota_use::over_quota_use_is_worthwhile;
 use crate::policy::retry::ATTEMPT_TIMEOUT_OBJECTIVES;
 use crate::settings::PlanSettings;
 
@@ -29,7 +29,11 @@
         return QuotaVerdict::OverQuota;
     }
     if plan.rate_per_second > 0.0 && owned.quota_tokens < units {
-        return if pays_over_quota(plan) { QuotaVerdict::OverQuotaAllowed } else { QuotaVerdict::OverQuota };
+        return if over_quota_use_is_worthwhile(plan) {
+            QuotaVerdict::OverQuotaAllowed
+        } else {
+            QuotaVerdict::OverQuota
+        };
     }
     if plan.concurrency_limit == 0 || has_free_slot(plan, owned.granted_requests) {
         return QuotaVerdict::Granted;
