--- a/crates/admission/src/coordination/observations.rs
+++ b/crates/admission/src/coordination/observations.rs
@@ -9,7 +9,7 @@
 use crate::policy::quota_owner::owner_sampling::RATE_TIME_CONSTANT_S;
 use crate::policy::response_time::{kind_sample, OBSERVED_RESPONSE_TIME_GAIN};
 use crate::policy::slow_start::has_warmed_up;
-use crate::state::{EjectionScope, PendingAttempt};
+use crate::state::{EjectionScope, InFlightAttemptWithClass};
 
 impl Gateway {
     /// Records what the end of an attempt of this gateway shows about its endpoint.
@@ -29,8 +29,8 @@
     /// Records a failed observation for each attempt of this gateway that has begun to take long since the
     /// last round of upkeep.
     pub(crate) fn report_long_attempts(&mut self) {
-        let turned_long = self.requests.pending_attempts().filter(|pending| self.turned_long(pending));
-        for PendingAttempt { endpoint, class, .. } in turned_long.collect::<Vec<_>>() {
+        let turned_long = self.requests.attempts_in_flight().filter(|attempt| self.turned_long(attempt));
+        for InFlightAttemptWithClass { endpoint, class, .. } in turned_long.collect::<Vec<_>>() {
             self.record_observation(endpoint, ObservationKind::Failed { class });
         }
     }
--- a/crates/admission/src/lifecycle/requests.rs
+++ b/crates/admission/src/lifecycle/requests.rs
@@ -58,14 +58,14 @@
     /// flight, once, and removes the request when all its attempts have ended.
     pub(crate) fn close(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(active) = self.requests.get_mut(id) else { return };
-        let pending: Vec<u32> = active.pending_attempts().map(|(number, _)| number).collect();
+        let in_flight: Vec<u32> = active.attempts_in_flight().map(|(number, _)| number).collect();
         let is_first_time = active.close();
         let key = active.customer_key;
         if self.settings.cancel_allowed && is_first_time {
-            actions.extend(pending.iter().map(|number| Action::Cancel { request: id, attempt: *number }));
+            actions.extend(in_flight.iter().map(|number| Action::Cancel { request: id, attempt: *number }));
         }
         self.queue.remove(key, id);
-        if pending.is_empty() {
+        if in_flight.is_empty() {
             if let Some(active) = self.requests.remove(id) {
                 self.settle_quota(&active, actions);
             }
--- a/crates/admission/src/lifecycle/retries.rs
+++ b/crates/admission/src/lifecycle/retries.rs
@@ -4,10 +4,10 @@
 use crate::id::{ClassIndex, RequestId};
 use crate::policy::retry;
 use crate::policy::retry::{
-    PendingAttemptInput, RetryDecision, RetryInput, RetryScope, RetryScopeInput, StalledAction,
+    InFlightAttemptInput, RetryDecision, RetryInput, RetryScope, RetryScopeInput, StalledAction,
     StalledActionInput,
 };
-use crate::state::{ActiveRequest, AttemptId, EjectionScope, FleetMode, PendingAttempt};
+use crate::state::{ActiveRequest, AttemptId, EjectionScope, FleetMode, InFlightAttemptWithClass};
 
 impl Gateway {
     /// Returns the endpoints at which a request may have another attempt, given its class and its earlier
@@ -71,7 +71,7 @@
             is_closed: active.is_closed(),
             attempts: active.attempt_count(),
             max_attempts: self.settings.max_attempts,
-            in_flight: active.pending_attempts().count(),
+            in_flight: active.attempts_in_flight().count(),
             idempotency: self.settings.class(active.request.class).idempotency,
             hedging_allowed: self.settings.hedging_allowed,
             cancel_allowed: self.settings.cancel_allowed,
@@ -96,19 +96,19 @@
 
     /// Returns this gateway's stalled attempts, in a large fleet.
     fn stalled_attempts(&self) -> Vec<AttemptId> {
-        let pending = self.requests.pending_attempts();
-        pending.filter(|attempt| self.is_stalled(attempt)).map(|attempt| attempt.attempt_id).collect()
+        let attempt = self.requests.attempts_in_flight();
+        attempt.filter(|attempt| self.is_stalled(attempt)).map(|attempt| attempt.attempt_id).collect()
     }
 
     /// Returns whether an attempt is stalled, in a large fleet. An attempt at an endpoint that is no longer
     /// known is not.
-    fn is_stalled(&self, pending: &PendingAttempt) -> bool {
-        let Some(endpoint) = self.endpoints.get(pending.endpoint) else { return false };
+    fn is_stalled(&self, attempt: &InFlightAttemptWithClass) -> bool {
+        let Some(endpoint) = self.endpoints.get(attempt.endpoint) else { return false };
         let now_ms = self.clock.now_ms();
-        let class_scope = EjectionScope::Class(pending.class);
-        retry::is_stalled(&PendingAttemptInput {
-            age_ms: now_ms - pending.sent_ms,
-            slow_after_ms: self.slow_after_ms(pending.class),
+        let class_scope = EjectionScope::Class(attempt.class);
+        retry::is_stalled(&InFlightAttemptInput {
+            age_ms: now_ms - attempt.sent_ms,
+            slow_after_ms: self.slow_after_ms(attempt.class),
             is_ejected_for_class: endpoint.observed_health.is_ejected(class_scope, now_ms),
             is_outlier: self.is_outlier(endpoint),
             is_unresponsive: self.is_unresponsive(endpoint),
@@ -116,10 +116,10 @@
     }
 
     /// Returns whether an attempt's age has exceeded `long_response_ms` since the last round of upkeep.
-    pub(crate) fn turned_long(&self, pending: &PendingAttempt) -> bool {
-        let age_ms = self.clock.now_ms() - pending.sent_ms;
-        self.endpoints.get(pending.endpoint).is_some()
-            && retry::has_become_slow(age_ms, self.slow_after_ms(pending.class))
+    pub(crate) fn turned_long(&self, attempt: &InFlightAttemptWithClass) -> bool {
+        let age_ms = self.clock.now_ms() - attempt.sent_ms;
+        self.endpoints.get(attempt.endpoint).is_some()
+            && retry::has_become_slow(age_ms, self.slow_after_ms(attempt.class))
     }
 
     /// Returns the age from which an attempt of a class counts as long, in milliseconds.
--- a/crates/admission/src/policy/retry/mod.rs
+++ b/crates/admission/src/policy/retry/mod.rs
@@ -16,4 +16,4 @@
 };
 pub(crate) use retry_scope::{retry_scope, RetryScope, RetryScopeInput};
 pub(crate) use stalled_action::{stalled_action, StalledAction, StalledActionInput};
-pub(crate) use stalled_attempt::{has_become_slow, is_stalled, slow_after_ms, PendingAttemptInput};
+pub(crate) use stalled_attempt::{has_become_slow, is_stalled, slow_after_ms, InFlightAttemptInput};
--- a/crates/admission/src/policy/retry/stalled_attempt.rs
+++ b/crates/admission/src/policy/retry/stalled_attempt.rs
@@ -14,7 +14,7 @@
 
 /// An attempt in flight, and what is known about its endpoint.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct PendingAttemptInput {
+pub(crate) struct InFlightAttemptInput {
     /// Time since the attempt was sent, in ms.
     pub age_ms: f64,
     /// Age from which attempts of the request's class are slow, in ms.
@@ -42,7 +42,7 @@
 /// Returns whether an attempt is stalled: at any age if its endpoint is an outlier or unresponsive, from the
 /// age at which it is slow if the endpoint is ejected for the class, and otherwise from `STALLED_FACTOR`
 /// times that age.
-pub(crate) fn is_stalled(input: &PendingAttemptInput) -> bool {
+pub(crate) fn is_stalled(input: &InFlightAttemptInput) -> bool {
     let factor = if input.is_ejected_for_class { 1.0 } else { STALLED_FACTOR };
     let limit_ms = input.slow_after_ms * factor;
     input.is_outlier || input.is_unresponsive || input.age_ms > limit_ms
--- a/crates/admission/src/state/mod.rs
+++ b/crates/admission/src/state/mod.rs
@@ -21,4 +21,6 @@
     CustomerTable, Grant, LocalBucketCheck, PeerCount, PendingQuotaRequests, QuotaDecision, QuotaExpectation,
     QuotaGrants, QuotaRoute, QuotaState, ReportedConsumption,
 };
-pub(crate) use request::{ActiveRequest, Attempt, AttemptId, PendingAttempt, RequestTable, RetryBudget};
+pub(crate) use request::{
+    ActiveRequest, Attempt, AttemptId, InFlightAttemptWithClass, RequestTable, RetryBudget,
+};
--- a/crates/admission/src/state/request/active_request.rs
+++ b/crates/admission/src/state/request/active_request.rs
@@ -1,7 +1,7 @@
 //! Active requests: those that have no final response yet or have an attempt in flight.
 use crate::event::Request;
 use crate::id::{CustomerKey, EndpointId, RequestId};
-use crate::state::{Attempt, AttemptId, Endpoint, PendingAttempt, QuotaState};
+use crate::state::{Attempt, AttemptId, Endpoint, InFlightAttemptWithClass, QuotaState};
 use std::collections::BTreeMap;
 
 /// A request from its receipt until it has its final response and all its attempts have ended.
@@ -103,13 +103,13 @@
     }
 
     /// Returns the attempts in flight, each with its number, oldest first.
-    pub(crate) fn pending_attempts(&self) -> impl Iterator<Item = (u32, &Attempt)> {
-        (0u32..).zip(&self.attempts).filter(|(_, attempt)| attempt.is_pending())
+    pub(crate) fn attempts_in_flight(&self) -> impl Iterator<Item = (u32, &Attempt)> {
+        (0u32..).zip(&self.attempts).filter(|(_, attempt)| attempt.is_in_flight())
     }
 
     /// Marks an attempt as ended. Returns `false` if no such attempt is in flight.
     pub(crate) fn end_attempt(&mut self, number: u32, may_have_run: bool) -> bool {
-        let attempt = self.attempts.get_mut(number as usize).filter(|attempt| attempt.is_pending());
+        let attempt = self.attempts.get_mut(number as usize).filter(|attempt| attempt.is_in_flight());
         let Some(attempt) = attempt else { return false };
         attempt.end(may_have_run);
         true
@@ -127,7 +127,7 @@
 
     /// Returns whether an attempt is in flight.
     pub(crate) fn has_attempt_in_flight(&self) -> bool {
-        self.pending_attempts().next().is_some()
+        self.attempts_in_flight().next().is_some()
     }
 }
 
@@ -174,9 +174,9 @@
     }
 
     /// Returns all attempts in flight, request by request.
-    pub(crate) fn pending_attempts(&self) -> impl Iterator<Item = PendingAttempt> + '_ {
+    pub(crate) fn attempts_in_flight(&self) -> impl Iterator<Item = InFlightAttemptWithClass> + '_ {
         self.iter().flat_map(|active| {
-            active.pending_attempts().map(|(number, attempt)| PendingAttempt {
+            active.attempts_in_flight().map(|(number, attempt)| InFlightAttemptWithClass {
                 attempt_id: AttemptId { request: active.request.id, attempt: number },
                 class: active.request.class,
                 endpoint: attempt.endpoint,
--- a/crates/admission/src/state/request/attempt_record.rs
+++ b/crates/admission/src/state/request/attempt_record.rs
@@ -20,7 +20,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum AttemptState {
     /// The attempt is in flight.
-    Pending,
+    InFlight,
     /// The attempt has ended, and the endpoint may have run the request.
     MayHaveRun,
     /// The attempt has ended, and the endpoint did not run the request.
@@ -35,13 +35,13 @@
             sent_ms: now_ms,
             zone: endpoint.zone(),
             cell: endpoint.cell(),
-            state: AttemptState::Pending,
+            state: AttemptState::InFlight,
         }
     }
 
     /// Returns whether the attempt is in flight.
-    pub(crate) fn is_pending(&self) -> bool {
-        self.state == AttemptState::Pending
+    pub(crate) fn is_in_flight(&self) -> bool {
+        self.state == AttemptState::InFlight
     }
 
     /// Marks the attempt as ended. `may_have_run` says whether the endpoint may have run the request or may
@@ -77,7 +77,7 @@
 
 /// An attempt in flight, with the class of its request.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct PendingAttempt {
+pub(crate) struct InFlightAttemptWithClass {
     /// The attempt's identifier.
     pub(crate) attempt_id: AttemptId,
     /// The class of the request.
--- a/crates/admission/src/state/request/mod.rs
+++ b/crates/admission/src/state/request/mod.rs
@@ -4,5 +4,5 @@
 mod retry_budget;
 
 pub(crate) use active_request::{ActiveRequest, RequestTable};
-pub(crate) use attempt_record::{Attempt, AttemptId, PendingAttempt};
+pub(crate) use attempt_record::{Attempt, AttemptId, InFlightAttemptWithClass};
 pub(crate) use retry_budget::RetryBudget;
--- a/crates/admission/src/tests/endpoint_rules/retry_rules.rs
+++ b/crates/admission/src/tests/endpoint_rules/retry_rules.rs
@@ -4,7 +4,7 @@
 use crate::id::{EndpointId, MachineKindIndex, ZoneIndex};
 use crate::policy::retry::{
     after_attempt, decide_retry, earned_retry_tokens, has_become_slow, is_stalled, may_have_run, retry_scope,
-    slow_after_ms, stalled_action, AfterAttempt, AfterAttemptInput, PendingAttemptInput, RetryDecision,
+    slow_after_ms, stalled_action, AfterAttempt, AfterAttemptInput, InFlightAttemptInput, RetryDecision,
     RetryInput, RetryScope, RetryScopeInput, StalledAction, StalledActionInput,
 };
 use crate::settings::{DedupGroup, Idempotency};
@@ -138,7 +138,7 @@
     for (age_ms, expected) in [(250.0, false), (251.0, true), (269.0, true), (270.0, false)] {
         assert_eq!(has_become_slow(age_ms, 250.0), expected, "{age_ms} ms; a round of upkeep every 20 ms");
     }
-    let young = PendingAttemptInput {
+    let young = InFlightAttemptInput {
         age_ms: 399.0,
         slow_after_ms: 250.0,
         is_ejected_for_class: false,
@@ -147,11 +147,11 @@
     };
     let rows = [
         (young, false),
-        (PendingAttemptInput { age_ms: 401.0, ..young }, true),
-        (PendingAttemptInput { is_ejected_for_class: true, ..young }, true),
-        (PendingAttemptInput { is_ejected_for_class: true, age_ms: 250.0, ..young }, false),
-        (PendingAttemptInput { is_outlier: true, ..young }, true),
-        (PendingAttemptInput { is_unresponsive: true, ..young }, true),
+        (InFlightAttemptInput { age_ms: 401.0, ..young }, true),
+        (InFlightAttemptInput { is_ejected_for_class: true, ..young }, true),
+        (InFlightAttemptInput { is_ejected_for_class: true, age_ms: 250.0, ..young }, false),
+        (InFlightAttemptInput { is_outlier: true, ..young }, true),
+        (InFlightAttemptInput { is_unresponsive: true, ..young }, true),
     ];
     for (input, expected) in rows {
         assert_eq!(is_stalled(&input), expected, "{input:?}");
