--- a/crates/admission/src/coordination/counter_calls.rs
+++ b/crates/admission/src/coordination/counter_calls.rs
@@ -50,7 +50,7 @@
             self.call_or_admit(key, id, units, is_client_retry)
         };
         if let Some(active) = self.requests.get_mut(id) {
-            active.set_quota(quota);
+            active.set_quota_state(quota);
         }
         self.call_counter(key, actions);
     }
@@ -211,8 +211,8 @@
         let active = self.requests.get_mut(request.id).filter(|active| active.awaits_counter());
         let is_admitted = match active {
             Some(active) => {
-                active.set_quota(decide_by_count(self.settings.plan(plan), request.units, tokens));
-                active.quota().is_within_quota()
+                active.set_quota_state(decide_by_count(self.settings.plan(plan), request.units, tokens));
+                active.quota_state().is_within_quota()
             }
             None => false,
         };
@@ -231,7 +231,7 @@
         let correction_units = if unsent {
             -self.refund_units(active.request.units)
         } else {
-            settlement_units(active.quota(), active.excess_units())
+            settlement_units(active.quota_state(), active.excess_units())
         };
         let Some(customer) = self.customers.get_mut(active.customer_key) else { return };
         customer.counter.correct(correction_units);
--- a/crates/admission/src/coordination/quota_requests.rs
+++ b/crates/admission/src/coordination/quota_requests.rs
@@ -37,7 +37,7 @@
             Coordination::Counter(_) => self.check_quota_at_counter(id, actions),
             Coordination::Broadcast(_) | Coordination::Isolated => {
                 let Some(active) = self.requests.get_mut(id) else { return };
-                active.set_quota(QuotaState::LocalBucket { within_quota: true });
+                active.set_quota_state(QuotaState::LocalBucket { within_quota: true });
                 let (key, plan) = (active.customer_key, active.request.plan);
                 let gateways = GatewaySet::of_request(&active.request, self.settings.gateways);
                 self.customer_entry(key, plan, gateways);
@@ -52,7 +52,7 @@
         let now_ms = self.clock.now_ms();
         let this_gateway = self.settings.this_gateway;
         let wait_budget = WaitBudget::from_ms(self.grant_useful_until_ms(active) - now_ms);
-        let (key, previous) = (active.customer_key, active.quota());
+        let (key, previous) = (active.customer_key, active.quota_state());
         let (plan, units) = (active.request.plan, active.request.units);
         let gateways = GatewaySet::of_request(&active.request, self.settings.gateways);
         let customer = self.customer_entry(key, plan, gateways);
@@ -102,7 +102,7 @@
         }
         let number = request.number;
         let sent_ms = self.clock.now_ms();
-        active.set_quota(QuotaState::AwaitingOwner { owner, number, sent_ms, retries });
+        active.set_quota_state(QuotaState::AwaitingOwner { owner, number, sent_ms, retries });
         gossip.requests.insert(number, id);
         self.send_gossip(owner, GossipMessage::request(request), actions);
     }
@@ -111,7 +111,7 @@
     pub(crate) fn decide_without_owner(&mut self, id: RequestId, expectation: QuotaExpectation) {
         let band_is_ungated = self.band_is_ungated();
         let Some(active) = self.requests.get_mut(id) else { return };
-        active.set_quota(decide_without_owner(FallbackInput {
+        active.set_quota_state(decide_without_owner(FallbackInput {
             expectation,
             band_is_ungated,
             ceiling_rate_per_second: self.settings.plan(active.request.plan).ceiling_rate_per_second,
@@ -150,7 +150,7 @@
         let wait_ms = response_wait_ms(self.settings.shortest_objective_ms());
         let missed = gossip.requests.waiting().filter_map(|id| {
             let active = self.requests.get(id)?;
-            let QuotaState::AwaitingOwner { owner, sent_ms, retries, .. } = active.quota() else {
+            let QuotaState::AwaitingOwner { owner, sent_ms, retries, .. } = active.quota_state() else {
                 return None;
             };
             (self.clock.now_ms() - sent_ms > wait_ms).then_some(MissedResponse { id, owner, retries })
@@ -164,10 +164,10 @@
         let Some(gossip) = self.coordination.gossip_mut() else { return };
         let Some(id) = gossip.requests.get(number) else { return };
         let Some(active) = self.requests.get_mut(id) else { return gossip.requests.remove(number) };
-        if !active.quota().awaits_response(from, number) {
+        if !active.quota_state().awaits_response(from, number) {
             return;
         }
-        active.set_quota(QuotaState::after_verdict(response.verdict, from, number));
+        active.set_quota_state(QuotaState::after_verdict(response.verdict, from, number));
         if response.verdict != QuotaVerdict::Queued {
             gossip.requests.remove(number);
         }
--- a/crates/admission/src/lifecycle/attempts.rs
+++ b/crates/admission/src/lifecycle/attempts.rs
@@ -53,7 +53,7 @@
         let Some(customer) = self.customers.get_mut(key) else { return };
         let plan = self.settings.plan(active.request.plan);
         let usage = usage_at_attempt_start(&AttemptStartInput {
-            quota: active.quota(),
+            quota: active.quota_state(),
             is_first: active.attempt_count() == 1,
             has_quota: plan.rate_per_second > 0.0,
             has_concurrency_limit: plan.concurrency_limit > 0,
@@ -106,7 +106,7 @@
         let Some(active) = self.requests.get_mut(end.request) else { return };
         let plan = self.settings.plan(active.request.plan);
         let usage = usage_at_attempt_end(&AttemptEndInput {
-            quota: active.quota(),
+            quota: active.quota_state(),
             has_quota: plan.rate_per_second > 0.0,
             has_concurrency_limit: plan.concurrency_limit > 0,
             estimated_units: active.request.units,
--- a/crates/admission/src/lifecycle/queue_dispatch.rs
+++ b/crates/admission/src/lifecycle/queue_dispatch.rs
@@ -69,14 +69,14 @@
     /// Returns whether a request that is over its quota may still be sent.
     pub(crate) fn may_send_over_quota(&self, id: RequestId) -> bool {
         let Some(active) = self.requests.get(id) else { return false };
-        may_send_over_quota(active.quota().may_exceed_quota(), || self.band_position(id))
+        may_send_over_quota(active.quota_state().may_exceed_quota(), || self.band_position(id))
     }
 
     /// Decides whether quota, concurrency limit and ceiling permit a request to be sent now. If units of the
     /// ceiling are short, schedules a request to peers for some.
     pub(crate) fn quota_decision(&mut self, id: RequestId) -> QuotaDecision {
         let Some(active) = self.requests.get(id) else { return QuotaDecision::OverQuota };
-        if let Some(decision) = active.quota().decision() {
+        if let Some(decision) = active.quota_state().decision() {
             return decision;
         }
         let key = active.customer_key;
@@ -98,7 +98,7 @@
         Some(check_customer_limits(&LimitInput {
             plan,
             units: active.request.units,
-            local_bucket_decides: active.quota().is_local_bucket(),
+            local_bucket_decides: active.quota_state().is_local_bucket(),
             quota_tokens: customer.quota_tokens(),
             ceiling_tokens: customer.ceiling_tokens(),
             slots: (plan.concurrency_limit > 0).then(|| self.slot_use(active, customer)),
--- a/crates/admission/src/lifecycle/request_admission.rs
+++ b/crates/admission/src/lifecycle/request_admission.rs
@@ -111,7 +111,9 @@
                 self.clock.since_start_ms(),
             ),
         });
-        self.requests.get_mut(id)?.set_quota(QuotaState::LocalBucket { within_quota: check.is_within_quota });
+        self.requests
+            .get_mut(id)?
+            .set_quota_state(QuotaState::LocalBucket { within_quota: check.is_within_quota });
         Some(check)
     }
 }
--- a/crates/admission/src/lifecycle/requests.rs
+++ b/crates/admission/src/lifecycle/requests.rs
@@ -75,7 +75,7 @@
     /// Settles the quota of an ended request with the owner or the counter that counts it.
     fn settle_quota(&mut self, active: &ActiveRequest, actions: &mut Vec<Action>) {
         let ended = EndedRequest {
-            quota: active.quota(),
+            quota: active.quota_state(),
             is_unsent: active.is_unsent(),
             units: active.request.units,
             excess_units: active.excess_units(),
--- a/crates/admission/src/state/request/active_request.rs
+++ b/crates/admission/src/state/request/active_request.rs
@@ -20,7 +20,7 @@
     /// Whether the request has its final response or its client has disconnected.
     closed: bool,
     /// State of the request's quota check.
-    quota: QuotaState,
+    quota_state: QuotaState,
     /// Units by which the attempts' true units exceed the estimate, if another gateway or the counter counts
     /// the quota.
     excess_units: f64,
@@ -30,7 +30,7 @@
     /// Returns whether the request still awaits a response of the quota counter. It no longer does once its
     /// client has disconnected or its time is over.
     pub(crate) fn awaits_counter(&self) -> bool {
-        !self.closed && self.quota == QuotaState::AwaitingCounter
+        !self.closed && self.quota_state == QuotaState::AwaitingCounter
     }
 
     /// Creates the record of a request that is received now and whose latency objective is reached after
@@ -42,20 +42,20 @@
             deadline_at_ms: now_ms + request.time_left_ms,
             attempts: Vec::new(),
             closed: false,
-            quota: QuotaState::LocalBucket { within_quota: false },
+            quota_state: QuotaState::LocalBucket { within_quota: false },
             excess_units: 0.0,
             request,
         }
     }
 
     /// Returns the state of the request's quota check.
-    pub(crate) fn quota(&self) -> QuotaState {
-        self.quota
+    pub(crate) fn quota_state(&self) -> QuotaState {
+        self.quota_state
     }
 
     /// Sets the state of the request's quota check.
-    pub(crate) fn set_quota(&mut self, quota: QuotaState) {
-        self.quota = quota;
+    pub(crate) fn set_quota_state(&mut self, quota_state: QuotaState) {
+        self.quota_state = quota_state;
     }
 
     /// Adds the units by which an ended attempt's true units exceed the estimate, to be settled with the
