--- a/crates/admission/src/coordination/quota_ownership.rs
+++ b/crates/admission/src/coordination/quota_ownership.rs
@@ -180,7 +180,7 @@
             customer.grants.enqueue(Grant { gateway, number, expires_ms: request.waits_until_ms });
         }
         QuotaVerdict::OverQuotaAllowed => customer.consume_ceiling(units),
-        QuotaVerdict::OverQuota => {}
+        QuotaVerdict::Refused => {}
     }
     verdict
 }
--- a/crates/admission/src/messages/quota_message.rs
+++ b/crates/admission/src/messages/quota_message.rs
@@ -61,7 +61,7 @@
     /// The request is over the quota, but its plan and the ceiling allow it while there is capacity.
     OverQuotaAllowed,
     /// The request is over the quota or the ceiling, or too many requests wait for a slot already.
-    OverQuota,
+    Refused,
 }
 
 impl QuotaVerdict {
@@ -70,7 +70,7 @@
         match self {
             QuotaVerdict::Granted => 0,
             QuotaVerdict::Queued => 1,
-            QuotaVerdict::OverQuota => 2,
+            QuotaVerdict::Refused => 2,
             QuotaVerdict::OverQuotaAllowed => 3,
             QuotaVerdict::GrantedAmple => 4,
         }
@@ -83,7 +83,7 @@
             1 => QuotaVerdict::Queued,
             3 => QuotaVerdict::OverQuotaAllowed,
             4 => QuotaVerdict::GrantedAmple,
-            _ => QuotaVerdict::OverQuota,
+            _ => QuotaVerdict::Refused,
         }
     }
 }
--- a/crates/admission/src/policy/quota_owner/owner_verdict.rs
+++ b/crates/admission/src/policy/quota_owner/owner_verdict.rs
@@ -26,13 +26,13 @@
 /// slots.
 pub(crate) fn decide_quota_request(plan: &PlanSettings, owned: OwnedQuota, units: f64) -> QuotaVerdict {
     if plan.ceiling_rate_per_second > 0.0 && owned.ceiling_tokens < units {
-        return QuotaVerdict::OverQuota;
+        return QuotaVerdict::Refused;
     }
     if plan.rate_per_second > 0.0 && owned.quota_tokens < units {
         return if over_quota_use_is_worthwhile(plan) {
             QuotaVerdict::OverQuotaAllowed
         } else {
-            QuotaVerdict::OverQuota
+            QuotaVerdict::Refused
         };
     }
     if plan.concurrency_limit == 0 || has_free_slot(plan, owned.granted_requests) {
@@ -41,7 +41,7 @@
     if owned.waiting_requests < MAX_WAITING_PER_SLOT * plan.concurrency_limit as usize {
         QuotaVerdict::Queued
     } else {
-        QuotaVerdict::OverQuota
+        QuotaVerdict::Refused
     }
 }
 
--- a/crates/admission/src/state/quota/quota_state.rs
+++ b/crates/admission/src/state/quota/quota_state.rs
@@ -40,7 +40,7 @@
             QuotaVerdict::GrantedAmple => QuotaState::GrantedByOwner { owner, number, ample: true },
             QuotaVerdict::Queued => QuotaState::QueuedAtOwner { owner, number },
             QuotaVerdict::OverQuotaAllowed => QuotaState::OverQuota { may_exceed: true },
-            QuotaVerdict::OverQuota => QuotaState::OverQuota { may_exceed: false },
+            QuotaVerdict::Refused => QuotaState::OverQuota { may_exceed: false },
         }
     }
 
--- a/crates/admission/src/tests/quota_rules/owner_rules.rs
+++ b/crates/admission/src/tests/quota_rules/owner_rules.rs
@@ -30,16 +30,16 @@
     // units.
     let cases = [
         (&quota, 2.0, 0.0, 9, 9, QuotaVerdict::Granted),
-        (&quota, 1.9, 0.0, 0, 0, QuotaVerdict::OverQuota),
+        (&quota, 1.9, 0.0, 0, 0, QuotaVerdict::Refused),
         (&paying_plan(10.0, 40.0), 1.9, 0.0, 0, 0, QuotaVerdict::OverQuotaAllowed),
         (&ceiling, 2.0, 2.0, 0, 0, QuotaVerdict::Granted),
-        (&ceiling, 2.0, 1.9, 0, 0, QuotaVerdict::OverQuota),
-        (&ceiling, 1.9, 1.9, 0, 0, QuotaVerdict::OverQuota),
+        (&ceiling, 2.0, 1.9, 0, 0, QuotaVerdict::Refused),
+        (&ceiling, 1.9, 1.9, 0, 0, QuotaVerdict::Refused),
         (&slots, 0.0, 0.0, 2, 0, QuotaVerdict::Granted),
         (&slots, 0.0, 0.0, 3, 0, QuotaVerdict::Queued),
         // Four requests may wait for each of the three slots.
         (&slots, 0.0, 0.0, 3, 11, QuotaVerdict::Queued),
-        (&slots, 0.0, 0.0, 3, 12, QuotaVerdict::OverQuota),
+        (&slots, 0.0, 0.0, 3, 12, QuotaVerdict::Refused),
     ];
     for (plan, quota_tokens, ceiling_tokens, granted_requests, waiting_requests, expected) in cases {
         let owned = OwnedQuota { quota_tokens, ceiling_tokens, granted_requests, waiting_requests };
