--- a/crates/admission/src/coordination/quota_ownership.rs
+++ b/crates/admission/src/coordination/quota_ownership.rs
@@ -14,7 +14,7 @@
 };
 use crate::policy::quota_owner::unit_bounds::{bounded_release_units, bounded_request_units};
 use crate::settings::PlanSettings;
-use crate::state::{Customer, GatewaySet, Grant};
+use crate::state::{Customer, GatewaySet, QuotaRequestRecord};
 
 /// A quota request as the owner handles it: its units bounded, and its times on this gateway's clock.
 #[derive(Debug, Clone, Copy)]
@@ -123,7 +123,7 @@
             let units = release.additional_units.units();
             customer.settle_grant(plan, bounded_release_units(units, self.settings.max_units));
         }
-        if has_free_slot(plan, customer.grants.active()) {
+        if has_free_slot(plan, customer.grants.granted_count()) {
             self.grant_next_waiting(CustomerKey(release.customer), actions);
         }
     }
@@ -134,7 +134,7 @@
         let lifetime_ms = self.grant_lifetime_ms();
         let Some(customer) = self.customers.get_mut(key) else { return };
         let Some(waiting) = customer.grants.next_waiting(now_ms) else { return };
-        let grant = Grant { expires_ms: waiting.expires_ms + lifetime_ms, ..waiting };
+        let grant = QuotaRequestRecord { expires_ms: waiting.expires_ms + lifetime_ms, ..waiting };
         customer.grants.grant(grant, SLOT_GRANT_UNITS, now_ms, RATE_TIME_CONSTANT_S);
         let response = QuotaResponse {
             number: grant.number,
@@ -159,25 +159,29 @@
     if customer.grants.is_granted(gateway, number) {
         return QuotaVerdict::Granted;
     }
-    customer.grants.record_request(request.represented_units, now_ms, RATE_TIME_CONSTANT_S);
+    customer.grants.record_demand(request.represented_units, now_ms, RATE_TIME_CONSTANT_S);
     if customer.grants.is_waiting(gateway, number) {
         return QuotaVerdict::Queued;
     }
     let owned = OwnedQuota {
         quota_tokens: customer.quota_tokens(),
         ceiling_tokens: customer.ceiling_tokens(),
-        granted_requests: customer.grants.active(),
-        waiting_requests: customer.grants.waiting(),
+        granted_requests: customer.grants.granted_count(),
+        waiting_requests: customer.grants.waiting_count(),
     };
     let verdict = decide_quota_request(plan, owned, units);
     match verdict {
         QuotaVerdict::Granted | QuotaVerdict::GrantedAmple => {
-            let grant = Grant { gateway, number, expires_ms: request.expires_ms };
+            let grant = QuotaRequestRecord { gateway, number, expires_ms: request.expires_ms };
             customer.charge_grant(plan, units);
             customer.grants.grant(grant, units, now_ms, RATE_TIME_CONSTANT_S);
         }
         QuotaVerdict::Queued => {
-            customer.grants.enqueue(Grant { gateway, number, expires_ms: request.waits_until_ms });
+            customer.grants.enqueue(QuotaRequestRecord {
+                gateway,
+                number,
+                expires_ms: request.waits_until_ms,
+            });
         }
         QuotaVerdict::OverQuotaAllowed => customer.consume_ceiling(units),
         QuotaVerdict::Refused => {}
--- a/crates/admission/src/state/mod.rs
+++ b/crates/admission/src/state/mod.rs
@@ -18,8 +18,8 @@
 };
 pub(crate) use quota::{
     CatchUp, CountedRequest, CounterCall, CounterCallQueue, CounterCalls, CounterEpoch, Customer,
-    CustomerTable, Grant, LocalBucketCheck, PeerCount, PendingQuotaRequests, QuotaDecision, QuotaExpectation,
-    QuotaGrants, QuotaRoute, QuotaState, ReportedConsumption,
+    CustomerTable, LocalBucketCheck, PeerCount, PendingQuotaRequests, QuotaDecision, QuotaExpectation,
+    QuotaGrants, QuotaRequestRecord, QuotaRoute, QuotaState, ReportedConsumption,
 };
 pub(crate) use request::{
     ActiveRequest, Attempt, AttemptId, InFlightAttemptWithClass, RequestTable, RetryBudget,
--- a/crates/admission/src/state/quota/mod.rs
+++ b/crates/admission/src/state/quota/mod.rs
@@ -16,5 +16,5 @@
 pub(crate) use customer_reports::{PeerCount, ReportedConsumption};
 pub(crate) use customer_table::CustomerTable;
 pub(crate) use pending_quota_requests::{PendingQuotaRequests, QuotaExpectation, QuotaRoute};
-pub(crate) use quota_grants::{Grant, QuotaGrants};
+pub(crate) use quota_grants::{QuotaGrants, QuotaRequestRecord};
 pub(crate) use quota_state::{LocalBucketCheck, QuotaDecision, QuotaState};
--- a/crates/admission/src/state/quota/quota_grants.rs
+++ b/crates/admission/src/state/quota/quota_grants.rs
@@ -7,7 +7,7 @@
 /// A quota request that the owner has granted, or has queued to grant it later. The sender and its number
 /// identify it.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(crate) struct Grant {
+pub(crate) struct QuotaRequestRecord {
     /// Gateway that sent the quota request.
     pub(crate) gateway: GatewayIndex,
     /// Number of the quota request at its sender.
@@ -16,7 +16,7 @@
     pub(crate) expires_ms: f64,
 }
 
-impl Grant {
+impl QuotaRequestRecord {
     /// Returns whether this is the quota request with this number from this gateway.
     fn is_for(&self, gateway: GatewayIndex, number: QuotaRequestNumber) -> bool {
         self.gateway == gateway && self.number == number
@@ -29,9 +29,9 @@
 pub(crate) struct QuotaGrants {
     /// Granted requests that have not ended. A repeated quota request for one of them is granted again at no
     /// cost.
-    granted: Vec<Grant>,
+    granted: Vec<QuotaRequestRecord>,
     /// Requests that wait for a slot, oldest first.
-    waiting: VecDeque<Grant>,
+    waiting: VecDeque<QuotaRequestRecord>,
     /// Units requested per second, smoothed.
     requested_rate: DecayingRate,
     /// Units granted per second, smoothed.
@@ -41,50 +41,56 @@
 impl QuotaGrants {
     /// Removes the requests that have expired: their release was lost, or they waited too long.
     pub(crate) fn expire(&mut self, now_ms: f64) {
-        self.granted.retain(|g| g.expires_ms > now_ms);
-        self.waiting.retain(|g| g.expires_ms > now_ms);
+        self.granted.retain(|record| record.expires_ms > now_ms);
+        self.waiting.retain(|record| record.expires_ms > now_ms);
     }
 
     /// Returns whether a quota request has been granted and has not ended.
     pub(crate) fn is_granted(&self, gateway: GatewayIndex, number: QuotaRequestNumber) -> bool {
-        self.granted.iter().any(|g| g.is_for(gateway, number))
+        self.granted.iter().any(|record| record.is_for(gateway, number))
     }
 
     /// Returns whether a quota request waits for a slot.
     pub(crate) fn is_waiting(&self, gateway: GatewayIndex, number: QuotaRequestNumber) -> bool {
-        self.waiting.iter().any(|g| g.is_for(gateway, number))
+        self.waiting.iter().any(|record| record.is_for(gateway, number))
     }
 
     /// Returns the number of granted requests that have not ended.
-    pub(crate) fn active(&self) -> usize {
+    pub(crate) fn granted_count(&self) -> usize {
         self.granted.len()
     }
 
     /// Returns the number of requests that wait for a slot.
-    pub(crate) fn waiting(&self) -> usize {
+    pub(crate) fn waiting_count(&self) -> usize {
         self.waiting.len()
     }
 
     /// Adds requested units to the rate, including those of the requests that the sampled one stands for.
-    pub(crate) fn record_request(&mut self, units: f64, now_ms: f64, time_constant_s: f64) {
+    pub(crate) fn record_demand(&mut self, units: f64, now_ms: f64, time_constant_s: f64) {
         self.requested_rate.add(units, now_ms, time_constant_s);
     }
 
     /// Grants a request and adds its units to the rate of granted units.
-    pub(crate) fn grant(&mut self, grant: Grant, units: f64, now_ms: f64, time_constant_s: f64) {
+    pub(crate) fn grant(
+        &mut self,
+        record: QuotaRequestRecord,
+        units: f64,
+        now_ms: f64,
+        time_constant_s: f64,
+    ) {
         self.granted_rate.add(units, now_ms, time_constant_s);
-        self.granted.push(grant);
+        self.granted.push(record);
     }
 
     /// Queues a request until a slot is free.
-    pub(crate) fn enqueue(&mut self, grant: Grant) {
-        self.waiting.push_back(grant);
+    pub(crate) fn enqueue(&mut self, record: QuotaRequestRecord) {
+        self.waiting.push_back(record);
     }
 
     /// Removes a request that has ended or is no longer wanted, and returns whether it had been granted.
     pub(crate) fn release(&mut self, gateway: GatewayIndex, number: QuotaRequestNumber) -> bool {
-        self.waiting.retain(|g| !g.is_for(gateway, number));
-        let Some(position) = self.granted.iter().position(|g| g.is_for(gateway, number)) else {
+        self.waiting.retain(|record| !record.is_for(gateway, number));
+        let Some(position) = self.granted.iter().position(|record| record.is_for(gateway, number)) else {
             return false;
         };
         self.granted.swap_remove(position);
@@ -92,8 +98,8 @@
     }
 
     /// Removes and returns the request that has waited longest and has not expired.
-    pub(crate) fn next_waiting(&mut self, now_ms: f64) -> Option<Grant> {
-        self.waiting.retain(|g| g.expires_ms > now_ms);
+    pub(crate) fn next_waiting(&mut self, now_ms: f64) -> Option<QuotaRequestRecord> {
+        self.waiting.retain(|record| record.expires_ms > now_ms);
         self.waiting.pop_front()
     }
 
