--- a/crates/admission/src/policy/peer_messages/message_capacity.rs
+++ b/crates/admission/src/policy/peer_messages/message_capacity.rs
@@ -12,6 +12,6 @@
 
 /// Returns the messages per second that all peers of a gateway together may send it. `accepted_per_second` is
 /// the number that it accepts.
-pub(crate) fn peer_messages_per_second(accepted_per_second: f64) -> f64 {
+pub(crate) fn planned_messages_per_second(accepted_per_second: f64) -> f64 {
     PEER_MESSAGE_FRACTION * accepted_per_second
 }
--- a/crates/admission/src/policy/peer_messages/quota_message_budget.rs
+++ b/crates/admission/src/policy/peer_messages/quota_message_budget.rs
@@ -1,5 +1,5 @@
 //! Gossip mode: how many quota requests a gateway may send. Each costs a message token.
-use crate::policy::peer_messages::message_capacity::peer_messages_per_second;
+use crate::policy::peer_messages::message_capacity::planned_messages_per_second;
 
 /// Fraction of the messages accepted by a gateway that its peers' quota requests and releases and the
 /// responses to its own quota requests may use together.
@@ -22,5 +22,5 @@
 /// Returns the number of message tokens that a gateway may save up: the number of messages that all its peers
 /// may send it in a second.
 pub(crate) fn max_message_tokens(accepted_per_second: f64) -> f64 {
-    peer_messages_per_second(accepted_per_second)
+    planned_messages_per_second(accepted_per_second)
 }
--- a/crates/admission/src/policy/peer_messages/report_schedule.rs
+++ b/crates/admission/src/policy/peer_messages/report_schedule.rs
@@ -1,5 +1,5 @@
 //! Broadcast mode: how often a gateway sends its counts to each peer.
-use crate::policy::peer_messages::message_capacity::peer_messages_per_second;
+use crate::policy::peer_messages::message_capacity::planned_messages_per_second;
 
 /// Shortest time between two rounds of reports, in ms.
 const MIN_REPORT_INTERVAL_MS: f64 = 40.0;
@@ -33,14 +33,14 @@
 /// Returns whether a fleet of `gateways` is small enough for each gateway to report to every other one within
 /// the longest report interval. `accepted_per_second` is the number of messages that a gateway accepts.
 pub(crate) fn broadcast_reaches_all(gateways: usize, accepted_per_second: f64) -> bool {
-    let reports = peer_messages_per_second(accepted_per_second) * MAX_REPORT_INTERVAL_MS / 1000.0;
+    let reports = planned_messages_per_second(accepted_per_second) * MAX_REPORT_INTERVAL_MS / 1000.0;
     gateways as f64 - 1.0 <= reports
 }
 
 /// Returns the reports per second that a gateway may send to one peer, so that all gateways together stay
 /// within what the peer accepts. `gateways` is the size of the fleet.
 pub(crate) fn reports_per_second(gateways: usize, accepted_per_second: f64) -> f64 {
-    peer_messages_per_second(accepted_per_second) / (gateways - 1) as f64
+    planned_messages_per_second(accepted_per_second) / (gateways - 1) as f64
 }
 
 /// Returns the report credit that a gateway may save up for one peer: the reports of a second, but at least
@@ -53,7 +53,7 @@
 /// `gateways` is the size of the fleet.
 pub(crate) fn report_interval_ms(gateways: usize, accepted_per_second: f64) -> f64 {
     let peers = gateways.saturating_sub(1) as f64;
-    let per_second = peer_messages_per_second(accepted_per_second).max(MIN_MESSAGES_PER_SECOND);
+    let per_second = planned_messages_per_second(accepted_per_second).max(MIN_MESSAGES_PER_SECOND);
     (1000.0 * peers / per_second).max(MIN_REPORT_INTERVAL_MS)
 }
 
