--- a/crates/admission/src/lifecycle/band_control.rs
+++ b/crates/admission/src/lifecycle/band_control.rs
@@ -65,7 +65,7 @@
     }
 
     /// Returns the band of a large fleet, computed from means over the fleet.
-    fn gossip_band(&self) -> LargeFleetBand {
+    fn large_fleet_band(&self) -> LargeFleetBand {
         LargeFleetBand {
             mean_in_flight: self.fleet_means.received().in_flight,
             gateways: self.settings.gateways,
@@ -77,7 +77,7 @@
     /// Returns whether so few attempts are in flight in a large fleet that requests are sent without dispatch
     /// credit.
     pub(crate) fn band_is_ungated(&self) -> bool {
-        self.gossip_band().is_below_credit_threshold()
+        self.large_fleet_band().is_below_credit_threshold()
     }
 
     /// Returns where a request stands relative to the band's bounds, which decides whether it may be sent.
@@ -85,7 +85,7 @@
         match self.coordination.fleet_mode() {
             FleetMode::Broadcast => position_in_broadcast_mode(&self.reported_band()),
             FleetMode::LargeFleet => position_in_large_fleet(
-                &self.gossip_band(),
+                &self.large_fleet_band(),
                 self.band.dispatch_credit(),
                 self.credit_required(id),
             ),
@@ -102,7 +102,7 @@
 
     /// Adds the dispatch credit that the gateway earns in `seconds`.
     pub(crate) fn refill_dispatch_credit(&mut self, seconds: f64) {
-        let band = self.gossip_band();
+        let band = self.large_fleet_band();
         let mean_response_ms = self.latency.mean_response_ms();
         let credit = credit_after_refill(self.band.dispatch_credit(), &band, mean_response_ms, seconds);
         self.band.set_dispatch_credit(credit);
@@ -117,7 +117,7 @@
     pub(crate) fn measure_saturation(&mut self) {
         let is_saturated = match self.coordination.fleet_mode() {
             FleetMode::Broadcast => is_saturated_in_broadcast_mode(&self.reported_band()),
-            FleetMode::LargeFleet => self.gossip_band().is_saturated(),
+            FleetMode::LargeFleet => self.large_fleet_band().is_saturated(),
         };
         self.band.set_saturated(is_saturated);
     }
@@ -137,7 +137,7 @@
         };
         let step = match self.coordination.fleet_mode() {
             FleetMode::Broadcast => watermark_step_in_broadcast_mode(&input),
-            FleetMode::LargeFleet => watermark_step_in_large_fleet(&input, &self.gossip_band()),
+            FleetMode::LargeFleet => watermark_step_in_large_fleet(&input, &self.large_fleet_band()),
         };
         let watermark = watermark_after_step(self.band.watermark(), step, self.watermark_floor());
         self.band.set_watermark(watermark);
