--- a/crates/admission/src/coordination/quota_requests.rs
+++ b/crates/admission/src/coordination/quota_requests.rs
@@ -109,11 +109,11 @@
 
     /// Decides on a request without the owner of its customer's quota.
     pub(crate) fn decide_without_owner(&mut self, id: RequestId, expectation: QuotaExpectation) {
-        let band_is_ungated = self.band_is_ungated();
+        let is_below_credit_threshold = self.is_below_credit_threshold();
         let Some(active) = self.requests.get_mut(id) else { return };
         active.set_quota_state(decide_without_owner(FallbackInput {
             expectation,
-            band_is_ungated,
+            is_below_credit_threshold,
             ceiling_rate_per_second: self.settings.plan(active.request.plan).ceiling_rate_per_second,
         }));
     }
--- a/crates/admission/src/lifecycle/band_control.rs
+++ b/crates/admission/src/lifecycle/band_control.rs
@@ -76,7 +76,7 @@
 
     /// Returns whether so few attempts are in flight in a large fleet that requests are sent without dispatch
     /// credit.
-    pub(crate) fn band_is_ungated(&self) -> bool {
+    pub(crate) fn is_below_credit_threshold(&self) -> bool {
         self.large_fleet_band().is_below_credit_threshold()
     }
 
--- a/crates/admission/src/policy/quota_owner/fallback_decision.rs
+++ b/crates/admission/src/policy/quota_owner/fallback_decision.rs
@@ -8,7 +8,7 @@
     /// Whether the customer is most likely within its quota or over it.
     pub(crate) expectation: QuotaExpectation,
     /// Whether the fleet has so few attempts in flight that requests are sent without dispatch credit.
-    pub(crate) band_is_ungated: bool,
+    pub(crate) is_below_credit_threshold: bool,
     /// Rate of the plan's hard ceiling in units per second; 0 if the plan has no ceiling.
     pub(crate) ceiling_rate_per_second: f64,
 }
@@ -20,7 +20,7 @@
 /// ceiling nothing is sent, because only the owner knows how much of the ceiling is spent.
 pub(crate) fn decide_without_owner(input: FallbackInput) -> QuotaState {
     let has_ceiling = input.ceiling_rate_per_second > 0.0;
-    if input.expectation == QuotaExpectation::Within && input.band_is_ungated && !has_ceiling {
+    if input.expectation == QuotaExpectation::Within && input.is_below_credit_threshold && !has_ceiling {
         QuotaState::LocalBucket { within_quota: true }
     } else {
         QuotaState::OverQuota { may_exceed: false }
--- a/crates/admission/src/tests/quota_rules/owner_rules.rs
+++ b/crates/admission/src/tests/quota_rules/owner_rules.rs
@@ -152,7 +152,7 @@
 }
 
 #[test]
-fn without_owner_local_bucket_decides_if_band_ungated_and_no_ceiling() {
+fn without_owner_bucket_decides_below_credit_threshold_if_no_ceiling() {
     let own_bucket = QuotaState::LocalBucket { within_quota: true };
     let over_quota = QuotaState::OverQuota { may_exceed: false };
     let cases = [
@@ -161,8 +161,8 @@
         (QuotaExpectation::Within, false, 0.0, over_quota),
         (QuotaExpectation::Within, true, 0.1, over_quota),
     ];
-    for (expectation, band_is_ungated, ceiling_rate_per_second, expected) in cases {
-        let input = FallbackInput { expectation, band_is_ungated, ceiling_rate_per_second };
+    for (expectation, is_below_credit_threshold, ceiling_rate_per_second, expected) in cases {
+        let input = FallbackInput { expectation, is_below_credit_threshold, ceiling_rate_per_second };
         assert_eq!(decide_without_owner(input), expected, "{input:?}");
     }
 }
