--- a/crates/admission/src/coordination/quota_requests.rs
+++ b/crates/admission/src/coordination/quota_requests.rs
@@ -8,7 +8,7 @@
     QuotaRequest, QuotaResponse, QuotaVerdict, SamplingFraction, WaitBudget,
 };
 use crate::policy::peer_messages::quota_message_budget::max_message_tokens;
-use crate::policy::quota_owner::fallback_decision::{decide_without_owner, FallbackInput};
+use crate::policy::quota_owner::fallback_decision::{decide_without_owner, WithoutOwnerInput};
 use crate::policy::quota_owner::owner_sampling::sampling_fraction_at_age;
 use crate::policy::quota_owner::owner_selection::{select_owner, suspected_until_ms};
 use crate::policy::quota_owner::quota_request_route::{
@@ -70,7 +70,7 @@
             draw: self.random.next_fraction(),
             message_tokens: gossip.message_tokens(),
         });
-        if let QuotaRoute::DecideAlone(expectation) = route {
+        if let QuotaRoute::WithoutOwner(expectation) = route {
             return self.decide_without_owner(id, expectation);
         }
         let quota_request = QuotaRequest {
@@ -111,7 +111,7 @@
     pub(crate) fn decide_without_owner(&mut self, id: RequestId, expectation: QuotaExpectation) {
         let is_below_credit_threshold = self.is_below_credit_threshold();
         let Some(active) = self.requests.get_mut(id) else { return };
-        active.set_quota_state(decide_without_owner(FallbackInput {
+        active.set_quota_state(decide_without_owner(WithoutOwnerInput {
             expectation,
             is_below_credit_threshold,
             ceiling_rate_per_second: self.settings.plan(active.request.plan).ceiling_rate_per_second,
@@ -139,7 +139,7 @@
             let max_tokens = max_message_tokens(self.settings.peer_messages_per_second);
             match route_after_missed_response(missed.retries, gossip.message_tokens(), max_tokens) {
                 QuotaRoute::ToOwner => self.request_quota(missed.id, missed.retries + 1, actions),
-                QuotaRoute::DecideAlone(expectation) => self.decide_without_owner(missed.id, expectation),
+                QuotaRoute::WithoutOwner(expectation) => self.decide_without_owner(missed.id, expectation),
             }
         }
     }
--- a/crates/admission/src/policy/quota_owner/fallback_decision.rs
+++ b/crates/admission/src/policy/quota_owner/fallback_decision.rs
@@ -4,7 +4,7 @@
 
 /// What a gateway knows about a request that it decides on without the quota owner.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct FallbackInput {
+pub(crate) struct WithoutOwnerInput {
     /// Whether the customer is most likely within its quota or over it.
     pub(crate) expectation: QuotaExpectation,
     /// Whether the fleet has so few attempts in flight that requests are sent without dispatch credit.
@@ -18,7 +18,7 @@
 /// Most customers are well within their quota, so this gateway's own token bucket decides while the endpoints
 /// have spare capacity. It doesn't if the owner recently granted less than was requested. Under a hard
 /// ceiling nothing is sent, because only the owner knows how much of the ceiling is spent.
-pub(crate) fn decide_without_owner(input: FallbackInput) -> QuotaState {
+pub(crate) fn decide_without_owner(input: WithoutOwnerInput) -> QuotaState {
     let has_ceiling = input.ceiling_rate_per_second > 0.0;
     if input.expectation == QuotaExpectation::Within && input.is_below_credit_threshold && !has_ceiling {
         QuotaState::LocalBucket { within_quota: true }
--- a/crates/admission/src/policy/quota_owner/quota_request_route.rs
+++ b/crates/admission/src/policy/quota_owner/quota_request_route.rs
@@ -43,14 +43,14 @@
     if input.owns_quota {
         QuotaRoute::ToOwner
     } else if input.retries == 0 && !is_sampled {
-        QuotaRoute::DecideAlone(QuotaExpectation::Over)
+        QuotaRoute::WithoutOwner(QuotaExpectation::Over)
     } else if input.message_tokens < TOKENS_PER_QUOTA_REQUEST {
         let expectation = if input.sampling == SamplingFraction::ALL {
             QuotaExpectation::Within
         } else {
             QuotaExpectation::Over
         };
-        QuotaRoute::DecideAlone(expectation)
+        QuotaRoute::WithoutOwner(expectation)
     } else {
         QuotaRoute::ToOwner
     }
@@ -73,7 +73,7 @@
     if retries < MAX_QUOTA_RETRIES && message_tokens > RETRY_TOKENS_FRACTION * max_message_tokens {
         QuotaRoute::ToOwner
     } else {
-        QuotaRoute::DecideAlone(QuotaExpectation::Within)
+        QuotaRoute::WithoutOwner(QuotaExpectation::Within)
     }
 }
 
--- a/crates/admission/src/state/quota/pending_quota_requests.rs
+++ b/crates/admission/src/state/quota/pending_quota_requests.rs
@@ -10,7 +10,7 @@
     /// The quota's owner decides: it is sent a quota request.
     ToOwner,
     /// This gateway decides alone, by what it expects of the customer.
-    DecideAlone(QuotaExpectation),
+    WithoutOwner(QuotaExpectation),
 }
 
 /// What this gateway expects of a customer when it decides on a request without the quota's owner.
--- a/crates/admission/src/tests/quota_rules/owner_rules.rs
+++ b/crates/admission/src/tests/quota_rules/owner_rules.rs
@@ -4,7 +4,7 @@
 use crate::id::{CustomerKey, GatewayIndex};
 use crate::messages::quota_message::{QuotaVerdict, SamplingFraction};
 use crate::policy::quota_owner::ceiling_fraction::{ceiling_fraction_by_ranking, even_ceiling_fraction};
-use crate::policy::quota_owner::fallback_decision::{decide_without_owner, FallbackInput};
+use crate::policy::quota_owner::fallback_decision::{decide_without_owner, WithoutOwnerInput};
 use crate::policy::quota_owner::owner_sampling::{
     sampling_fraction_at_age, wanted_sampling_fraction, QuotaDemand,
 };
@@ -113,15 +113,15 @@
 #[test]
 fn quota_request_is_sent_if_sampled_and_a_message_token_is_left() {
     let (all, half) = (SamplingFraction::ALL, SamplingFraction::nearest(0.5));
-    let alone = QuotaRoute::DecideAlone;
+    let without_owner = QuotaRoute::WithoutOwner;
     // Whether this gateway owns the quota, retries, sampling fraction, draw, message tokens, expected route.
     let cases = [
         (true, 0, half, 0.9, 0.0, QuotaRoute::ToOwner),
         (false, 0, half, 0.4, 1.0, QuotaRoute::ToOwner),
-        (false, 0, half, 0.9, 1.0, alone(QuotaExpectation::Over)),
+        (false, 0, half, 0.9, 1.0, without_owner(QuotaExpectation::Over)),
         (false, 1, half, 0.9, 1.0, QuotaRoute::ToOwner),
-        (false, 0, half, 0.4, 0.9, alone(QuotaExpectation::Over)),
-        (false, 0, all, 0.9, 0.9, alone(QuotaExpectation::Within)),
+        (false, 0, half, 0.4, 0.9, without_owner(QuotaExpectation::Over)),
+        (false, 0, all, 0.9, 0.9, without_owner(QuotaExpectation::Within)),
         (false, 0, all, 1.0, 1.0, QuotaRoute::ToOwner),
     ];
     for (owns_quota, retries, sampling, draw, message_tokens, expected) in cases {
@@ -132,9 +132,13 @@
 
 #[test]
 fn quota_request_is_retried_three_times_above_half_the_message_tokens() {
-    let alone = QuotaRoute::DecideAlone(QuotaExpectation::Within);
-    let cases =
-        [(0, 21.1, QuotaRoute::ToOwner), (2, 21.1, QuotaRoute::ToOwner), (3, 21.1, alone), (0, 21.0, alone)];
+    let without_owner = QuotaRoute::WithoutOwner(QuotaExpectation::Within);
+    let cases = [
+        (0, 21.1, QuotaRoute::ToOwner),
+        (2, 21.1, QuotaRoute::ToOwner),
+        (3, 21.1, without_owner),
+        (0, 21.0, without_owner),
+    ];
     for (retries, tokens, expected) in cases {
         assert_eq!(route_after_missed_response(retries, tokens, 42.0), expected, "{retries} {tokens}");
     }
@@ -162,7 +166,7 @@
         (QuotaExpectation::Within, true, 0.1, over_quota),
     ];
     for (expectation, is_below_credit_threshold, ceiling_rate_per_second, expected) in cases {
-        let input = FallbackInput { expectation, is_below_credit_threshold, ceiling_rate_per_second };
+        let input = WithoutOwnerInput { expectation, is_below_credit_threshold, ceiling_rate_per_second };
         assert_eq!(decide_without_owner(input), expected, "{input:?}");
     }
 }
