--- a/crates/admission/src/coordination/observations.rs
+++ b/crates/admission/src/coordination/observations.rs
@@ -28,9 +28,9 @@
 
     /// Records a failed observation for each attempt of this gateway that has begun to take long since the
     /// last round of upkeep.
-    pub(crate) fn report_long_attempts(&mut self) {
-        let turned_long = self.requests.attempts_in_flight().filter(|attempt| self.turned_long(attempt));
-        for InFlightAttemptWithClass { endpoint, class, .. } in turned_long.collect::<Vec<_>>() {
+    pub(crate) fn report_slow_attempts(&mut self) {
+        let slow = self.requests.attempts_in_flight().filter(|attempt| self.has_become_slow(attempt));
+        for InFlightAttemptWithClass { endpoint, class, .. } in slow.collect::<Vec<_>>() {
             self.record_observation(endpoint, ObservationKind::Failed { class });
         }
     }
--- a/crates/admission/src/lifecycle/retries.rs
+++ b/crates/admission/src/lifecycle/retries.rs
@@ -54,7 +54,7 @@
             FleetMode::Broadcast => self.attempts_at_outliers(),
             FleetMode::LargeFleet => {
                 let stalled = self.stalled_attempts();
-                self.report_long_attempts();
+                self.report_slow_attempts();
                 stalled
             }
         };
@@ -116,7 +116,7 @@
     }
 
     /// Returns whether an attempt's age has exceeded `long_response_ms` since the last round of upkeep.
-    pub(crate) fn turned_long(&self, attempt: &InFlightAttemptWithClass) -> bool {
+    pub(crate) fn has_become_slow(&self, attempt: &InFlightAttemptWithClass) -> bool {
         let age_ms = self.clock.now_ms() - attempt.sent_ms;
         self.endpoints.get(attempt.endpoint).is_some()
             && retry::has_become_slow(age_ms, self.slow_after_ms(attempt.class))
