--- a/crates/admission/src/coordination/quota_ownership.rs
+++ b/crates/admission/src/coordination/quota_ownership.rs
@@ -10,7 +10,7 @@
     wanted_sampling_fraction, QuotaDemand, AMPLE_SAMPLING_FRACTION, RATE_TIME_CONSTANT_S, SLOT_GRANT_UNITS,
 };
 use crate::policy::quota_owner::owner_verdict::{
-    decide_quota_request, grant_lifetime_ms, has_free_slot, verdict_to_send, OwnedQuota,
+    decide_quota_request, grant_extension_ms, has_free_slot, verdict_to_send, OwnedQuota,
 };
 use crate::policy::quota_owner::unit_bounds::{bounded_release_units, bounded_request_units};
 use crate::settings::PlanSettings;
@@ -35,8 +35,8 @@
 
 impl Gateway {
     /// Returns how long a grant counts after the time until which its request may wait, in ms.
-    pub(crate) fn grant_lifetime_ms(&self) -> f64 {
-        grant_lifetime_ms(self.settings.longest_objective_ms())
+    pub(crate) fn grant_extension_ms(&self) -> f64 {
+        grant_extension_ms(self.settings.longest_objective_ms())
     }
 
     /// Applies the quota requests, responses and releases of a message.
@@ -106,7 +106,7 @@
             units,
             represented_units: request.sampling_fraction.extrapolate(units),
             waits_until_ms,
-            expires_ms: waits_until_ms + self.grant_lifetime_ms(),
+            expires_ms: waits_until_ms + self.grant_extension_ms(),
         }
     }
 
@@ -131,10 +131,10 @@
     /// Grants a free slot to the request that has waited longest.
     fn grant_next_waiting(&mut self, key: CustomerKey, actions: &mut Vec<Action>) {
         let now_ms = self.clock.now_ms();
-        let lifetime_ms = self.grant_lifetime_ms();
+        let extension_ms = self.grant_extension_ms();
         let Some(customer) = self.customers.get_mut(key) else { return };
         let Some(waiting) = customer.grants.next_waiting(now_ms) else { return };
-        let grant = QuotaRequestRecord { expires_ms: waiting.expires_ms + lifetime_ms, ..waiting };
+        let grant = QuotaRequestRecord { expires_ms: waiting.expires_ms + extension_ms, ..waiting };
         customer.grants.grant(grant, SLOT_GRANT_UNITS, now_ms, RATE_TIME_CONSTANT_S);
         let response = QuotaResponse {
             number: grant.number,
--- a/crates/admission/src/policy/quota_owner/owner_verdict.rs
+++ b/crates/admission/src/policy/quota_owner/owner_verdict.rs
@@ -70,6 +70,6 @@
 /// attempt may take.
 ///
 /// Guards against a lost release, after which a slot would stay occupied for ever.
-pub(crate) fn grant_lifetime_ms(longest_objective_ms: f64) -> f64 {
+pub(crate) fn grant_extension_ms(longest_objective_ms: f64) -> f64 {
     ATTEMPT_TIMEOUT_OBJECTIVES * longest_objective_ms
 }
--- a/crates/admission/src/tests/quota_rules/owner_rules.rs
+++ b/crates/admission/src/tests/quota_rules/owner_rules.rs
@@ -10,7 +10,7 @@
 };
 use crate::policy::quota_owner::owner_selection::{select_owner, suspected_until_ms};
 use crate::policy::quota_owner::owner_verdict::{
-    decide_quota_request, grant_lifetime_ms, has_free_slot, verdict_to_send, OwnedQuota,
+    decide_quota_request, grant_extension_ms, has_free_slot, verdict_to_send, OwnedQuota,
 };
 use crate::policy::quota_owner::quota_request_route::{
     grant_useful_until_ms, response_wait_ms, route_after_missed_response, route_quota_request,
@@ -152,7 +152,7 @@
     assert!(is_close(grant_useful_until_ms(900.0, 2000.0, 50.0), 860.0));
     assert!(is_close(grant_useful_until_ms(900.0, 700.0, 50.0), 660.0));
     // As long as an attempt may take: two objectives.
-    assert_eq!(grant_lifetime_ms(1500.0), 3000.0);
+    assert_eq!(grant_extension_ms(1500.0), 3000.0);
 }
 
 #[test]
