--- a/crates/admission/src/lifecycle/queue_dispatch.rs
+++ b/crates/admission/src/lifecycle/queue_dispatch.rs
@@ -14,10 +14,10 @@
 impl Gateway {
     /// Sends queued requests as long as one is permitted and an endpoint is found for it.
     pub(crate) fn dispatch(&mut self, actions: &mut Vec<Action>) {
-        self.band.unblock();
+        self.band.begin_dispatch();
         while let Some(head) = self.next_to_dispatch(actions) {
             let Some(endpoint) = self.select_endpoint(head.id) else {
-                self.band.block_for_endpoint();
+                self.band.record_wait_for_endpoint();
                 return;
             };
             self.queue.release(head);
@@ -33,7 +33,7 @@
         for head in self.queue.heads() {
             match self.judge_head(head.id, mode) {
                 HeadDecision::Eligible => next = Some(earlier_head(next, head)),
-                HeadDecision::BlockedByBand => self.band.block(),
+                HeadDecision::BlockedByBand => self.band.record_wait_for_band(),
                 HeadDecision::OverQuota => self.dispatch_over_quota(head, actions),
                 HeadDecision::AwaitsQuota => {}
             }
@@ -41,7 +41,7 @@
         // In broadcast mode this is the only check of the band. In a large fleet the band was checked for
         // each head, but heads over their quota that were sent in this loop have spent dispatch credit since.
         if !self.band_position(next?.id).permits_queued_request() {
-            self.band.block();
+            self.band.record_wait_for_band();
             return None;
         }
         next
--- a/crates/admission/src/lifecycle/request_admission.rs
+++ b/crates/admission/src/lifecycle/request_admission.rs
@@ -29,7 +29,7 @@
             quota,
             limits,
             band: self.band_position(id),
-            queue_is_blocked: self.band.is_blocked(),
+            queue_is_blocked: self.band.has_waiting_request(),
             queued_requests: self.queue.len(),
         };
         if lacks_ceiling_units_only(&input) {
--- a/crates/admission/src/state/fleet/band_state.rs
+++ b/crates/admission/src/state/fleet/band_state.rs
@@ -7,9 +7,9 @@
     /// The watermark: attempts in flight per ready endpoint at the band's middle.
     watermark: f64,
     /// Whether a queued request that its quota permits waits for the band or for an endpoint.
-    blocked: bool,
+    has_waiting_request: bool,
     /// Whether queued requests have waited for the band since the last step of the watermark.
-    blocked_since_step: bool,
+    waited_for_band_since_step: bool,
     /// Whether the endpoints are saturated: the fleet's attempts in flight exceed a fraction of the band's
     /// middle.
     saturated: bool,
@@ -136,32 +136,32 @@
     /// Begins a step of the watermark, and returns whether queued requests wait now, or have waited for the
     /// band since the last step.
     pub(crate) fn begin_step(&mut self, now_ms: f64) -> bool {
-        let was_blocked = self.blocked || self.blocked_since_step;
-        self.blocked_since_step = false;
+        let has_waited = self.has_waiting_request || self.waited_for_band_since_step;
+        self.waited_for_band_since_step = false;
         self.stepped_ms = now_ms;
-        was_blocked
+        has_waited
     }
 
     /// Returns whether a queued request that its quota permits waits for the band or for an endpoint. A new
     /// request must not overtake it.
-    pub(crate) fn is_blocked(&self) -> bool {
-        self.blocked
+    pub(crate) fn has_waiting_request(&self) -> bool {
+        self.has_waiting_request
     }
 
     /// Begins a round of dispatch, in which no request is known to wait yet.
-    pub(crate) fn unblock(&mut self) {
-        self.blocked = false;
+    pub(crate) fn begin_dispatch(&mut self) {
+        self.has_waiting_request = false;
     }
 
     /// Records that a queued request waits for the band.
-    pub(crate) fn block(&mut self) {
-        self.blocked = true;
-        self.blocked_since_step = true;
+    pub(crate) fn record_wait_for_band(&mut self) {
+        self.has_waiting_request = true;
+        self.waited_for_band_since_step = true;
     }
 
     /// Records that a queued request waits for an endpoint, for which a higher watermark would not help.
-    pub(crate) fn block_for_endpoint(&mut self) {
-        self.blocked = true;
+    pub(crate) fn record_wait_for_endpoint(&mut self) {
+        self.has_waiting_request = true;
     }
 
     /// Returns whether the endpoints are saturated.
