--- a/crates/admission/src/coordination/gossip_exchange.rs
+++ b/crates/admission/src/coordination/gossip_exchange.rs
@@ -7,7 +7,7 @@
 use crate::policy::peer_messages::fleet_mean_rules::{
     mean_attempt_age_ms, OWN_MEAN_GAIN_PER_SECOND, PASSED_ON_MEAN_GAIN, RECEIVED_MEAN_GAIN,
 };
-use crate::policy::peer_messages::quota_message_budget::{max_message_tokens, quota_messages_per_second};
+use crate::policy::peer_messages::quota_message_budget::{max_message_tokens, quota_requests_per_second};
 use crate::policy::quota_owner::owner_sampling::RATE_TIME_CONSTANT_S;
 use crate::state::{peer_indices, Coordination, GatewayMeans};
 
@@ -63,7 +63,7 @@
         let Some(gossip) = self.coordination.gossip_mut() else { return };
         let received = gossip.received_per_second(self.clock.now_ms(), RATE_TIME_CONSTANT_S);
         let accepted = self.settings.peer_messages_per_second;
-        let accrued = quota_messages_per_second(accepted, received) * seconds;
+        let accrued = quota_requests_per_second(accepted, received) * seconds;
         gossip.add_message_tokens(accrued, max_message_tokens(accepted));
     }
 
--- a/crates/admission/src/messages/counts_message.rs
+++ b/crates/admission/src/messages/counts_message.rs
@@ -1,11 +1,11 @@
 //! The counts message, which each gateway sends to every other in broadcast mode.
 use crate::messages::base64_digits::{max_value, put, put_saturating, take};
 use crate::messages::fixed_point::{FixedPoint, SixtyThirds};
-use crate::messages::message_entry::{put_entries, take_entry, take_version, MessageEntry};
+use crate::messages::message_entry::{put_entries, take_entry, take_message_type, MessageEntry};
 use std::str::Bytes;
 
 /// First character of every counts message.
-const VERSION: u8 = b'h';
+const MESSAGE_TYPE: u8 = b'h';
 
 /// Digits of the sender's incarnation.
 const INCARNATION_DIGITS: u32 = 3;
@@ -29,7 +29,7 @@
 const TRANSFER_DIGITS: u32 = 3;
 
 /// Bytes of the message's head: version, incarnation, sequence number, attempts in flight and watermark.
-const HEAD_LEN: usize =
+const HEADER_LEN: usize =
     1 + (INCARNATION_DIGITS + SEQUENCE_DIGITS + SENDER_IN_FLIGHT_DIGITS + WatermarkOnWire::LEN) as usize;
 
 /// Bytes of a customer's count with its marker.
@@ -181,7 +181,7 @@
 impl CountsMessage {
     /// Returns the length of the encoded message in bytes.
     pub(crate) fn len(&self) -> usize {
-        HEAD_LEN
+        HEADER_LEN
             + COUNT_LEN * self.counts.len()
             + CEILING_REQUEST_LEN * self.ceiling_requests.len()
             + CEILING_TRANSFER_LEN * self.ceiling_transfers.len()
@@ -189,13 +189,13 @@
 
     /// Returns whether the message has no entry of any customer.
     pub(crate) fn is_empty(&self) -> bool {
-        self.len() == HEAD_LEN
+        self.len() == HEADER_LEN
     }
 
     /// Returns the message as text.
     pub(crate) fn encode(&self) -> String {
         let mut text = String::with_capacity(self.len());
-        text.push(char::from(VERSION));
+        text.push(char::from(MESSAGE_TYPE));
         put(&mut text, self.incarnation, INCARNATION_DIGITS);
         put(&mut text, self.sequence, SEQUENCE_DIGITS);
         put_saturating(&mut text, self.in_flight, SENDER_IN_FLIGHT_DIGITS);
@@ -209,7 +209,7 @@
     /// Decodes a message; `None` if any part of the text is not in this format.
     pub(crate) fn decode(text: &str) -> Option<Self> {
         let mut bytes = text.bytes();
-        take_version(&mut bytes, VERSION)?;
+        take_message_type(&mut bytes, MESSAGE_TYPE)?;
         let mut message = CountsMessage {
             incarnation: take(&mut bytes, INCARNATION_DIGITS)?,
             sequence: take(&mut bytes, SEQUENCE_DIGITS)?,
--- a/crates/admission/src/messages/gossip_message.rs
+++ b/crates/admission/src/messages/gossip_message.rs
@@ -1,13 +1,13 @@
 //! The gossip message: means over the fleet, observations of endpoints, and quota requests, responses and
 //! releases.
 use crate::messages::fixed_point::FixedPoint;
-use crate::messages::message_entry::{put_entries, take_entry, take_version, MessageEntry};
+use crate::messages::message_entry::{put_entries, take_entry, take_message_type, MessageEntry};
 use crate::messages::observation_code::Observation;
 use crate::messages::quota_message::{QuotaRelease, QuotaRequest, QuotaResponse};
 use std::str::Bytes;
 
 /// First character of every gossip message.
-const VERSION: u8 = b'w';
+const MESSAGE_TYPE: u8 = b'w';
 
 /// Initial capacity of a message's text in bytes, enough for one quota message.
 const USUAL_LEN: usize = 64;
@@ -111,7 +111,7 @@
     /// Returns the message as text.
     pub(crate) fn encode(&self) -> String {
         let mut text = String::with_capacity(USUAL_LEN);
-        text.push(char::from(VERSION));
+        text.push(char::from(MESSAGE_TYPE));
         self.means.encode(&mut text);
         put_entries(&mut text, &self.requests);
         put_entries(&mut text, &self.responses);
@@ -123,7 +123,7 @@
     /// Decodes a message; `None` if any part of the text is not in this format.
     pub(crate) fn decode(text: &str) -> Option<Self> {
         let mut bytes = text.bytes();
-        take_version(&mut bytes, VERSION)?;
+        take_message_type(&mut bytes, MESSAGE_TYPE)?;
         let means = MeansOnWire::decode(&mut bytes)?;
         let mut message = GossipMessage { means, ..GossipMessage::default() };
         while let Some(marker) = bytes.next() {
--- a/crates/admission/src/messages/message_entry.rs
+++ b/crates/admission/src/messages/message_entry.rs
@@ -29,6 +29,6 @@
 }
 
 /// Reads the first character of a message; `None` if it is not that of this type of message.
-pub(crate) fn take_version(bytes: &mut Bytes<'_>, version: u8) -> Option<()> {
-    (bytes.next()? == version).then_some(())
+pub(crate) fn take_message_type(bytes: &mut Bytes<'_>, message_type: u8) -> Option<()> {
+    (bytes.next()? == message_type).then_some(())
 }
--- a/crates/admission/src/policy/peer_messages/quota_message_budget.rs
+++ b/crates/admission/src/policy/peer_messages/quota_message_budget.rs
@@ -6,7 +6,7 @@
 const QUOTA_MESSAGE_FRACTION: f64 = 0.9;
 
 /// Lower bound of the fraction of accepted messages that the responses to own quota requests may use.
-const MIN_QUOTA_MESSAGE_FRACTION: f64 = 0.2;
+const MIN_QUOTA_REQUEST_FRACTION: f64 = 0.2;
 
 /// Number of message tokens that a gateway starts with.
 pub(crate) const INITIAL_MESSAGE_TOKENS: f64 = 10.0;
@@ -14,9 +14,9 @@
 /// Returns the quota requests per second that this gateway may send, so that it can accept the responses in
 /// addition to its peers' messages. `accepted_per_second` is the number of messages that a gateway accepts,
 /// and `received_per_second` the number of quota requests and releases that peers send.
-pub(crate) fn quota_messages_per_second(accepted_per_second: f64, received_per_second: f64) -> f64 {
+pub(crate) fn quota_requests_per_second(accepted_per_second: f64, received_per_second: f64) -> f64 {
     let free_per_second = QUOTA_MESSAGE_FRACTION * accepted_per_second - received_per_second;
-    free_per_second.max(MIN_QUOTA_MESSAGE_FRACTION * accepted_per_second)
+    free_per_second.max(MIN_QUOTA_REQUEST_FRACTION * accepted_per_second)
 }
 
 /// Returns the number of message tokens that a gateway may save up: the number of messages that all its peers
--- a/crates/admission/src/policy/quota_owner/quota_request_route.rs
+++ b/crates/admission/src/policy/quota_owner/quota_request_route.rs
@@ -13,7 +13,7 @@
 const MAX_QUOTA_RETRIES: u32 = 3;
 
 /// Fraction of the maximum message tokens that must be exceeded for a quota request to be sent again.
-const RETRY_TOKENS_FRACTION: f64 = 0.5;
+const RESEND_MESSAGE_TOKENS_FRACTION: f64 = 0.5;
 
 /// Time that a granted request must have left, in mean response times. A later grant is of no use.
 const RESERVED_RESPONSE_TIMES: f64 = 0.8;
@@ -70,7 +70,7 @@
     message_tokens: f64,
     max_message_tokens: f64,
 ) -> QuotaRoute {
-    if retries < MAX_QUOTA_RETRIES && message_tokens > RETRY_TOKENS_FRACTION * max_message_tokens {
+    if retries < MAX_QUOTA_RETRIES && message_tokens > RESEND_MESSAGE_TOKENS_FRACTION * max_message_tokens {
         QuotaRoute::ToOwner
     } else {
         QuotaRoute::WithoutOwner(QuotaExpectation::Within)
--- a/crates/admission/src/tests/quota_rules/peer_message_rules.rs
+++ b/crates/admission/src/tests/quota_rules/peer_message_rules.rs
@@ -4,7 +4,7 @@
 use crate::policy::peer_messages::ceiling_transfer::{ceiling_transfer_units, max_ceiling_units};
 use crate::policy::peer_messages::count_merge::{quota_fill, quota_tokens_after_report};
 use crate::policy::peer_messages::fleet_mean_rules::mean_attempt_age_ms;
-use crate::policy::peer_messages::quota_message_budget::{max_message_tokens, quota_messages_per_second};
+use crate::policy::peer_messages::quota_message_budget::{max_message_tokens, quota_requests_per_second};
 use crate::policy::peer_messages::report_schedule::{
     max_report_credit, report_interval_ms, reports_per_second, should_send_report, ReportInput,
 };
@@ -60,8 +60,8 @@
 
 #[test]
 fn quota_requests_use_remaining_messages_but_at_least_a_fifth() {
-    assert!(is_close(quota_messages_per_second(60.0, 14.0), 40.0));
-    assert!(is_close(quota_messages_per_second(60.0, 50.0), 12.0));
+    assert!(is_close(quota_requests_per_second(60.0, 14.0), 40.0));
+    assert!(is_close(quota_requests_per_second(60.0, 50.0), 12.0));
     assert!(is_close(max_message_tokens(60.0), 42.0));
 }
 
