--- a/crates/admission/src/tests/quota_rules/message_bounds.rs
+++ b/crates/admission/src/tests/quota_rules/message_bounds.rs
@@ -71,7 +71,7 @@
 /// A value that is too large for its digits is sent as the largest one, and transferred units are rounded
 /// down.
 #[test]
-fn counts_message_has_fixed_encoding() {
+fn counts_message_saturates_values_and_rounds_transfers_down() {
     let message = CountsMessage {
         incarnation: 1,
         sequence: 2,
--- a/crates/admission/src/tests/quota_rules/owner_rules.rs
+++ b/crates/admission/src/tests/quota_rules/owner_rules.rs
@@ -65,7 +65,7 @@
 
 /// The fraction stays between a twentieth and 1.
 #[test]
-fn wanted_sampling_fraction_covers_one_and_a_half_times_the_grants() {
+fn wanted_sampling_covers_one_and_a_half_times_grants_or_plan_rate() {
     // Units requested and granted per second, expected fraction; a plan with a rate of 4 units per second.
     let cases = [(6.0, 4.0, 1.0), (12.0, 4.0, 0.5), (12.0, 0.0, 0.5), (12.0, 6.0, 0.75), (1000.0, 4.0, 0.05)];
     for (requested_per_second, granted_per_second, expected) in cases {
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn response_wait_and_grant_times_follow_objectives() {
+fn response_wait_is_at_least_60_ms_and_grant_extension_two_objectives() {
     // A tenth of the shortest objective, but at least 60 ms.
     assert_eq!([500.0, 600.0, 1000.0].map(response_wait_ms), [60.0, 60.0, 100.0]);
     // 0.8 mean response times before the objective or the deadline, whichever is earlier.
--- a/crates/admission/src/tests/quota_rules/peer_message_rules.rs
+++ b/crates/admission/src/tests/quota_rules/peer_message_rules.rs
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn report_is_sent_if_changed_or_after_400_ms() {
+fn report_with_credit_is_sent_if_changed_or_after_400_ms() {
     // Credit, no entries, same attempts in flight, ms since the last report, whether it is sent.
     let cases = [
         (1.0, false, true, 40.0, true),
