--- a/crates/admission/src/coordination/count_reports.rs
+++ b/crates/admission/src/coordination/count_reports.rs
@@ -16,7 +16,7 @@
 use crate::state::{BroadcastPeer, Coordination, Customer, PeerCount};
 use std::collections::BTreeMap;
 
-/// The messages to each peer in one round of reports. Their heads are filled in when they are sent.
+/// The messages to each peer in one round of reports. Their headers are filled in when they are sent.
 struct ReportRound {
     /// The messages to each peer.
     messages: BTreeMap<GatewayIndex, Vec<CountsMessage>>,
@@ -28,8 +28,8 @@
         ReportRound { messages: peers.map(|peer| (peer, vec![CountsMessage::default()])).collect() }
     }
 
-    /// Returns the message to a peer that another customer's entries fit into, and begins a new message if
-    /// the last one is full. Returns `None` if there is no such peer.
+    /// Returns the message to a peer that the next customer's entries are added to: the last one of this
+    /// round, or a new one if the last might lack space for them. Returns `None` if there is no such peer.
     fn message_with_space(&mut self, peer: GatewayIndex) -> Option<&mut CountsMessage> {
         let messages = self.messages.get_mut(&peer)?;
         if messages.last().is_none_or(|m| m.len() + MAX_CUSTOMER_LEN > MAX_MESSAGE_BYTES) {
@@ -57,7 +57,10 @@
 }
 
 impl Gateway {
-    /// Sends each peer what has changed, within the peer's report credit, if a round of reports is due.
+    /// Sends each peer what has changed, if a round of reports is due. This gateway's report credit for a
+    /// peer limits the messages to it. A message for which there is no credit is dropped with its entries:
+    /// its counts are sent again only in the next round for which they are scheduled, and the units of its
+    /// ceiling transfers are lost.
     pub(crate) fn broadcast_counts_if_due(&mut self, actions: &mut Vec<Action>) {
         let Coordination::Broadcast(broadcast) = &mut self.coordination else { return };
         let interval_ms = report_interval_ms(self.settings.gateways, self.settings.peer_messages_per_second);
@@ -92,7 +95,8 @@
         round
     }
 
-    /// Fills in the heads of a round's messages, and sends the messages that are due.
+    /// Fills in the headers of a round's messages, and sends the messages that are due and for which there is
+    /// credit. The others are dropped.
     fn send_reports(&mut self, round: ReportRound, in_flight: u32, actions: &mut Vec<Action>) {
         let now_ms = self.clock.now_ms();
         let Coordination::Broadcast(broadcast) = &mut self.coordination else { return };
--- a/crates/admission/src/coordination/gossip_exchange.rs
+++ b/crates/admission/src/coordination/gossip_exchange.rs
@@ -77,7 +77,8 @@
         self.fleet_means.apply_own(own_in_flight, now_ms, OWN_MEAN_GAIN_PER_SECOND, RATE_TIME_CONSTANT_S);
         match self.coordination {
             Coordination::Gossip(_) => {}
-            // No means are received in these modes, so this gateway's own are used for the others'.
+            // No means are received in these modes, so each other gateway is assumed to have the same values
+            // as this one.
             Coordination::Broadcast(_) | Coordination::Counter(_) | Coordination::Isolated => {
                 self.fleet_means.use_own_as_received();
             }
--- a/crates/admission/src/coordination/observations.rs
+++ b/crates/admission/src/coordination/observations.rs
@@ -26,8 +26,8 @@
         }
     }
 
-    /// Records a failed observation for each attempt of this gateway that has begun to take long since the
-    /// last round of upkeep.
+    /// Records an observation of kind `Failed` for each attempt in flight of this gateway that has become
+    /// slow since the last round of upkeep.
     pub(crate) fn report_slow_attempts(&mut self) {
         let slow = self.requests.attempts_in_flight().filter(|attempt| self.has_become_slow(attempt));
         for InFlightAttemptWithClass { endpoint, class, .. } in slow.collect::<Vec<_>>() {
--- a/crates/admission/src/coordination/quota_ownership.rs
+++ b/crates/admission/src/coordination/quota_ownership.rs
@@ -23,18 +23,19 @@
     gateway: GatewayIndex,
     /// The quota request's number at its sender.
     number: QuotaRequestNumber,
-    /// Units of the request that the quota request is for, at most what one request may count.
+    /// Units of the request that the quota request is for, at most what one request may consume.
     units: f64,
     /// Units of all requests that the sampled request represents, itself included.
     represented_units: f64,
     /// Until when the request may wait for a slot, in ms.
     waits_until_ms: f64,
-    /// Until when the grant counts if the request is granted, in ms.
+    /// When the grant expires if the request is granted, in ms.
     expires_ms: f64,
 }
 
 impl Gateway {
-    /// Returns how long a grant counts after the time until which its request may wait, in ms.
+    /// Returns the time between the end of the time for which a request may wait and the expiry of its grant,
+    /// in ms.
     pub(crate) fn grant_extension_ms(&self) -> f64 {
         grant_extension_ms(self.settings.longest_objective_ms())
     }
@@ -139,6 +140,8 @@
         let response = QuotaResponse {
             number: grant.number,
             verdict: QuotaVerdict::Granted,
+            // Not the fraction that this owner wants now: the one in the last response to its own quota
+            // requests, or 1 if it has sent none.
             sampling_fraction: SamplingFraction::at_most(customer.sampling_fraction()),
         };
         self.send_gossip(grant.gateway, GossipMessage::response(response), actions);
--- a/crates/admission/src/coordination/quota_requests.rs
+++ b/crates/admission/src/coordination/quota_requests.rs
@@ -1,5 +1,5 @@
-//! The quota check of a queued request in all modes. In gossip mode: quota requests to the owner of a
-//! customer's quota, and how its responses are applied.
+//! The quota check of a queued request in a large fleet: in gossip, counter and isolated mode. In gossip
+//! mode: quota requests to the owner of a customer's quota, and how its responses are applied.
 use crate::action::Action;
 use crate::gateway::Gateway;
 use crate::id::{GatewayIndex, RequestId};
@@ -30,7 +30,8 @@
 
 impl Gateway {
     /// Begins the quota check of a queued request. Depending on the fleet's mode, the quota owner, the quota
-    /// counter or this gateway's own token bucket decides.
+    /// counter or this gateway's own token bucket decides. Not called in broadcast mode, in which admission
+    /// itself checks the token bucket.
     pub(crate) fn check_quota(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         match self.coordination {
             Coordination::Gossip(_) => self.request_quota(id, 0, actions),
--- a/crates/admission/src/event_handling.rs
+++ b/crates/admission/src/event_handling.rs
@@ -17,6 +17,9 @@
         }
         self.handle(event, actions);
         self.dispatch(actions);
+        // A gateway of a large fleet without active requests schedules upkeep further ahead than this. Its
+        // first request brings the next round forward. The timer that was set before still fires, but starts
+        // no round that isn't due.
         if !self.requests.is_empty() && self.clock.next_upkeep_is_beyond(UPKEEP_INTERVAL_MS) {
             self.schedule_upkeep(UPKEEP_INTERVAL_MS, actions);
         }
@@ -48,7 +51,7 @@
     }
 
     /// Runs a round of upkeep. In broadcast mode every timer starts one. In a large fleet a timer that fires
-    /// too early starts none.
+    /// before the next round is due starts none.
     fn on_timer(&mut self, actions: &mut Vec<Action>) {
         match self.coordination.fleet_mode() {
             FleetMode::Broadcast => self.upkeep_in_broadcast_mode(actions),
--- a/crates/admission/src/lifecycle/band_control.rs
+++ b/crates/admission/src/lifecycle/band_control.rs
@@ -1,5 +1,5 @@
-//! Updates the in-flight band and finds the position of requests in it: which endpoints the band counts,
-//! whether they are saturated, the watermark's steps, and dispatch credit.
+//! Updates the in-flight band and finds what it permits: which endpoints the band counts, whether they are
+//! saturated, the watermark's steps, and dispatch credit.
 use crate::gateway::Gateway;
 use crate::id::RequestId;
 use crate::policy::band::band_bounds::{is_saturated_in_broadcast_mode, position_in_broadcast_mode};
@@ -64,7 +64,8 @@
         BroadcastBand::from_reports(self.band_load(), self.band.watermark(), live)
     }
 
-    /// Returns the band of a large fleet, computed from means over the fleet.
+    /// Returns the band of a large fleet, computed from means over the fleet. In counter and isolated mode,
+    /// each gateway is assumed to have what this one has.
     fn large_fleet_band(&self) -> LargeFleetBand {
         LargeFleetBand {
             mean_in_flight: self.fleet_means.received().in_flight,
@@ -80,7 +81,9 @@
         self.large_fleet_band().is_below_credit_threshold()
     }
 
-    /// Returns where a request stands relative to the band's bounds, which decides whether it may be sent.
+    /// Returns the band's position for a request, which decides whether the request may be sent. In broadcast
+    /// mode it is that of the fleet's attempts in flight. In a large fleet it depends on the dispatch credit
+    /// that the request requires.
     pub(crate) fn band_position(&self, id: RequestId) -> BandPosition {
         match self.coordination.fleet_mode() {
             FleetMode::Broadcast => position_in_broadcast_mode(&self.reported_band()),
--- a/crates/admission/src/lifecycle/queue_dispatch.rs
+++ b/crates/admission/src/lifecycle/queue_dispatch.rs
@@ -72,8 +72,9 @@
         may_send_over_quota(active.quota_state().may_exceed_quota(), || self.band_position(id))
     }
 
-    /// Decides whether quota, concurrency limit and ceiling permit a request to be sent now. If units of the
-    /// ceiling are short, schedules a request to peers for some.
+    /// Decides whether quota, concurrency limit and ceiling permit a request to be sent now. An unknown
+    /// request is treated as over the quota. If units of the ceiling are short, schedules a request to peers
+    /// for some.
     pub(crate) fn quota_decision(&mut self, id: RequestId) -> QuotaDecision {
         let Some(active) = self.requests.get(id) else { return QuotaDecision::OverQuota };
         if let Some(decision) = active.quota_state().decision() {
--- a/crates/admission/src/lifecycle/request_admission.rs
+++ b/crates/admission/src/lifecycle/request_admission.rs
@@ -104,6 +104,7 @@
             units,
             quota_tokens,
             ceiling_tokens,
+            // In broadcast mode, the only one that gets here, the size of a queued request is its units.
             queued_units: self.queue.queued_size(key),
             withheld_units: withheld_burst_units(
                 plan.burst_units,
--- a/crates/admission/src/lifecycle/request_deadlines.rs
+++ b/crates/admission/src/lifecycle/request_deadlines.rs
@@ -45,7 +45,7 @@
     }
 
     /// Returns how long the client of a new request has already waited, in milliseconds, and counts the
-    /// request's time budget in its class's vote on the most common one.
+    /// request's time budget in the vote on the class's most common time budget.
     pub(crate) fn already_waited_ms(&mut self, class: ClassIndex, time_left_ms: f64) -> f64 {
         let votes = self.latency.record_time_budget(class, time_left_ms, TIME_BUDGET_VOTE);
         let settings = self.settings.class(class);
--- a/crates/admission/src/lifecycle/requests.rs
+++ b/crates/admission/src/lifecycle/requests.rs
@@ -42,8 +42,8 @@
         self.requests.insert(active);
     }
 
-    /// Gives a request its final response if it got no good one: rejects it if a retry by its client does no
-    /// harm, and fails it otherwise.
+    /// Ends a request that gets no good response: rejects it if a retry by its client does no harm, and fails
+    /// it otherwise. Does nothing if the request is already closed.
     pub(crate) fn finish(&mut self, id: RequestId, retry_after_ms: Option<f64>, actions: &mut Vec<Action>) {
         let Some(active) = self.requests.get(id).filter(|active| !active.is_closed()) else { return };
         let idempotency = self.settings.class(active.request.class).idempotency;
--- a/crates/admission/src/lifecycle/retries.rs
+++ b/crates/admission/src/lifecycle/retries.rs
@@ -96,8 +96,8 @@
 
     /// Returns this gateway's stalled attempts, in a large fleet.
     fn stalled_attempts(&self) -> Vec<AttemptId> {
-        let attempt = self.requests.attempts_in_flight();
-        attempt.filter(|attempt| self.is_stalled(attempt)).map(|attempt| attempt.attempt_id).collect()
+        let in_flight = self.requests.attempts_in_flight();
+        in_flight.filter(|attempt| self.is_stalled(attempt)).map(|attempt| attempt.attempt_id).collect()
     }
 
     /// Returns whether an attempt is stalled, in a large fleet. An attempt at an endpoint that is no longer
@@ -115,14 +115,15 @@
         })
     }
 
-    /// Returns whether an attempt's age has exceeded `long_response_ms` since the last round of upkeep.
+    /// Returns whether an attempt's age has exceeded that from which it is slow since the last round of
+    /// upkeep. `false` if the endpoint is no longer known.
     pub(crate) fn has_become_slow(&self, attempt: &InFlightAttemptWithClass) -> bool {
         let age_ms = self.clock.now_ms() - attempt.sent_ms;
         self.endpoints.get(attempt.endpoint).is_some()
             && retry::has_become_slow(age_ms, self.slow_after_ms(attempt.class))
     }
 
-    /// Returns the age from which an attempt of a class counts as long, in milliseconds.
+    /// Returns the age from which an attempt of a class is slow, in milliseconds.
     fn slow_after_ms(&self, class: ClassIndex) -> f64 {
         let latency_objective_ms = self.settings.class(class).latency_objective_ms;
         retry::slow_after_ms(self.latency.response_ms(class), latency_objective_ms)
--- a/crates/admission/src/lifecycle/upkeep_schedule.rs
+++ b/crates/admission/src/lifecycle/upkeep_schedule.rs
@@ -20,7 +20,9 @@
         upkeep_is_due(self.clock.now_ms(), self.clock.next_upkeep_ms())
     }
 
-    /// Returns whether the next review of all endpoints is due, in a large fleet.
+    /// Returns whether the next review of all endpoints is due, in a large fleet. A review detects a
+    /// correlated failure and updates the fleet means. The second part ends it, because the time of the last
+    /// review is that of the last update of the means.
     pub(crate) fn review_is_due(&self) -> bool {
         review_is_due(self.fleet_means.since_own_applied_ms(self.clock.now_ms()))
     }
