--- a/crates/admission/src/mechanism/virtual_finish_queue.rs
+++ b/crates/admission/src/mechanism/virtual_finish_queue.rs
@@ -12,7 +12,7 @@
 struct QueuedRequest {
     id: RequestId,
     virtual_finish: f64,
-    /// The size with which the request was enqueued.
+    /// The size with which the request was enqueued, in the caller's unit.
     size: f64,
 }
 
@@ -60,7 +60,8 @@
         self.len
     }
 
-    /// Returns the sum of the sizes of a customer's queued requests.
+    /// Returns the sum of the sizes of a customer's queued requests, in the unit of the sizes that were
+    /// passed to `enqueue`.
     pub(crate) fn queued_size(&self, key: CustomerKey) -> f64 {
         self.flows.get(&key).map_or(0.0, |flow| flow.size)
     }
--- a/crates/admission/src/messages/base64_digits.rs
+++ b/crates/admission/src/messages/base64_digits.rs
@@ -13,8 +13,8 @@
 /// The largest number that two digits carry.
 pub(crate) const MAX_TWO_DIGITS: u32 = max_value(2);
 
-/// A 64-bit number is written in three groups: its four highest bits as one digit, then twice this number of
-/// bits as five digits.
+/// A 64-bit number is written in three groups: its four highest bits as one digit, then two groups of this
+/// number of bits as five digits each.
 const GROUP_BITS: u32 = 30;
 
 /// Mask of one of the last two groups of a 64-bit number.
--- a/crates/admission/src/messages/counts_message.rs
+++ b/crates/admission/src/messages/counts_message.rs
@@ -4,7 +4,7 @@
 use crate::messages::message_entry::{put_entries, take_entry, take_message_type, MessageEntry};
 use std::str::Bytes;
 
-/// First character of every counts message.
+/// First character of every counts message, which tells it from a gossip message.
 const MESSAGE_TYPE: u8 = b'h';
 
 /// Digits of the sender's incarnation.
@@ -28,7 +28,8 @@
 /// Digits of the units of a ceiling that are transferred.
 const TRANSFER_DIGITS: u32 = 3;
 
-/// Bytes of the message's head: version, incarnation, sequence number, attempts in flight and watermark.
+/// Bytes of the message's header: message type, incarnation, sequence number, attempts in flight and
+/// watermark.
 const HEADER_LEN: usize =
     1 + (INCARNATION_DIGITS + SEQUENCE_DIGITS + SENDER_IN_FLIGHT_DIGITS + WatermarkOnWire::LEN) as usize;
 
@@ -83,7 +84,7 @@
     pub tag: u32,
     /// Units that the sender has consumed since it started.
     pub consumed: ConsumedUnits,
-    /// Fraction of the burst that the sender sees in the quota.
+    /// The tokens that the sender's bucket of the quota holds, as a fraction of the burst.
     pub fill: QuotaFill,
     /// Attempts that the sender has in flight for the customer; a message carries 63 at most.
     pub in_flight: u32,
--- a/crates/admission/src/messages/gossip_message.rs
+++ b/crates/admission/src/messages/gossip_message.rs
@@ -6,7 +6,7 @@
 use crate::messages::quota_message::{QuotaRelease, QuotaRequest, QuotaResponse};
 use std::str::Bytes;
 
-/// First character of every gossip message.
+/// First character of every gossip message, which tells it from a counts message.
 const MESSAGE_TYPE: u8 = b'w';
 
 /// Initial capacity of a message's text in bytes, enough for one quota message.
@@ -27,7 +27,8 @@
     pub observations: Vec<Observation>,
 }
 
-/// Means over the fleet of one gateway's values, rounded to the steps that a message carries.
+/// Values of one gateway, averaged over the gateways of the fleet and rounded to the steps that a message
+/// carries.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub(crate) struct MeansOnWire {
     /// Mean attempts in flight of a gateway.
--- a/crates/admission/src/messages/message_entry.rs
+++ b/crates/admission/src/messages/message_entry.rs
@@ -1,4 +1,4 @@
-//! The entries that follow the head of a message. Each is preceded by a character that marks its type.
+//! The entries that follow the header of a message. Each is preceded by a character that marks its type.
 use std::str::Bytes;
 
 /// A type of message entry.
@@ -28,7 +28,8 @@
     Some(())
 }
 
-/// Reads the first character of a message; `None` if it is not that of this type of message.
+/// Reads the first character of a message, which marks the type of the message; `None` if it is not
+/// `message_type`.
 pub(crate) fn take_message_type(bytes: &mut Bytes<'_>, message_type: u8) -> Option<()> {
     (bytes.next()? == message_type).then_some(())
 }
--- a/crates/admission/src/messages/observation_code.rs
+++ b/crates/admission/src/messages/observation_code.rs
@@ -8,8 +8,9 @@
 /// Code of a failure, relative to the first code of its class.
 const FAILURE_CODE: u32 = 63;
 
-/// First code for a rejected request. The codes from here on identify the request's plan; lower codes
-/// identify a class.
+/// First code for a rejected request. The codes from here on identify the request's plan, and lower codes
+/// identify a class. Only classes 0 to 61 have all their codes below it: a failure and the highest steps of
+/// class 62, and all observations of higher classes, are read as rejections of a plan.
 const FIRST_PLAN_CODE: u32 = 4000;
 
 /// Highest code that two digits carry.
@@ -24,8 +25,8 @@
 /// Highest step of the scale.
 const MAX_STEP: f64 = 60.0;
 
-/// Shortest response time that is encoded, as a fraction of the latency objective; shorter ones count as this
-/// one.
+/// Lower bound of a response time before its logarithm is taken, as a fraction of the latency objective. It
+/// keeps the logarithm finite. Response times below 2^-6 of the objective are step 0 anyway.
 const MIN_OBJECTIVE_FRACTION: f64 = 1e-3;
 
 /// A gateway's observation of an endpoint.
@@ -47,7 +48,8 @@
         /// Response time, relative to the class's latency objective.
         response_time: ResponseTimeCode,
     },
-    /// A request of a class failed or got no response in time.
+    /// An attempt of a request of this class failed, got no response in time, or is in flight and has become
+    /// slow.
     Failed {
         /// Class of the request, an index into the settings.
         class: ClassIndex,
--- a/crates/admission/src/messages/quota_message.rs
+++ b/crates/admission/src/messages/quota_message.rs
@@ -10,9 +10,10 @@
 pub(crate) struct QuotaRequest {
     /// Full id of the customer.
     pub customer: u64,
-    /// The customer's plan, an index into the settings, 63 at most.
+    /// The customer's plan, an index into the settings. A message carries 63 at most: a higher index arrives
+    /// as 63.
     pub plan: u32,
-    /// Units of the request, 63 at most.
+    /// Units of the request. A message carries 63 at most: more units arrive, and are charged, as 63.
     pub units: u32,
     /// Number of the first gateway that the customer's requests come through.
     pub first_gateway: u32,
@@ -60,7 +61,8 @@
     Queued,
     /// The request is over the quota, but its plan and the ceiling allow it while there is capacity.
     OverQuotaAllowed,
-    /// The request is over the quota or the ceiling, or too many requests wait for a slot already.
+    /// The request is refused: it is over the quota or the ceiling, or too many requests wait for a slot
+    /// already.
     Refused,
 }
 
--- a/crates/admission/src/state/endpoint/endpoint_record.rs
+++ b/crates/admission/src/state/endpoint/endpoint_record.rs
@@ -18,7 +18,7 @@
 pub(crate) struct EndpointSmoothing {
     /// Half-life with which the relative response time returns to the usual value without new samples, in ms.
     pub(crate) response_time_half_life_ms: f64,
-    /// Span over which the rate of attempts sent is smoothed, in seconds.
+    /// Time constant with which the rate of attempts sent is smoothed, in seconds.
     pub(crate) send_rate_time_constant_s: f64,
 }
 
--- a/crates/admission/src/state/fleet/band_state.rs
+++ b/crates/admission/src/state/fleet/band_state.rs
@@ -4,14 +4,15 @@
 /// The in-flight band as one gateway maintains it.
 #[derive(Debug, Default)]
 pub(crate) struct InFlightBand {
-    /// The watermark: attempts in flight per ready endpoint at the band's middle.
+    /// The watermark: the number of attempts in flight per ready endpoint that the band is centred on. It is
+    /// a target between the band's two bounds, not a bound itself.
     watermark: f64,
     /// Whether a queued request that its quota permits waits for the band or for an endpoint.
     has_waiting_request: bool,
-    /// Whether queued requests have waited for the band since the last step of the watermark.
+    /// Whether a queued request has waited for the band since the last step of the watermark.
     waited_for_band_since_step: bool,
-    /// Whether the endpoints are saturated: the fleet's attempts in flight exceed a fraction of the band's
-    /// middle.
+    /// Whether the endpoints are saturated: the fleet's attempts in flight exceed half of the band's middle
+    /// (`SATURATED_FILL`).
     saturated: bool,
     /// When the watermark last took a step, in milliseconds.
     stepped_ms: f64,
@@ -20,7 +21,7 @@
     /// Requests that this gateway may send by its even fraction of the band; below 0, the credit is
     /// overdrawn.
     dispatch_credit: f64,
-    /// When the dispatch credit was last refilled, in milliseconds.
+    /// When dispatch credit and message tokens were last refilled, in milliseconds.
     refilled_ms: f64,
 }
 
@@ -46,14 +47,16 @@
     pub(crate) gateways: f64,
 }
 
-/// The position of the attempts in flight relative to the band's bounds.
+/// Which requests the band permits to be sent, as a position relative to its bounds. In broadcast mode it is
+/// the position of the fleet's attempts in flight, the same for all requests. In a large fleet it tells
+/// whether there is enough dispatch credit for one request, and is never between the bounds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum BandPosition {
-    /// Below the lower bound: queued and new requests may be sent.
+    /// Below the lower bound: queued and new requests may be sent. In a large fleet: the request may be sent.
     BelowLowerBound,
     /// Between the bounds: a new request may be sent, queued requests wait.
     BetweenBounds,
-    /// At or above the upper bound: no request may be sent.
+    /// At or above the upper bound: no request may be sent. In a large fleet: the request may not be sent.
     AtOrAboveUpperBound,
 }
 
@@ -113,7 +116,8 @@
         InFlightBand { watermark, dispatch_credit, ..InFlightBand::default() }
     }
 
-    /// Returns the watermark: attempts in flight per ready endpoint at the band's middle.
+    /// Returns the watermark: the number of attempts in flight per ready endpoint that the band is centred
+    /// on.
     pub(crate) fn watermark(&self) -> f64 {
         self.watermark
     }
@@ -133,8 +137,8 @@
         now_ms - self.stepped_ms
     }
 
-    /// Begins a step of the watermark, and returns whether queued requests wait now, or have waited for the
-    /// band since the last step.
+    /// Begins a step of the watermark, and returns whether a queued request waits now for the band or for an
+    /// endpoint, or has waited for the band since the last step.
     pub(crate) fn begin_step(&mut self, now_ms: f64) -> bool {
         let has_waited = self.has_waiting_request || self.waited_for_band_since_step;
         self.waited_for_band_since_step = false;
@@ -148,7 +152,8 @@
         self.has_waiting_request
     }
 
-    /// Begins a round of dispatch, in which no request is known to wait yet.
+    /// Begins a round of dispatch. Until one is recorded, no request is taken to wait for the band or for an
+    /// endpoint.
     pub(crate) fn begin_dispatch(&mut self) {
         self.has_waiting_request = false;
     }
@@ -194,7 +199,8 @@
         self.dispatch_credit = dispatch_credit;
     }
 
-    /// Begins a refill of the dispatch credit, and returns the seconds since the last one.
+    /// Begins a refill of the dispatch credit and of the message tokens, and returns the seconds since the
+    /// last one.
     pub(crate) fn begin_refill(&mut self, now_ms: f64) -> f64 {
         let seconds = (now_ms - self.refilled_ms).max(0.0) / 1000.0;
         self.refilled_ms = now_ms;
--- a/crates/admission/src/state/fleet/broadcast_peer.rs
+++ b/crates/admission/src/state/fleet/broadcast_peer.rs
@@ -59,7 +59,7 @@
         now_ms - self.received_ms < timeout_ms
     }
 
-    /// Records the head of a message; returns `false` if the message must not be applied.
+    /// Records the header of a message; returns `false` if the message must not be applied.
     ///
     /// This guards against datagrams that arrive twice or out of order: transferred units of a ceiling would
     /// be added twice, and an older count would look as if units had been given back. Within one incarnation,
--- a/crates/admission/src/state/fleet/fleet_means.rs
+++ b/crates/admission/src/state/fleet/fleet_means.rs
@@ -16,7 +16,7 @@
     own_applied_ms: f64,
 }
 
-/// Means over the fleet of one gateway's values.
+/// Values of one gateway, averaged over the gateways of the fleet.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct GatewayMeans {
     /// Mean attempts in flight of a gateway.
@@ -44,7 +44,7 @@
         self.received
     }
 
-    /// Counts a good response at this gateway, with the rate smoothed over `time_constant_s`.
+    /// Counts a good response at this gateway. The rate is smoothed with this time constant, in seconds.
     pub(crate) fn record_response(&mut self, now_ms: f64, time_constant_s: f64) {
         self.own_rate.add(1.0, now_ms, time_constant_s);
     }
@@ -61,7 +61,7 @@
     }
 
     /// Moves the means that are passed on towards this gateway's own values. `gain_per_second` sets how fast
-    /// they follow; the rate of responses is smoothed over `time_constant_s`.
+    /// they follow; the rate of responses is smoothed with this time constant, in seconds.
     pub(crate) fn apply_own(
         &mut self,
         own_in_flight: f64,
--- a/crates/admission/src/state/fleet/gateway_set.rs
+++ b/crates/admission/src/state/fleet/gateway_set.rs
@@ -75,8 +75,12 @@
         (gateway.0 + self.fleet_size - self.first.0) % self.fleet_size < self.len
     }
 
-    /// Returns a gateway's position in the set for a customer, from 0. Positions are rotated by the
-    /// customer's key, so that different customers have different gateways in the first positions.
+    /// Returns a gateway's position in the set for a customer, from 0. Positions are rotated by the low bits
+    /// of the customer's key, so that different customers have different gateways in the first positions.
+    ///
+    /// Two gateways can have the same position if the set continues at gateway 0 after the fleet's last one,
+    /// unless the set's size divides the fleet's: the distance from the first gateway is not reduced modulo
+    /// the fleet's size.
     pub(crate) fn rotated_position(&self, key: CustomerKey, gateway: GatewayIndex) -> u32 {
         let distance = gateway.0 + self.fleet_size - self.first.0;
         (distance as u32).wrapping_add(key.low_32_bits()) % self.len as u32
@@ -93,7 +97,8 @@
         self.members().map(move |gateway| RankedGateway::new(key, gateway))
     }
 
-    /// Returns how many of the set's gateways come before this gateway in a customer's ranking.
+    /// Returns a gateway's position in a customer's ranking: the number of the set's gateways with a lower
+    /// rank, 0 for the one of lowest rank.
     pub(crate) fn ranking_position(&self, key: CustomerKey, gateway: GatewayIndex) -> usize {
         let rank = RankedGateway::new(key, gateway).rank;
         self.rendezvous_ranking(key).filter(|other| other.rank < rank).count()
--- a/crates/admission/src/state/quota/customer_record.rs
+++ b/crates/admission/src/state/quota/customer_record.rs
@@ -28,7 +28,8 @@
     /// Gossip mode: quota requests that this gateway has granted or queued as the owner of the customer's
     /// quota.
     pub(crate) grants: QuotaGrants,
-    /// Gossip mode: the sampling fraction that the quota's owner sent, if the owner is another gateway.
+    /// Gossip mode: the sampling fraction in the last response to a quota request of this gateway. The
+    /// quota's owner, which sent it, may be this gateway itself.
     sampling: OwnerSampling,
     /// Counter mode: calls to the shared counter for the customer.
     pub(crate) counter: CounterCallQueue,
@@ -183,8 +184,9 @@
         self.reports.peer_activity(now_ms, timeout_ms)
     }
 
-    /// Returns the units that a peer consumed since its last count. `fill` is the fraction of the burst that
-    /// the peer sees in the quota, which is all that a report can be used for before the plan is known.
+    /// Returns the units that a peer consumed since its last count. `fill` is the tokens that the peer's
+    /// bucket of the quota holds, as a fraction of the burst. Before the plan is known here, only `fill` can
+    /// be used.
     pub(crate) fn reported_consumption(
         &self,
         peer: GatewayIndex,
--- a/crates/admission/src/state/quota/customer_reports.rs
+++ b/crates/admission/src/state/quota/customer_reports.rs
@@ -36,7 +36,7 @@
 pub(crate) enum ReportedConsumption {
     /// Unknown, because this is the peer's first report or the customer's plan is not known here.
     Unknown {
-        /// The fraction of the burst that the peer sees in the quota, 0 to 1.
+        /// The tokens that the peer's bucket of the quota holds, as a fraction of the burst, 0 to 1.
         fill: f64,
     },
     /// Units consumed since the peer's last report.
--- a/crates/admission/src/state/quota/pending_quota_requests.rs
+++ b/crates/admission/src/state/quota/pending_quota_requests.rs
@@ -9,7 +9,7 @@
 pub(crate) enum QuotaRoute {
     /// The quota's owner decides: it is sent a quota request.
     ToOwner,
-    /// This gateway decides alone, by what it expects of the customer.
+    /// This gateway decides without the owner, by what it expects of the customer.
     WithoutOwner(QuotaExpectation),
 }
 
--- a/crates/admission/src/state/quota/quota_grants.rs
+++ b/crates/admission/src/state/quota/quota_grants.rs
@@ -4,8 +4,8 @@
 use crate::messages::quota_message::QuotaRequestNumber;
 use std::collections::VecDeque;
 
-/// A quota request that the owner has granted, or has queued to grant it later. The sender and its number
-/// identify it.
+/// The owner's record of a quota request that it has granted, or has queued to grant it later. The gateway
+/// that sent the quota request and the number that it gave it identify the quota request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct QuotaRequestRecord {
     /// Gateway that sent the quota request.
@@ -65,7 +65,8 @@
         self.waiting.len()
     }
 
-    /// Adds requested units to the rate, including those of the requests that the sampled one stands for.
+    /// Adds requested units to the rate of requested units, including those of the requests that the sampled
+    /// one stands for.
     pub(crate) fn record_demand(&mut self, units: f64, now_ms: f64, time_constant_s: f64) {
         self.requested_rate.add(units, now_ms, time_constant_s);
     }
@@ -103,7 +104,7 @@
         self.waiting.pop_front()
     }
 
-    /// Returns the units requested per second, as a divisor: never 0.
+    /// Returns the units requested per second. The rate is a divisor, so it is never 0.
     pub(crate) fn requested_per_second(&self, now_ms: f64, time_constant_s: f64) -> f64 {
         self.requested_rate.nonzero_per_second_at(now_ms, time_constant_s)
     }
--- a/crates/admission/src/state/quota/quota_state.rs
+++ b/crates/admission/src/state/quota/quota_state.rs
@@ -16,8 +16,8 @@
     QueuedAtOwner { owner: GatewayIndex, number: QuotaRequestNumber },
     /// The owner granted the request. If the quota is `ample`, the true units need not be reported.
     GrantedByOwner { owner: GatewayIndex, number: QuotaRequestNumber, ample: bool },
-    /// The request is over the quota, or assumed to be. If it `may_exceed` the quota, it is sent while there
-    /// is capacity.
+    /// The request is over the quota, or assumed to be, or the owner refused it. If it `may_exceed` the
+    /// quota, it is sent while there is capacity.
     OverQuota { may_exceed: bool },
     /// The quota counter was called for the request and has not replied.
     AwaitingCounter,
@@ -70,7 +70,9 @@
         matches!(self, QuotaState::LocalBucket { .. })
     }
 
-    /// Returns whether the request is charged to its customer's quota.
+    /// Returns whether the request is taken to be within its customer's quota. For `LocalBucket` this is
+    /// provisional, and for `AdmittedUncounted` it is an assumption, because the counter was not called for
+    /// the request.
     pub(crate) fn is_within_quota(&self) -> bool {
         match self {
             QuotaState::LocalBucket { within_quota } => *within_quota,
@@ -107,7 +109,7 @@
     Admit,
     /// The request stays queued until a response, a slot or units of the ceiling arrive.
     Wait,
-    /// The request is over the quota, so it leaves the queue.
+    /// The request is over the quota or was refused, so it leaves the queue.
     OverQuota,
 }
 
--- a/crates/admission/src/state/request/active_request.rs
+++ b/crates/admission/src/state/request/active_request.rs
@@ -21,8 +21,8 @@
     closed: bool,
     /// State of the request's quota check.
     quota_state: QuotaState,
-    /// Units by which the attempts' true units exceed the estimate, if another gateway or the counter counts
-    /// the quota.
+    /// Units by which the attempts' true units exceed the estimate, below 0 if they fall short of it. They
+    /// are summed only if another gateway or the counter counts the quota.
     excess_units: f64,
 }
 
@@ -58,14 +58,14 @@
         self.quota_state = quota_state;
     }
 
-    /// Adds the units by which an ended attempt's true units exceed the estimate, to be settled with the
-    /// owner or the counter that counts the quota.
+    /// Adds the units by which an ended attempt's true units exceed the estimate, below 0 if they fall short
+    /// of it, to be settled with the owner or the counter that counts the quota.
     pub(crate) fn add_excess_units(&mut self, excess_units: f64) {
         self.excess_units += excess_units;
     }
 
-    /// Returns the units by which the attempts' true units exceed the estimate, if another gateway or the
-    /// counter counts the quota.
+    /// Returns the units by which the attempts' true units exceed the estimate, below 0 if they fall short of
+    /// it, if another gateway or the counter counts the quota.
     pub(crate) fn excess_units(&self) -> f64 {
         self.excess_units
     }
--- a/crates/admission/src/state/request/attempt_record.rs
+++ b/crates/admission/src/state/request/attempt_record.rs
@@ -75,7 +75,7 @@
     pub(crate) attempt: u32,
 }
 
-/// An attempt in flight, with the class of its request.
+/// An attempt in flight at any endpoint, with the class of its request and its endpoint.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct InFlightAttemptWithClass {
     /// The attempt's identifier.
