--- a/crates/admission/src/event.rs
+++ b/crates/admission/src/event.rs
@@ -58,7 +58,7 @@
     pub customer: CustomerId,
     /// Time for which the client still waits, until its deadline, in milliseconds.
     pub time_left_ms: f64,
-    /// Units that the request counts against the quota. They are an estimate if the true units come with the
+    /// Units of the quota that the request consumes. They are an estimate if the true units come with the
     /// response.
     pub units: f64,
     /// Number of gateways that the customer's requests come through.
@@ -108,7 +108,7 @@
     pub took_ms: f64,
     /// Whether the request has its final response or its client has disconnected.
     pub request_closed: bool,
-    /// Units that the request really counted; `None` if they did not come with the response.
+    /// Units that the request really consumed; `None` if they did not come with the response.
     pub true_units: Option<f64>,
 }
 
--- a/crates/admission/src/id.rs
+++ b/crates/admission/src/id.rs
@@ -8,19 +8,20 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CustomerId(pub u64);
 
-/// The key of a customer in a gateway's records. In a large fleet it is the customer's whole id. In broadcast
-/// mode it is the short tag that names the customer in messages between gateways.
+/// The key of a customer's record at a gateway. In a large fleet it is the customer's whole id. In broadcast
+/// mode it is the customer's tag, a hash of the id of 24 bits that stands for the customer in messages
+/// between gateways; customers with the same tag share one record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct CustomerKey(pub(crate) u64);
 
 impl CustomerKey {
-    /// Returns the key of a customer that a message names by its short tag.
+    /// Returns the key, in broadcast mode, of a customer that a message names by its tag.
     pub(crate) fn from_tag(tag: u32) -> Self {
         CustomerKey(u64::from(tag))
     }
 
-    /// Returns the low 32 bits of the key. If the key is a short tag, of 24 bits, these are the tag.
-    /// Customers with the same tag share one record.
+    /// Returns the low 32 bits of the key. In broadcast mode these are the customer's tag, which has 24 bits.
+    /// In a large fleet they are the low 32 bits of its id.
     pub(crate) fn low_32_bits(self) -> u32 {
         self.0 as u32
     }
--- a/crates/admission/src/policy/admission/new_request.rs
+++ b/crates/admission/src/policy/admission/new_request.rs
@@ -28,7 +28,7 @@
 pub(crate) struct AdmissionInput {
     /// The result of checking the request against the customer's token bucket.
     pub(crate) quota: LocalBucketCheck,
-    /// Whether the customer's open limit and ceiling permit the request now.
+    /// Whether the customer's concurrency limit and ceiling permit the request now.
     pub(crate) limits: LimitDecision,
     /// The position of the fleet's attempts in flight relative to the band's bounds.
     pub(crate) band: BandPosition,
@@ -82,8 +82,8 @@
     }
 }
 
-/// Returns whether quota, band and open limit permit a new request and only units of the customer's ceiling
-/// are lacking, so that peers are asked for some.
+/// Returns whether quota, band and concurrency limit permit a new request and only units of the customer's
+/// ceiling are lacking, so that peers are asked for some.
 pub(crate) fn lacks_ceiling_units_only(input: &AdmissionInput) -> bool {
     input.quota.is_within_quota
         && input.band.permits_new_request()
--- a/crates/admission/src/policy/observation/attempt_observation.rs
+++ b/crates/admission/src/policy/observation/attempt_observation.rs
@@ -7,7 +7,7 @@
 /// Maximum number of observations in a message, and of those that are retained for the next messages.
 pub(crate) const MAX_OBSERVATIONS: usize = 3;
 
-/// Span over which the rate of observed responses is smoothed, in seconds.
+/// Time constant with which the rate of observed responses is smoothed, in seconds.
 pub(crate) const OBSERVATION_TIME_CONSTANT_S: f64 = 3.0;
 
 /// Returns what the end of one of this gateway's attempts shows about its endpoint, or `None` if it shows
--- a/crates/admission/src/policy/peer_messages/ceiling_transfer.rs
+++ b/crates/admission/src/policy/peer_messages/ceiling_transfer.rs
@@ -5,8 +5,8 @@
 const CEILING_TRANSFER_FRACTION: f64 = 0.5;
 
 /// Returns the units to transfer to a peer that requests some. `ceiling_tokens` is what this gateway has of
-/// the ceiling; it keeps `max_request_units`, the most that one request may count. The result is rounded down
-/// to quarters of a unit, in which messages carry units.
+/// the ceiling; it keeps `max_request_units`, the most that one request may consume. The result is rounded
+/// down to quarters of a unit, in which messages carry units.
 pub(crate) fn ceiling_transfer_units(ceiling_tokens: f64, max_request_units: f64) -> f64 {
     let spare_units = (ceiling_tokens - max_request_units).max(0.0);
     (spare_units * CEILING_TRANSFER_FRACTION * QUARTERS_PER_UNIT).floor() / QUARTERS_PER_UNIT
--- a/crates/admission/src/policy/peer_messages/message_capacity.rs
+++ b/crates/admission/src/policy/peer_messages/message_capacity.rs
@@ -10,8 +10,8 @@
 /// Maximum size of a message to a peer, in bytes.
 pub(crate) const MAX_MESSAGE_BYTES: usize = 256;
 
-/// Returns the messages per second that all peers of a gateway together may send it. `accepted_per_second` is
-/// the number that it accepts.
+/// Returns the messages per second that all peers of a gateway together plan to send it. It is a fraction of
+/// `accepted_per_second`, the messages per second that the gateway accepts.
 pub(crate) fn planned_messages_per_second(accepted_per_second: f64) -> f64 {
     PEER_MESSAGE_FRACTION * accepted_per_second
 }
--- a/crates/admission/src/policy/peer_messages/quota_message_budget.rs
+++ b/crates/admission/src/policy/peer_messages/quota_message_budget.rs
@@ -5,7 +5,8 @@
 /// responses to its own quota requests may use together.
 const QUOTA_MESSAGE_FRACTION: f64 = 0.9;
 
-/// Lower bound of the fraction of accepted messages that the responses to own quota requests may use.
+/// Lower bound of the rate of this gateway's quota requests, as a fraction of the messages that a gateway
+/// accepts. The responses to them use that fraction.
 const MIN_QUOTA_REQUEST_FRACTION: f64 = 0.2;
 
 /// Number of message tokens that a gateway starts with.
--- a/crates/admission/src/policy/quota_counter/count_catch_up.rs
+++ b/crates/admission/src/policy/quota_counter/count_catch_up.rs
@@ -14,7 +14,8 @@
 /// Fraction of the burst by which a count may lag. A smaller lag isn't worth a call to the counter.
 const MAX_LAG_FRACTION: f64 = 0.25;
 
-/// Fraction of a catch-up's units above which the units that others added include the same catch-up.
+/// Fraction of a catch-up's units: if other gateways have meanwhile added more than this, one of them made
+/// the same catch-up.
 const DUPLICATE_CATCH_UP_FRACTION: f64 = 0.5;
 
 /// Returns the units to add to a count so that its customer has no more tokens than the burst, or `None` if
--- a/crates/admission/src/policy/quota_counter/count_decision.rs
+++ b/crates/admission/src/policy/quota_counter/count_decision.rs
@@ -13,9 +13,9 @@
     }
 }
 
-/// Decides on a request over the quota. If its plan pays for use over the quota, it may still be sent while
-/// there is capacity. Under a hard ceiling it is not, because no gateway knows how much of the ceiling the
-/// others spent.
+/// Decides on a request over the quota. If it is worth more than it costs and its plan has no concurrency
+/// limit, it may still be sent while there is capacity. Under a hard ceiling it is not, because no gateway
+/// knows how much of the ceiling the others spent.
 pub(crate) fn decide_over_quota(plan: &PlanSettings) -> QuotaState {
     let may_exceed = over_quota_use_is_worthwhile(plan) && plan.ceiling_rate_per_second <= 0.0;
     QuotaState::OverQuota { may_exceed }
--- a/crates/admission/src/policy/quota_owner/fallback_decision.rs
+++ b/crates/admission/src/policy/quota_owner/fallback_decision.rs
@@ -1,5 +1,6 @@
-//! What a gateway decides on a request without the quota owner: when the owner did not respond, when it wants
-//! quota requests for a sample of the requests only, or when no message token is left.
+//! What a gateway decides on a request without the quota owner: when the owner did not respond, when the
+//! owner wants quota requests for a sample of the requests only and this one is not sampled, or when no
+//! message token is left.
 use crate::state::{QuotaExpectation, QuotaState};
 
 /// What a gateway knows about a request that it decides on without the quota owner.
@@ -16,8 +17,9 @@
 /// Decides on a request without the quota owner.
 ///
 /// Most customers are well within their quota, so this gateway's own token bucket decides while the endpoints
-/// have spare capacity. It doesn't if the owner recently granted less than was requested. Under a hard
-/// ceiling nothing is sent, because only the owner knows how much of the ceiling is spent.
+/// have spare capacity. If the owner recently granted less than was requested, the request counts as over the
+/// quota instead and is not sent. So does every request under a hard ceiling, because only the owner knows
+/// how much of the ceiling is spent.
 pub(crate) fn decide_without_owner(input: WithoutOwnerInput) -> QuotaState {
     let has_ceiling = input.ceiling_rate_per_second > 0.0;
     if input.expectation == QuotaExpectation::Within && input.is_below_credit_threshold && !has_ceiling {
--- a/crates/admission/src/policy/quota_owner/owner_sampling.rs
+++ b/crates/admission/src/policy/quota_owner/owner_sampling.rs
@@ -2,11 +2,12 @@
 //! sampling, a customer far over its quota would cost one message for each request that is rejected in the
 //! end.
 
-/// Time constant of the smoothed rates of units, messages received and good responses, in seconds.
+/// Time constant of the smoothed rates of units, of received messages and of good responses, in seconds. The
+/// last of them is also kept in counter and isolated mode.
 pub(crate) const RATE_TIME_CONSTANT_S: f64 = 1.5;
 
-/// Units that the owner wants quota requests for, as a multiple of the units that it grants, when more is
-/// requested than granted.
+/// Units that the owner wants quota requests for, as a multiple of the units that it grants or that the
+/// plan's rate adds, whichever is more. It matters when more units are requested than that.
 const SAMPLING_HEADROOM: f64 = 1.5;
 
 /// Lower bound of the fraction of requests that an owner wants quota requests for.
--- a/crates/admission/src/policy/quota_owner/owner_verdict.rs
+++ b/crates/admission/src/policy/quota_owner/owner_verdict.rs
@@ -1,5 +1,5 @@
-//! What the owner of a customer's quota decides on a quota request. A slot is one of the attempts that a plan
-//! lets a customer have in flight, up to `open_limit`.
+//! What the owner of a customer's quota decides on a quota request. A plan with a `concurrency_limit` has as
+//! many slots. At the owner a granted request takes one slot until it ends, however many attempts it has.
 use crate::messages::quota_message::QuotaVerdict;
 use crate::policy::ample_quota::is_ample;
 use crate::policy::over_quota_use::over_quota_use_is_worthwhile;
@@ -66,8 +66,8 @@
     }
 }
 
-/// Returns how long a grant counts after the time until which its request may wait, in ms: as long as an
-/// attempt may take.
+/// Returns the time between the end of the time for which a request may wait and the expiry of its grant, in
+/// ms: as long as an attempt may take.
 ///
 /// Guards against a lost release, after which a slot would stay occupied for ever.
 pub(crate) fn grant_extension_ms(longest_objective_ms: f64) -> f64 {
--- a/crates/admission/src/policy/slow_start/warm_up_budget.rs
+++ b/crates/admission/src/policy/slow_start/warm_up_budget.rs
@@ -10,7 +10,7 @@
 /// window sees more than its own tokens and these.
 const SAVED_WINDOW_FRACTION: f64 = 0.5;
 
-/// Span over which the rate of attempts sent to an endpoint is smoothed, in seconds.
+/// Time constant with which the rate of attempts sent to an endpoint is smoothed, in seconds.
 pub(crate) const SEND_RATE_TIME_CONSTANT_S: f64 = 3.0;
 
 /// What the budget of an endpoint that is warming up depends on.
--- a/crates/admission/src/settings.rs
+++ b/crates/admission/src/settings.rs
@@ -32,7 +32,9 @@
 /// The settings of a request class.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ClassSettings {
-    /// Latency objective, in milliseconds, above 0. A response within this time has its full value.
+    /// Latency objective, in milliseconds, above 0: the time within which a response has its full value. Like
+    /// `deadline_ms` it is counted from the client's first request, as far as a gateway can tell from the
+    /// time that the client still waits.
     pub latency_objective_ms: f64,
     /// Time that a client waits for its response, counted from its first request, in milliseconds, above 0.
     pub deadline_ms: f64,
@@ -120,7 +122,7 @@
     pub peer_messages_per_second: f64,
     /// Longest `Retry-After` that clients honour, in milliseconds; 0 if they honour none.
     pub max_retry_after_ms: f64,
-    /// Maximum units that one request counts.
+    /// Maximum units that one request consumes.
     pub max_units: f64,
     /// Fraction of its full capacity that an endpoint has at least when its process starts, from 0 to 1.
     pub cold_start_fraction: f64,
@@ -166,7 +168,10 @@
     ///
     /// # Errors
     ///
-    /// Returns an error that names the first setting that is missing or out of range.
+    /// Returns an error if a setting is missing or out of range. For a setting out of range the error names
+    /// the first of a group that is checked together: `rate_per_second` also stands for `burst_units`,
+    /// `over_quota_value` for `over_quota_cost` and `plan_weight`, `ceiling_rate_per_second` for
+    /// `ceiling_burst_units`, and `overload_multiple` for `overload_window_ms`.
     pub fn check(&self) -> Result<(), SettingsError> {
         if self.classes.is_empty() {
             return Err(SettingsError::NoClasses);
@@ -247,7 +252,8 @@
     /// `this_gateway` is not below the number of gateways.
     #[error("this gateway's number is not below the number of gateways")]
     NotAmongGateways,
-    /// The named setting is negative, not finite, 0 although it must be above 0, or above its maximum.
+    /// The named setting, or one that is checked together with it (see [`Settings::check`]), is negative, not
+    /// finite, 0 although it must be above 0, or above its maximum.
     #[error("setting out of range: {0}")]
     OutOfRange(&'static str),
 }
--- a/crates/admission/src/startup.rs
+++ b/crates/admission/src/startup.rs
@@ -17,8 +17,15 @@
 };
 
 impl Gateway {
-    /// Creates a gateway that knows nothing but its settings. `seed` determines every random decision.
-    /// `now_ms` and the times of events are in milliseconds from the same origin, which may be any.
+    /// Creates a gateway that knows nothing but its settings.
+    ///
+    /// `seed` determines every random decision and the gateway's incarnation. Each start of a gateway needs
+    /// another seed: in broadcast mode, peers take the messages of a gateway that restarted with the same
+    /// incarnation for old ones and ignore them.
+    ///
+    /// `now_ms` and the times of events are in milliseconds from the same origin. If the gateways enforce
+    /// quotas through the quota counter, all gateways need the same origin, because it determines the names
+    /// of the counts. Otherwise each gateway may have its own.
     ///
     /// # Errors
     ///
--- a/crates/admission/src/tests/plan_builder.rs
+++ b/crates/admission/src/tests/plan_builder.rs
@@ -1,7 +1,7 @@
 //! Plans for table tests.
 use crate::settings::PlanSettings;
 
-/// Returns a plan with a quota, but without an open limit, a ceiling or paid use over the quota.
+/// Returns a plan with a quota, but without a concurrency limit, a ceiling or worthwhile use over the quota.
 pub(crate) fn quota_plan(rate_per_second: f64, burst_units: f64) -> PlanSettings {
     PlanSettings {
         rate_per_second,
