--- a/crates/admission/src/coordination/quota_requests.rs
+++ b/crates/admission/src/coordination/quota_requests.rs
@@ -25,7 +25,7 @@
     /// The owner that the quota request was sent to.
     owner: GatewayIndex,
     /// Number of times that the quota request had already been sent again.
-    retries: u32,
+    resends: u32,
 }
 
 impl Gateway {
@@ -46,9 +46,9 @@
         }
     }
 
-    /// Sends the quota owner a quota request for a queued request, or decides without the owner. `retries` is
+    /// Sends the quota owner a quota request for a queued request, or decides without the owner. `resends` is
     /// the number of earlier quota requests for it that got no response.
-    fn request_quota(&mut self, id: RequestId, retries: u32, actions: &mut Vec<Action>) {
+    fn request_quota(&mut self, id: RequestId, resends: u32, actions: &mut Vec<Action>) {
         let Some(active) = self.requests.get(id) else { return };
         let now_ms = self.clock.now_ms();
         let this_gateway = self.settings.this_gateway;
@@ -66,7 +66,7 @@
         let number = gossip.requests.number_for(previous, owner);
         let route = route_quota_request(QuotaRouteInput {
             owns_quota: owner == this_gateway,
-            retries,
+            resends,
             sampling: sampling_fraction,
             draw: self.random.next_fraction(),
             message_tokens: gossip.message_tokens(),
@@ -84,7 +84,7 @@
             wait_budget,
             sampling_fraction,
         };
-        self.send_quota_request(id, owner, quota_request, retries, actions);
+        self.send_quota_request(id, owner, quota_request, resends, actions);
     }
 
     /// Sends a quota request to the owner, which may be this gateway.
@@ -93,7 +93,7 @@
         id: RequestId,
         owner: GatewayIndex,
         request: QuotaRequest,
-        retries: u32,
+        resends: u32,
         actions: &mut Vec<Action>,
     ) {
         let Some(gossip) = self.coordination.gossip_mut() else { return };
@@ -103,7 +103,7 @@
         }
         let number = request.number;
         let sent_ms = self.clock.now_ms();
-        active.set_quota_state(QuotaState::AwaitingOwner { owner, number, sent_ms, retries });
+        active.set_quota_state(QuotaState::AwaitingOwner { owner, number, sent_ms, resends });
         gossip.requests.insert(number, id);
         self.send_gossip(owner, GossipMessage::request(request), actions);
     }
@@ -127,7 +127,7 @@
 
     /// Sends quota requests again that got no response in time, or decides without the owner. Records the
     /// missed responses, after which an owner may be suspected to be down.
-    pub(crate) fn retry_quota_requests(&mut self, actions: &mut Vec<Action>) {
+    pub(crate) fn resend_quota_requests(&mut self, actions: &mut Vec<Action>) {
         let now_ms = self.clock.now_ms();
         for missed in self.missed_responses() {
             let Some(gossip) = self.coordination.gossip_mut() else { return };
@@ -138,8 +138,8 @@
                 }
             }
             let max_tokens = max_message_tokens(self.settings.peer_messages_per_second);
-            match route_after_missed_response(missed.retries, gossip.message_tokens(), max_tokens) {
-                QuotaRoute::ToOwner => self.request_quota(missed.id, missed.retries + 1, actions),
+            match route_after_missed_response(missed.resends, gossip.message_tokens(), max_tokens) {
+                QuotaRoute::ToOwner => self.request_quota(missed.id, missed.resends + 1, actions),
                 QuotaRoute::WithoutOwner(expectation) => self.decide_without_owner(missed.id, expectation),
             }
         }
@@ -151,10 +151,10 @@
         let wait_ms = response_wait_ms(self.settings.shortest_objective_ms());
         let missed = gossip.requests.waiting().filter_map(|id| {
             let active = self.requests.get(id)?;
-            let QuotaState::AwaitingOwner { owner, sent_ms, retries, .. } = active.quota_state() else {
+            let QuotaState::AwaitingOwner { owner, sent_ms, resends, .. } = active.quota_state() else {
                 return None;
             };
-            (self.clock.now_ms() - sent_ms > wait_ms).then_some(MissedResponse { id, owner, retries })
+            (self.clock.now_ms() - sent_ms > wait_ms).then_some(MissedResponse { id, owner, resends })
         });
         missed.collect()
     }
--- a/crates/admission/src/event_handling.rs
+++ b/crates/admission/src/event_handling.rs
@@ -96,7 +96,7 @@
         let seconds = self.band.begin_refill(self.clock.now_ms());
         self.refill_dispatch_credit(seconds);
         self.refill_message_tokens(seconds);
-        self.retry_quota_requests(actions);
+        self.resend_quota_requests(actions);
         self.step_watermark();
         self.evict_idle_customers_if_due();
     }
--- a/crates/admission/src/policy/quota_owner/quota_request_route.rs
+++ b/crates/admission/src/policy/quota_owner/quota_request_route.rs
@@ -10,7 +10,7 @@
 const MIN_RESPONSE_WAIT_MS: f64 = 60.0;
 
 /// Maximum number of times that a quota request is sent again.
-const MAX_QUOTA_RETRIES: u32 = 3;
+const MAX_RESENDS: u32 = 3;
 
 /// Fraction of the maximum message tokens that this gateway must have more than for a quota request to be
 /// sent again.
@@ -28,7 +28,7 @@
     /// Whether this gateway owns the quota itself, so that no message is needed.
     pub(crate) owns_quota: bool,
     /// Number of times that the quota request was already sent without a response.
-    pub(crate) retries: u32,
+    pub(crate) resends: u32,
     /// Fraction of the customer's requests for which this gateway sends quota requests.
     pub(crate) sampling: SamplingFraction,
     /// Random number, uniformly distributed from 0 to 1.
@@ -43,7 +43,7 @@
     let is_sampled = input.draw <= input.sampling.fraction();
     if input.owns_quota {
         QuotaRoute::ToOwner
-    } else if input.retries == 0 && !is_sampled {
+    } else if input.resends == 0 && !is_sampled {
         QuotaRoute::WithoutOwner(QuotaExpectation::Over)
     } else if input.message_tokens < TOKENS_PER_QUOTA_REQUEST {
         let expectation = if input.sampling == SamplingFraction::ALL {
@@ -62,16 +62,16 @@
     (RESPONSE_WAIT_FRACTION * shortest_objective_ms).max(MIN_RESPONSE_WAIT_MS)
 }
 
-/// Returns whether a quota request is sent again after the owner did not respond in time. `retries` is the
+/// Returns whether a quota request is sent again after the owner did not respond in time. `resends` is the
 /// number of times that it was already sent again, and `max_message_tokens` is the number of message tokens
 /// that a gateway may save up. A missing response says nothing about the customer, which is most likely
 /// within its quota.
 pub(crate) fn route_after_missed_response(
-    retries: u32,
+    resends: u32,
     message_tokens: f64,
     max_message_tokens: f64,
 ) -> QuotaRoute {
-    if retries < MAX_QUOTA_RETRIES && message_tokens > RESEND_MESSAGE_TOKENS_FRACTION * max_message_tokens {
+    if resends < MAX_RESENDS && message_tokens > RESEND_MESSAGE_TOKENS_FRACTION * max_message_tokens {
         QuotaRoute::ToOwner
     } else {
         QuotaRoute::WithoutOwner(QuotaExpectation::Within)
--- a/crates/admission/src/state/quota/quota_state.rs
+++ b/crates/admission/src/state/quota/quota_state.rs
@@ -9,9 +9,9 @@
     /// This gateway's own token bucket decides, without a message or call. `within_quota` is provisional: the
     /// bucket is checked again when the request is to be sent.
     LocalBucket { within_quota: bool },
-    /// The quota's owner was sent a quota request at `sent_ms` and has not responded. `retries` is how often
+    /// The quota's owner was sent a quota request at `sent_ms` and has not responded. `resends` is how often
     /// a quota request for the same request had been sent before.
-    AwaitingOwner { owner: GatewayIndex, number: QuotaRequestNumber, sent_ms: f64, retries: u32 },
+    AwaitingOwner { owner: GatewayIndex, number: QuotaRequestNumber, sent_ms: f64, resends: u32 },
     /// The owner queues the request until the customer has a free slot.
     QueuedAtOwner { owner: GatewayIndex, number: QuotaRequestNumber },
     /// The owner granted the request. If the quota is `ample`, the true units need not be reported.
--- a/crates/admission/src/tests/quota_rules/owner_rules.rs
+++ b/crates/admission/src/tests/quota_rules/owner_rules.rs
@@ -114,7 +114,7 @@
 fn quota_request_is_sent_if_sampled_and_a_message_token_is_left() {
     let (all, half) = (SamplingFraction::ALL, SamplingFraction::nearest(0.5));
     let without_owner = QuotaRoute::WithoutOwner;
-    // Whether this gateway owns the quota, retries, sampling fraction, draw, message tokens, expected route.
+    // Whether this gateway owns the quota, resends, sampling fraction, draw, message tokens, expected route.
     let cases = [
         (true, 0, half, 0.9, 0.0, QuotaRoute::ToOwner),
         (false, 0, half, 0.4, 1.0, QuotaRoute::ToOwner),
@@ -124,14 +124,14 @@
         (false, 0, all, 0.9, 0.9, without_owner(QuotaExpectation::Within)),
         (false, 0, all, 1.0, 1.0, QuotaRoute::ToOwner),
     ];
-    for (owns_quota, retries, sampling, draw, message_tokens, expected) in cases {
-        let input = QuotaRouteInput { owns_quota, retries, sampling, draw, message_tokens };
+    for (owns_quota, resends, sampling, draw, message_tokens, expected) in cases {
+        let input = QuotaRouteInput { owns_quota, resends, sampling, draw, message_tokens };
         assert_eq!(route_quota_request(input), expected, "{input:?}");
     }
 }
 
 #[test]
-fn quota_request_is_retried_three_times_above_half_the_message_tokens() {
+fn quota_request_is_resent_three_times_above_half_the_message_tokens() {
     let without_owner = QuotaRoute::WithoutOwner(QuotaExpectation::Within);
     let cases = [
         (0, 21.1, QuotaRoute::ToOwner),
@@ -139,8 +139,8 @@
         (3, 21.1, without_owner),
         (0, 21.0, without_owner),
     ];
-    for (retries, tokens, expected) in cases {
-        assert_eq!(route_after_missed_response(retries, tokens, 42.0), expected, "{retries} {tokens}");
+    for (resends, tokens, expected) in cases {
+        assert_eq!(route_after_missed_response(resends, tokens, 42.0), expected, "{resends} {tokens}");
     }
 }
 
