--- a/crates/admission/src/policy/quota_owner/quota_request_route.rs
+++ b/crates/admission/src/policy/quota_owner/quota_request_route.rs
@@ -12,8 +12,8 @@
 /// Maximum number of times that a quota request is sent again.
 const MAX_RESENDS: u32 = 3;
 
-/// Fraction of the maximum message tokens that this gateway must have more than for a quota request to be
-/// sent again.
+/// A quota request is sent again only while this gateway has more than this fraction of its maximum message
+/// tokens.
 const RESEND_MESSAGE_TOKENS_FRACTION: f64 = 0.5;
 
 /// Time that a granted request must have left, in mean response times. A later grant is of no use.
--- a/crates/admission/src/state/fleet/band_state.rs
+++ b/crates/admission/src/state/fleet/band_state.rs
@@ -152,8 +152,7 @@
         self.has_waiting_request
     }
 
-    /// Begins a round of dispatch. Until one is recorded, no request is taken to wait for the band or for an
-    /// endpoint.
+    /// Begins a round of dispatch, in which no queued request has been found to wait yet.
     pub(crate) fn begin_dispatch(&mut self) {
         self.has_waiting_request = false;
     }
--- a/crates/admission/src/state/quota/quota_grants.rs
+++ b/crates/admission/src/state/quota/quota_grants.rs
@@ -5,7 +5,7 @@
 use std::collections::VecDeque;
 
 /// The owner's record of a quota request that it has granted, or has queued to grant it later. The gateway
-/// that sent the quota request and the number that it gave it identify the quota request.
+/// that sent it and its number there identify the quota request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct QuotaRequestRecord {
     /// Gateway that sent the quota request.
