--- a/crates/admission/src/coordination/count_reports.rs
+++ b/crates/admission/src/coordination/count_reports.rs
@@ -1,7 +1,7 @@
 //! Broadcast mode: each gateway reports its counts to every other gateway.
 use crate::action::Action;
 use crate::gateway::Gateway;
-use crate::id::{CustomerTag, GatewayIndex};
+use crate::id::{CustomerKey, GatewayIndex};
 use crate::messages::counts_message::{
     CeilingRequest, CeilingTransfer, ConsumedUnits, CountEntry, CountsMessage, QuotaFill, WatermarkOnWire,
     MAX_CUSTOMER_LEN,
@@ -16,7 +16,7 @@
 use crate::state::{BroadcastPeer, Coordination, Customer, PeerCount};
 use std::collections::BTreeMap;
 
-/// The messages to each peer in one round of reports. Their heads are filled in when they are sent.
+/// The messages to each peer in one round of reports. Their headers are filled in when they are sent.
 struct ReportRound {
     /// The messages to each peer.
     messages: BTreeMap<GatewayIndex, Vec<CountsMessage>>,
@@ -28,8 +28,8 @@
         ReportRound { messages: peers.map(|peer| (peer, vec![CountsMessage::default()])).collect() }
     }
 
-    /// Returns the message to a peer that another customer's entries fit into, and begins a new message if
-    /// the last one is full. Returns `None` if there is no such peer.
+    /// Returns the message to a peer that the next customer's entries are added to: the last one of this
+    /// round, or a new one if the last might lack space for them. Returns `None` if there is no such peer.
     fn message_with_space(&mut self, peer: GatewayIndex) -> Option<&mut CountsMessage> {
         let messages = self.messages.get_mut(&peer)?;
         if messages.last().is_none_or(|m| m.len() + MAX_CUSTOMER_LEN > MAX_MESSAGE_BYTES) {
@@ -57,7 +57,10 @@
 }
 
 impl Gateway {
-    /// Sends each peer what has changed, within the peer's report credit, if a round of reports is due.
+    /// Sends each peer what has changed, if a round of reports is due. This gateway's report credit for a
+    /// peer limits the messages to it. A message for which there is no credit is dropped with its entries:
+    /// its counts are sent again only in the next round for which they are scheduled, and the units of its
+    /// ceiling transfers are lost.
     pub(crate) fn broadcast_counts_if_due(&mut self, actions: &mut Vec<Action>) {
         let Coordination::Broadcast(broadcast) = &mut self.coordination else { return };
         let interval_ms = report_interval_ms(self.settings.gateways, self.settings.peer_messages_per_second);
@@ -70,29 +73,30 @@
 
     /// Packs what is to be reported about customers into messages.
     fn collect_reports(&mut self, mut round: ReportRound) -> ReportRound {
-        for tag in self.customers.unreported() {
-            let Some(customer) = self.customers.get_mut(tag) else {
-                self.customers.mark_reported(tag);
+        for key in self.customers.unreported() {
+            let Some(customer) = self.customers.get_mut(key) else {
+                self.customers.mark_reported(key);
                 continue;
             };
             let Some(plan) = customer.plan().map(|p| self.settings.plan(p)) else { continue };
             customer.refill(plan, self.clock.now_ms());
             let fill = quota_fill(customer.quota_tokens(), plan.burst_units);
             let entry = CountEntry {
-                tag: tag.short(),
+                tag: key.low_32_bits(),
                 consumed: ConsumedUnits::new(customer.reports.consumed_units()),
                 fill: QuotaFill::at_most(fill),
                 in_flight: customer.in_flight(),
             };
             round.add(customer, entry);
             if !customer.reports.end_round() {
-                self.customers.mark_reported(tag);
+                self.customers.mark_reported(key);
             }
         }
         round
     }
 
-    /// Fills in the heads of a round's messages, and sends the messages that are due.
+    /// Fills in the headers of a round's messages, and sends the messages that are due and for which there is
+    /// credit. The others are dropped.
     fn send_reports(&mut self, round: ReportRound, in_flight: u32, actions: &mut Vec<Action>) {
         let now_ms = self.clock.now_ms();
         let Coordination::Broadcast(broadcast) = &mut self.coordination else { return };
@@ -124,7 +128,7 @@
             self.apply_count(from, message.incarnation, entry);
         }
         for request in &message.ceiling_requests {
-            self.on_ceiling_request(from, CustomerTag::from_short(request.tag));
+            self.on_ceiling_request(from, CustomerKey::from_tag(request.tag));
         }
         for transfer in &message.ceiling_transfers {
             self.on_ceiling_transfer(transfer);
@@ -134,7 +138,7 @@
     /// Applies a peer's count of one customer.
     fn apply_count(&mut self, from: GatewayIndex, incarnation: u32, entry: &CountEntry) {
         let now_ms = self.clock.now_ms();
-        let customer = self.customers.get_or_insert(CustomerTag::from_short(entry.tag), now_ms);
+        let customer = self.customers.get_or_insert(CustomerKey::from_tag(entry.tag), now_ms);
         let count = PeerCount {
             incarnation,
             consumed: entry.consumed,
@@ -159,19 +163,19 @@
     /// Guards against units that exist at two gateways at once, with which the ceiling could be exceeded.
     /// They are deducted here before the message that carries them is sent, so a lost message loses units
     /// instead.
-    fn on_ceiling_request(&mut self, from: GatewayIndex, tag: CustomerTag) {
-        let Some(customer) = self.customers.get_mut(tag) else { return };
+    fn on_ceiling_request(&mut self, from: GatewayIndex, key: CustomerKey) {
+        let Some(customer) = self.customers.get_mut(key) else { return };
         let Some(plan) = customer.plan().map(|p| self.settings.plan(p)) else { return };
         customer.refill(plan, self.clock.now_ms());
         let units = ceiling_transfer_units(customer.ceiling_tokens(), self.settings.max_units);
         if units > 0.0 {
-            self.customers.schedule_ceiling_transfer(tag, from, units);
+            self.customers.schedule_ceiling_transfer(key, from, units);
         }
     }
 
     /// Adds the units of a customer's ceiling that a peer transferred.
     fn on_ceiling_transfer(&mut self, transfer: &CeilingTransfer) {
-        let Some(customer) = self.customers.get_mut(CustomerTag::from_short(transfer.tag)) else { return };
+        let Some(customer) = self.customers.get_mut(CustomerKey::from_tag(transfer.tag)) else { return };
         let Some(plan) = customer.plan().map(|p| self.settings.plan(p)) else { return };
         customer.refill(plan, self.clock.now_ms());
         let max_units = max_ceiling_units(plan.ceiling_burst_units, customer.gateways().len());
--- a/crates/admission/src/coordination/observations.rs
+++ b/crates/admission/src/coordination/observations.rs
@@ -4,18 +4,18 @@
 use crate::id::{ClassIndex, EndpointId, PlanIndex};
 use crate::mechanism::splitmix64::short_tag;
 use crate::messages::observation_code::{Observation, ObservationKind, ResponseTimeCode};
-use crate::policy::observation::{observation_of_attempt, MAX_OBSERVATIONS, OBSERVATION_SPAN_S};
+use crate::policy::observation::{observation_of_attempt, MAX_OBSERVATIONS, OBSERVATION_TIME_CONSTANT_S};
 use crate::policy::outlier::{ejection_jitter, is_class_ejection_due, CLASS_FAILURE_GAIN, SCOPED_EJECTION};
-use crate::policy::quota_owner::owner_sampling::QUOTA_RATE_SPAN_S;
+use crate::policy::quota_owner::owner_sampling::RATE_TIME_CONSTANT_S;
 use crate::policy::response_time::{kind_sample, OBSERVED_RESPONSE_TIME_GAIN};
 use crate::policy::slow_start::is_past_warm_up;
-use crate::state::{EjectionScope, PendingAttempt};
+use crate::state::{EjectionScope, InFlightAttemptWithClass};
 
 impl Gateway {
     /// Records what the end of an attempt of this gateway shows about its endpoint.
     pub(crate) fn observe_attempt(&mut self, end: &AttemptEnd, class: ClassIndex, plan: PlanIndex) {
         if end.outcome == Outcome::Ok {
-            self.fleet_means.record_response(self.clock.now_ms(), QUOTA_RATE_SPAN_S);
+            self.fleet_means.record_response(self.clock.now_ms(), RATE_TIME_CONSTANT_S);
             if let Some(endpoint) = self.endpoints.get_mut(end.endpoint) {
                 endpoint.observed_health.record_own_success(class, plan);
             }
@@ -26,11 +26,11 @@
         }
     }
 
-    /// Records a failed observation for each attempt of this gateway that has begun to take long since the
-    /// last round of upkeep.
-    pub(crate) fn report_long_attempts(&mut self) {
-        let turned_long = self.requests.pending_attempts().filter(|pending| self.turned_long(pending));
-        for PendingAttempt { endpoint, class, .. } in turned_long.collect::<Vec<_>>() {
+    /// Records an observation of kind `Failed` for each attempt in flight of this gateway that has become
+    /// slow since the last round of upkeep.
+    pub(crate) fn report_slow_attempts(&mut self) {
+        let slow = self.requests.attempts_in_flight().filter(|attempt| self.has_become_slow(attempt));
+        for InFlightAttemptWithClass { endpoint, class, .. } in slow.collect::<Vec<_>>() {
             self.record_observation(endpoint, ObservationKind::Failed { class });
         }
     }
@@ -76,7 +76,7 @@
         let now_ms = self.clock.now_ms();
         let Some(endpoint) = self.endpoints.get_by_tag_mut(tag) else { return };
         endpoint.observed_health.record_good_response(class, now_ms, CLASS_FAILURE_GAIN);
-        self.outliers.record_observed_response(now_ms, OBSERVATION_SPAN_S);
+        self.outliers.record_observed_response(now_ms, OBSERVATION_TIME_CONSTANT_S);
         let objective_fraction = response_time.objective_fraction();
         let relative = self.latency.relative_to_mean(objective_fraction);
         let baseline = self.latency.kind_baseline(endpoint.kind());
--- a/crates/admission/src/coordination/quota_ownership.rs
+++ b/crates/admission/src/coordination/quota_ownership.rs
@@ -1,20 +1,20 @@
 //! Gossip mode, the quota owner's side: responses to the quota requests of other gateways.
 use crate::action::Action;
 use crate::gateway::Gateway;
-use crate::id::{CustomerTag, GatewayIndex, PlanIndex};
+use crate::id::{CustomerKey, GatewayIndex, PlanIndex};
 use crate::messages::gossip_message::GossipMessage;
 use crate::messages::quota_message::{
     QuotaRelease, QuotaRequest, QuotaRequestNumber, QuotaResponse, QuotaVerdict, SamplingFraction,
 };
 use crate::policy::quota_owner::owner_sampling::{
-    wanted_sampling_fraction, QuotaDemand, AMPLE_SAMPLING_FRACTION, QUOTA_RATE_SPAN_S, SLOT_GRANT_UNITS,
+    wanted_sampling_fraction, QuotaDemand, AMPLE_SAMPLING_FRACTION, RATE_TIME_CONSTANT_S, SLOT_GRANT_UNITS,
 };
 use crate::policy::quota_owner::owner_verdict::{
-    decide_quota_request, grant_lifetime_ms, has_free_slot, verdict_to_send, OwnedQuota,
+    decide_quota_request, grant_extension_ms, has_free_slot, verdict_to_send, OwnedQuota,
 };
 use crate::policy::quota_owner::unit_bounds::{bounded_release_units, bounded_request_units};
 use crate::settings::PlanSettings;
-use crate::state::{Customer, GatewaySet, Grant};
+use crate::state::{Customer, GatewaySet, QuotaRequestRecord};
 
 /// A quota request as the owner handles it: its units bounded, and its times on this gateway's clock.
 #[derive(Debug, Clone, Copy)]
@@ -23,20 +23,21 @@
     gateway: GatewayIndex,
     /// The quota request's number at its sender.
     number: QuotaRequestNumber,
-    /// Units of the request that the quota request is for, at most what one request may count.
+    /// Units of the request that the quota request is for, at most what one request may consume.
     units: f64,
     /// Units of all requests that the sampled request represents, itself included.
     represented_units: f64,
     /// Until when the request may wait for a slot, in ms.
     waits_until_ms: f64,
-    /// Until when the grant counts if the request is granted, in ms.
+    /// When the grant expires if the request is granted, in ms.
     expires_ms: f64,
 }
 
 impl Gateway {
-    /// Returns how long a grant counts after the time until which its request may wait, in ms.
-    pub(crate) fn grant_lifetime_ms(&self) -> f64 {
-        grant_lifetime_ms(self.settings.longest_objective_ms())
+    /// Returns the time between the end of the time for which a request may wait and the expiry of its grant,
+    /// in ms.
+    pub(crate) fn grant_extension_ms(&self) -> f64 {
+        grant_extension_ms(self.settings.longest_objective_ms())
     }
 
     /// Applies the quota requests, responses and releases of a message.
@@ -69,8 +70,8 @@
         let gateways = self.checked_gateways(from, request)?;
         let now_ms = self.clock.now_ms();
         let received = self.received_quota_request(from, request);
-        let tag = CustomerTag(request.customer);
-        let (customer, plan) = self.customer_with_plan(tag, plan_index, gateways);
+        let key = CustomerKey(request.customer);
+        let (customer, plan) = self.customer_with_plan(key, plan_index, gateways);
         customer.grants.expire(now_ms);
         let verdict = apply_quota_request(customer, plan, &received, now_ms);
         let verdict = verdict_to_send(plan, verdict, customer.quota_tokens());
@@ -106,14 +107,14 @@
             units,
             represented_units: request.sampling_fraction.extrapolate(units),
             waits_until_ms,
-            expires_ms: waits_until_ms + self.grant_lifetime_ms(),
+            expires_ms: waits_until_ms + self.grant_extension_ms(),
         }
     }
 
     /// Applies the release of a request that has ended: settles its units, and grants its slot to a waiting
     /// request.
     fn on_quota_release(&mut self, from: GatewayIndex, release: QuotaRelease, actions: &mut Vec<Action>) {
-        let Some(customer) = self.customers.get_mut(CustomerTag(release.customer)) else { return };
+        let Some(customer) = self.customers.get_mut(CustomerKey(release.customer)) else { return };
         let Some(plan) = customer.plan().map(|p| self.settings.plan(p)) else { return };
         if !customer.grants.release(from, release.number) {
             return;
@@ -123,22 +124,24 @@
             let units = release.additional_units.units();
             customer.settle_grant(plan, bounded_release_units(units, self.settings.max_units));
         }
-        if has_free_slot(plan, customer.grants.active()) {
-            self.grant_next_waiting(CustomerTag(release.customer), actions);
+        if has_free_slot(plan, customer.grants.granted_count()) {
+            self.grant_next_waiting(CustomerKey(release.customer), actions);
         }
     }
 
     /// Grants a free slot to the request that has waited longest.
-    fn grant_next_waiting(&mut self, tag: CustomerTag, actions: &mut Vec<Action>) {
+    fn grant_next_waiting(&mut self, key: CustomerKey, actions: &mut Vec<Action>) {
         let now_ms = self.clock.now_ms();
-        let lifetime_ms = self.grant_lifetime_ms();
-        let Some(customer) = self.customers.get_mut(tag) else { return };
+        let extension_ms = self.grant_extension_ms();
+        let Some(customer) = self.customers.get_mut(key) else { return };
         let Some(waiting) = customer.grants.next_waiting(now_ms) else { return };
-        let grant = Grant { expires_ms: waiting.expires_ms + lifetime_ms, ..waiting };
-        customer.grants.grant(grant, SLOT_GRANT_UNITS, now_ms, QUOTA_RATE_SPAN_S);
+        let grant = QuotaRequestRecord { expires_ms: waiting.expires_ms + extension_ms, ..waiting };
+        customer.grants.grant(grant, SLOT_GRANT_UNITS, now_ms, RATE_TIME_CONSTANT_S);
         let response = QuotaResponse {
             number: grant.number,
             verdict: QuotaVerdict::Granted,
+            // Not the fraction that this owner wants now: the one in the last response to its own quota
+            // requests, or 1 if it has sent none.
             sampling_fraction: SamplingFraction::at_most(customer.sampling_fraction()),
         };
         self.send_gossip(grant.gateway, GossipMessage::response(response), actions);
@@ -159,28 +162,32 @@
     if customer.grants.is_granted(gateway, number) {
         return QuotaVerdict::Granted;
     }
-    customer.grants.record_request(request.represented_units, now_ms, QUOTA_RATE_SPAN_S);
+    customer.grants.record_demand(request.represented_units, now_ms, RATE_TIME_CONSTANT_S);
     if customer.grants.is_waiting(gateway, number) {
         return QuotaVerdict::Queued;
     }
     let owned = OwnedQuota {
         quota_tokens: customer.quota_tokens(),
         ceiling_tokens: customer.ceiling_tokens(),
-        granted_requests: customer.grants.active(),
-        waiting_requests: customer.grants.waiting(),
+        granted_requests: customer.grants.granted_count(),
+        waiting_requests: customer.grants.waiting_count(),
     };
     let verdict = decide_quota_request(plan, owned, units);
     match verdict {
         QuotaVerdict::Granted | QuotaVerdict::GrantedAmple => {
-            let grant = Grant { gateway, number, expires_ms: request.expires_ms };
+            let grant = QuotaRequestRecord { gateway, number, expires_ms: request.expires_ms };
             customer.charge_grant(plan, units);
-            customer.grants.grant(grant, units, now_ms, QUOTA_RATE_SPAN_S);
+            customer.grants.grant(grant, units, now_ms, RATE_TIME_CONSTANT_S);
         }
         QuotaVerdict::Queued => {
-            customer.grants.enqueue(Grant { gateway, number, expires_ms: request.waits_until_ms });
+            customer.grants.enqueue(QuotaRequestRecord {
+                gateway,
+                number,
+                expires_ms: request.waits_until_ms,
+            });
         }
         QuotaVerdict::OverQuotaAllowed => customer.consume_ceiling(units),
-        QuotaVerdict::OverQuota => {}
+        QuotaVerdict::Refused => {}
     }
     verdict
 }
@@ -188,8 +195,8 @@
 /// Returns the units that were recently requested and granted for a customer.
 fn quota_demand(customer: &Customer, plan: &PlanSettings, now_ms: f64) -> QuotaDemand {
     QuotaDemand {
-        requested_per_second: customer.grants.requested_per_second(now_ms, QUOTA_RATE_SPAN_S),
-        granted_per_second: customer.grants.granted_per_second(now_ms, QUOTA_RATE_SPAN_S),
+        requested_per_second: customer.grants.requested_per_second(now_ms, RATE_TIME_CONSTANT_S),
+        granted_per_second: customer.grants.granted_per_second(now_ms, RATE_TIME_CONSTANT_S),
         plan_rate_per_second: plan.rate_per_second,
     }
 }
--- a/crates/admission/src/event_handling.rs
+++ b/crates/admission/src/event_handling.rs
@@ -17,6 +17,9 @@
         }
         self.handle(event, actions);
         self.dispatch(actions);
+        // A gateway of a large fleet without active requests schedules upkeep further ahead than this. Its
+        // first request brings the next round forward. The timer that was set before still fires, but starts
+        // no round that isn't due.
         if !self.requests.is_empty() && self.clock.next_upkeep_is_beyond(UPKEEP_INTERVAL_MS) {
             self.schedule_upkeep(UPKEEP_INTERVAL_MS, actions);
         }
@@ -48,7 +51,7 @@
     }
 
     /// Runs a round of upkeep. In broadcast mode every timer starts one. In a large fleet a timer that fires
-    /// too early starts none.
+    /// before the next round is due starts none.
     fn on_timer(&mut self, actions: &mut Vec<Action>) {
         match self.coordination.fleet_mode() {
             FleetMode::Broadcast => self.upkeep_in_broadcast_mode(actions),
@@ -66,7 +69,7 @@
     /// Runs a round of upkeep in broadcast mode: all work that depends on time alone.
     fn upkeep_in_broadcast_mode(&mut self, actions: &mut Vec<Action>) {
         self.schedule_upkeep(self.upkeep_interval_ms(), actions);
-        self.update_typical_age();
+        self.update_typical_attempt_age();
         self.detect_correlated_failure();
         self.refill_warm_up_tokens();
         self.measure_load();
@@ -93,7 +96,7 @@
         let seconds = self.band.begin_refill(self.clock.now_ms());
         self.refill_dispatch_credit(seconds);
         self.refill_message_tokens(seconds);
-        self.retry_quota_requests(actions);
+        self.resend_quota_requests(actions);
         self.step_watermark();
         self.evict_idle_customers_if_due();
     }
--- a/crates/admission/src/lifecycle/band_control.rs
+++ b/crates/admission/src/lifecycle/band_control.rs
@@ -1,5 +1,5 @@
-//! Updates the in-flight band and finds the position of requests in it: which endpoints the band counts,
-//! whether they are loaded, the watermark's steps, and dispatch credit.
+//! Updates the in-flight band and finds what it permits: which endpoints the band counts, whether they are
+//! loaded, the watermark's steps, and dispatch credit.
 use crate::gateway::Gateway;
 use crate::id::RequestId;
 use crate::policy::band::band_bounds::{is_loaded_in_broadcast_mode, position_in_broadcast_mode};
@@ -14,7 +14,7 @@
     watermark_step_in_broadcast_mode, watermark_step_in_large_fleet, watermark_step_is_due, WatermarkInput,
 };
 use crate::policy::peer_messages::message_capacity::PEER_TIMEOUT_MS;
-use crate::state::{Band, BandLoad, BandPosition, Endpoint, FleetMode};
+use crate::state::{BandLoad, BandPosition, BroadcastBand, Endpoint, FleetMode};
 
 impl Gateway {
     /// Returns the watermark that the band starts with and never falls below.
@@ -58,13 +58,14 @@
     }
 
     /// Returns the band computed from the counts that gateways report to each other.
-    fn reported_band(&self) -> Band {
+    fn reported_band(&self) -> BroadcastBand {
         let live = self.coordination.live_peers(self.clock.now_ms(), PEER_TIMEOUT_MS);
-        Band::from_reports(self.band_load(), self.band.watermark(), live)
+        BroadcastBand::from_reports(self.band_load(), self.band.watermark(), live)
     }
 
-    /// Returns the band of a large fleet, computed from means over the fleet.
-    fn gossip_band(&self) -> LargeFleetBand {
+    /// Returns the band of a large fleet, computed from means over the fleet. In counter and isolated mode,
+    /// each gateway is assumed to have what this one has.
+    fn large_fleet_band(&self) -> LargeFleetBand {
         LargeFleetBand {
             mean_in_flight: self.fleet_means.received().in_flight,
             gateways: self.settings.gateways,
@@ -75,16 +76,18 @@
 
     /// Returns whether so few attempts are in flight in a large fleet that requests are sent without dispatch
     /// credit.
-    pub(crate) fn band_is_ungated(&self) -> bool {
-        self.gossip_band().is_below_credit_threshold()
+    pub(crate) fn is_below_credit_threshold(&self) -> bool {
+        self.large_fleet_band().is_below_credit_threshold()
     }
 
-    /// Returns where a request stands relative to the band's bounds, which decides whether it may be sent.
+    /// Returns the band's position for a request, which decides whether the request may be sent. In broadcast
+    /// mode it is that of the fleet's attempts in flight. In a large fleet it depends on the dispatch credit
+    /// that the request requires.
     pub(crate) fn band_position(&self, id: RequestId) -> BandPosition {
         match self.coordination.fleet_mode() {
             FleetMode::Broadcast => position_in_broadcast_mode(&self.reported_band()),
             FleetMode::LargeFleet => position_in_large_fleet(
-                &self.gossip_band(),
+                &self.large_fleet_band(),
                 self.band.dispatch_credit(),
                 self.credit_required(id),
             ),
@@ -101,7 +104,7 @@
 
     /// Adds the dispatch credit that the gateway earns in `seconds`.
     pub(crate) fn refill_dispatch_credit(&mut self, seconds: f64) {
-        let band = self.gossip_band();
+        let band = self.large_fleet_band();
         let mean_response_ms = self.latency.mean_response_ms();
         let credit = credit_after_refill(self.band.dispatch_credit(), &band, mean_response_ms, seconds);
         self.band.set_dispatch_credit(credit);
@@ -116,7 +119,7 @@
     pub(crate) fn measure_load(&mut self) {
         let is_loaded = match self.coordination.fleet_mode() {
             FleetMode::Broadcast => is_loaded_in_broadcast_mode(&self.reported_band()),
-            FleetMode::LargeFleet => self.gossip_band().is_loaded(),
+            FleetMode::LargeFleet => self.large_fleet_band().is_loaded(),
         };
         self.band.set_loaded(is_loaded);
     }
@@ -130,13 +133,13 @@
         }
         let input = WatermarkInput {
             objective_fraction: self.latency.objective_fraction(),
-            typical_age_ms: self.latency.typical_age_ms(),
+            typical_attempt_age_ms: self.latency.typical_attempt_age_ms(),
             shortest_objective_ms,
             was_blocked: self.band.begin_step(now_ms),
         };
         let step = match self.coordination.fleet_mode() {
             FleetMode::Broadcast => watermark_step_in_broadcast_mode(&input),
-            FleetMode::LargeFleet => watermark_step_in_large_fleet(&input, &self.gossip_band()),
+            FleetMode::LargeFleet => watermark_step_in_large_fleet(&input, &self.large_fleet_band()),
         };
         let watermark = watermark_after_step(self.band.watermark(), step, self.watermark_floor());
         self.band.set_watermark(watermark);
--- a/crates/admission/src/lifecycle/queue_dispatch.rs
+++ b/crates/admission/src/lifecycle/queue_dispatch.rs
@@ -14,10 +14,10 @@
 impl Gateway {
     /// Sends queued requests as long as one is permitted and an endpoint is found for it.
     pub(crate) fn dispatch(&mut self, actions: &mut Vec<Action>) {
-        self.band.unblock();
+        self.band.begin_dispatch();
         while let Some(head) = self.next_to_dispatch(actions) {
             let Some(endpoint) = self.select_endpoint(head.id) else {
-                self.band.block_for_endpoint();
+                self.band.record_wait_for_endpoint();
                 return;
             };
             self.queue.release(head);
@@ -33,7 +33,7 @@
         for head in self.queue.heads() {
             match self.judge_head(head.id, mode) {
                 HeadDecision::Eligible => next = Some(earlier_head(next, head)),
-                HeadDecision::BlockedByBand => self.band.block(),
+                HeadDecision::BlockedByBand => self.band.record_wait_for_band(),
                 HeadDecision::OverQuota => self.dispatch_over_quota(head, actions),
                 HeadDecision::AwaitsCustomerLimit => {}
             }
@@ -41,7 +41,7 @@
         // In broadcast mode this is the only check of the band. In a large fleet the band was checked for
         // each head, but heads over their quota that were sent in this loop have spent dispatch credit since.
         if !self.band_position(next?.id).permits_queued_request() {
-            self.band.block();
+            self.band.record_wait_for_band();
             return None;
         }
         next
@@ -58,7 +58,7 @@
 
     /// Removes a request that is over its quota from the queue, and sends or finishes it.
     fn dispatch_over_quota(&mut self, head: FlowHead, actions: &mut Vec<Action>) {
-        self.queue.remove(head.tag, head.id);
+        self.queue.remove(head.key, head.id);
         let endpoint = if self.may_send_over_quota(head.id) { self.select_endpoint(head.id) } else { None };
         match endpoint {
             Some(endpoint) => self.send(head.id, endpoint, actions),
@@ -69,22 +69,23 @@
     /// Returns whether a request that is over its quota may still be sent.
     pub(crate) fn may_send_over_quota(&self, id: RequestId) -> bool {
         let Some(active) = self.requests.get(id) else { return false };
-        may_send_over_quota(active.quota().may_exceed_quota(), || self.band_position(id))
+        may_send_over_quota(active.quota_state().may_exceed_quota(), || self.band_position(id))
     }
 
-    /// Decides whether quota, concurrency limit and ceiling permit a request to be sent now. If units of the
-    /// ceiling are short, schedules a request to peers for some.
+    /// Decides whether quota, concurrency limit and ceiling permit a request to be sent now. An unknown
+    /// request is treated as over the quota. If units of the ceiling are short, schedules a request to peers
+    /// for some.
     pub(crate) fn quota_decision(&mut self, id: RequestId) -> QuotaDecision {
         let Some(active) = self.requests.get(id) else { return QuotaDecision::OverQuota };
-        if let Some(decision) = active.quota().decision() {
+        if let Some(decision) = active.quota_state().decision() {
             return decision;
         }
-        let tag = active.tag;
+        let key = active.customer_key;
         let plan = self.settings.plan(active.request.plan);
-        self.customers.refill(tag, plan, self.clock.now_ms());
+        self.customers.refill(key, plan, self.clock.now_ms());
         let Some(limits) = self.customer_limits(id) else { return QuotaDecision::OverQuota };
         if limits == LimitDecision::WaitForCeiling {
-            self.schedule_ceiling_request(tag);
+            self.schedule_ceiling_request(key);
         }
         limits.quota_decision()
     }
@@ -93,12 +94,12 @@
     /// `None` if there is no such request or customer.
     pub(crate) fn customer_limits(&self, id: RequestId) -> Option<LimitDecision> {
         let active = self.requests.get(id)?;
-        let customer = self.customers.get(active.tag)?;
+        let customer = self.customers.get(active.customer_key)?;
         let plan = self.settings.plan(active.request.plan);
         Some(check_customer_limits(&LimitInput {
             plan,
             units: active.request.units,
-            local_bucket_decides: active.quota().is_local_bucket(),
+            local_bucket_decides: active.quota_state().is_local_bucket(),
             quota_tokens: customer.quota_tokens(),
             ceiling_tokens: customer.ceiling_tokens(),
             slots: (plan.concurrency_limit > 0).then(|| self.slot_use(active, customer)),
@@ -113,7 +114,9 @@
             peer_in_flight: peers.in_flight,
             reporting_peers: peers.reporting_peers,
             gateways: customer.gateways().len() as u32,
-            gateway_position: customer.gateways().rotated_position(active.tag, self.settings.this_gateway),
+            gateway_position: customer
+                .gateways()
+                .rotated_position(active.customer_key, self.settings.this_gateway),
         }
     }
 }
--- a/crates/admission/src/lifecycle/requests.rs
+++ b/crates/admission/src/lifecycle/requests.rs
@@ -2,7 +2,7 @@
 use crate::action::Action;
 use crate::event::Request;
 use crate::gateway::Gateway;
-use crate::id::{CustomerTag, GatewayIndex, RequestId};
+use crate::id::{CustomerKey, GatewayIndex, RequestId};
 use crate::messages::gossip_message::GossipMessage;
 use crate::messages::quota_message::{QuarterUnits, QuotaRelease, QuotaRequestNumber};
 use crate::policy::request_end::final_response::{final_response, FinalResponse};
@@ -35,15 +35,15 @@
 
     /// Adds a request to the records.
     fn insert_request(&mut self, request: Request) {
-        let tag = self.customer_tag(request.customer);
+        let key = self.customer_key(request.customer);
         let objective_ms = self.settings.class(request.class).latency_objective_ms;
         let objective_ms = objective_ms - self.already_waited_ms(request.class, request.time_left_ms);
-        let active = ActiveRequest::new(request, tag, self.clock.now_ms(), objective_ms);
+        let active = ActiveRequest::new(request, key, self.clock.now_ms(), objective_ms);
         self.requests.insert(active);
     }
 
-    /// Gives a request its final response if it got no good one: rejects it if a retry by its client does no
-    /// harm, and fails it otherwise.
+    /// Ends a request that gets no good response: rejects it if a retry by its client does no harm, and fails
+    /// it otherwise. Does nothing if the request is already closed.
     pub(crate) fn finish(&mut self, id: RequestId, retry_after_ms: Option<f64>, actions: &mut Vec<Action>) {
         let Some(active) = self.requests.get(id).filter(|active| !active.is_closed()) else { return };
         let idempotency = self.settings.class(active.request.class).idempotency;
@@ -58,14 +58,14 @@
     /// flight, once, and removes the request when all its attempts have ended.
     pub(crate) fn close(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(active) = self.requests.get_mut(id) else { return };
-        let pending: Vec<u32> = active.pending_attempts().map(|(number, _)| number).collect();
+        let in_flight: Vec<u32> = active.attempts_in_flight().map(|(number, _)| number).collect();
         let is_first_time = active.close();
-        let tag = active.tag;
+        let key = active.customer_key;
         if self.settings.cancel_allowed && is_first_time {
-            actions.extend(pending.iter().map(|number| Action::Cancel { request: id, attempt: *number }));
+            actions.extend(in_flight.iter().map(|number| Action::Cancel { request: id, attempt: *number }));
         }
-        self.queue.remove(tag, id);
-        if pending.is_empty() {
+        self.queue.remove(key, id);
+        if in_flight.is_empty() {
             if let Some(active) = self.requests.remove(id) {
                 self.settle_quota(&active, actions);
             }
@@ -75,7 +75,7 @@
     /// Settles the quota of an ended request with the owner or the counter that counts it.
     fn settle_quota(&mut self, active: &ActiveRequest, actions: &mut Vec<Action>) {
         let ended = EndedRequest {
-            quota: active.quota(),
+            quota: active.quota_state(),
             is_unsent: active.is_unsent(),
             units: active.request.units,
             excess_units: active.excess_units(),
@@ -85,13 +85,13 @@
             QuotaSettlement::Nothing => {}
             QuotaSettlement::SettleWithCounter => self.settle_with_counter(active, actions),
             QuotaSettlement::Release { owner, number, additional_units } => {
-                self.send_release(owner, active.tag, number, additional_units, actions);
+                self.send_release(owner, active.customer_key, number, additional_units, actions);
             }
             QuotaSettlement::Withdraw { owner, number, additional_units } => {
                 if let Some(gossip) = self.coordination.gossip_mut() {
                     gossip.requests.remove(number);
                 }
-                self.send_release(owner, active.tag, number, additional_units, actions);
+                self.send_release(owner, active.customer_key, number, additional_units, actions);
             }
         }
     }
@@ -101,13 +101,13 @@
     fn send_release(
         &mut self,
         owner: GatewayIndex,
-        tag: CustomerTag,
+        key: CustomerKey,
         number: QuotaRequestNumber,
         additional_units: f64,
         actions: &mut Vec<Action>,
     ) {
         let additional_units = QuarterUnits::nearest(additional_units);
-        let release = QuotaRelease { customer: tag.0, number, additional_units };
+        let release = QuotaRelease { customer: key.0, number, additional_units };
         self.send_gossip(owner, GossipMessage::release(release), actions);
     }
 }
--- a/crates/admission/src/policy/quota_owner/fallback_decision.rs
+++ b/crates/admission/src/policy/quota_owner/fallback_decision.rs
@@ -1,14 +1,15 @@
-//! What a gateway decides on a request without the quota owner: when the owner did not respond, when it wants
-//! quota requests for a sample of the requests only, or when no message token is left.
+//! What a gateway decides on a request without the quota owner: when the owner did not respond, when the
+//! owner wants quota requests for a sample of the requests only and this one is not sampled, or when no
+//! message token is left.
 use crate::state::{QuotaExpectation, QuotaState};
 
 /// What a gateway knows about a request that it decides on without the quota owner.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct FallbackInput {
+pub(crate) struct WithoutOwnerInput {
     /// Whether the customer is most likely within its quota or over it.
     pub(crate) expectation: QuotaExpectation,
     /// Whether the fleet has so few attempts in flight that requests are sent without dispatch credit.
-    pub(crate) band_is_ungated: bool,
+    pub(crate) is_below_credit_threshold: bool,
     /// Rate of the plan's hard ceiling in units per second; 0 if the plan has no ceiling.
     pub(crate) ceiling_rate_per_second: f64,
 }
@@ -16,11 +17,12 @@
 /// Decides on a request without the quota owner.
 ///
 /// Most customers are well within their quota, so this gateway's own token bucket decides while the endpoints
-/// have spare capacity. It doesn't if the owner recently granted less than was requested. Under a hard
-/// ceiling nothing is sent, because only the owner knows how much of the ceiling is spent.
-pub(crate) fn decide_without_owner(input: FallbackInput) -> QuotaState {
+/// have spare capacity. If the owner recently granted less than was requested, the request counts as over the
+/// quota instead and is not sent. So does every request under a hard ceiling, because only the owner knows
+/// how much of the ceiling is spent.
+pub(crate) fn decide_without_owner(input: WithoutOwnerInput) -> QuotaState {
     let has_ceiling = input.ceiling_rate_per_second > 0.0;
-    if input.expectation == QuotaExpectation::Within && input.band_is_ungated && !has_ceiling {
+    if input.expectation == QuotaExpectation::Within && input.is_below_credit_threshold && !has_ceiling {
         QuotaState::LocalBucket { within_quota: true }
     } else {
         QuotaState::OverQuota { may_exceed: false }
--- a/crates/admission/src/policy/quota_owner/owner_verdict.rs
+++ b/crates/admission/src/policy/quota_owner/owner_verdict.rs
@@ -1,5 +1,5 @@
-//! What the owner of a customer's quota decides on a quota request. A slot is one of the attempts that a plan
-//! lets a customer have in flight, up to `concurrency_limit`.
+//! What the owner of a customer's quota decides on a quota request. A plan with a `concurrency_limit` has as
+//! many slots. At the owner a granted request takes one slot until it ends, however many attempts it has.
 use crate::messages::quota_message::QuotaVerdict;
 use crate::policy::ample_quota::is_ample;
 use crate::policy::over_quota_use::allows_over_quota;
@@ -26,14 +26,10 @@
 /// slots.
 pub(crate) fn decide_quota_request(plan: &PlanSettings, owned: OwnedQuota, units: f64) -> QuotaVerdict {
     if plan.ceiling_rate_per_second > 0.0 && owned.ceiling_tokens < units {
-        return QuotaVerdict::OverQuota;
+        return QuotaVerdict::Refused;
     }
     if plan.rate_per_second > 0.0 && owned.quota_tokens < units {
-        return if allows_over_quota(plan) {
-            QuotaVerdict::OverQuotaAllowed
-        } else {
-            QuotaVerdict::OverQuota
-        };
+        return if allows_over_quota(plan) { QuotaVerdict::OverQuotaAllowed } else { QuotaVerdict::Refused };
     }
     if plan.concurrency_limit == 0 || has_free_slot(plan, owned.granted_requests) {
         return QuotaVerdict::Granted;
@@ -41,7 +37,7 @@
     if owned.waiting_requests < MAX_WAITING_PER_SLOT * plan.concurrency_limit as usize {
         QuotaVerdict::Queued
     } else {
-        QuotaVerdict::OverQuota
+        QuotaVerdict::Refused
     }
 }
 
@@ -66,10 +62,10 @@
     }
 }
 
-/// Returns how long a grant counts after the time until which its request may wait, in ms: as long as an
-/// attempt may take.
+/// Returns the time between the end of the time for which a request may wait and the expiry of its grant, in
+/// ms: as long as an attempt may take.
 ///
 /// Guards against a lost release, after which a slot would stay occupied for ever.
-pub(crate) fn grant_lifetime_ms(longest_objective_ms: f64) -> f64 {
+pub(crate) fn grant_extension_ms(longest_objective_ms: f64) -> f64 {
     ATTEMPT_TIMEOUT_OBJECTIVES * longest_objective_ms
 }
--- a/crates/admission/src/startup.rs
+++ b/crates/admission/src/startup.rs
@@ -9,7 +9,7 @@
     INITIAL_OBJECTIVE_FRACTION, LATENCY_FLOORS, LATENCY_GAINS, RESPONSE_TIME_HALF_LIFE_MS,
 };
 use crate::policy::retry::INITIAL_RETRY_TOKENS;
-use crate::policy::slow_start::SEND_RATE_SPAN_S;
+use crate::policy::slow_start::SEND_RATE_TIME_CONSTANT_S;
 use crate::settings::{Settings, SettingsError};
 use crate::state::{
     Broadcast, Coordination, CounterCalls, EndpointSmoothing, EndpointTable, EventClock, Gossip,
@@ -17,8 +17,15 @@
 };
 
 impl Gateway {
-    /// Creates a gateway that knows nothing but its settings. `seed` determines every random decision.
-    /// `now_ms` and the times of events are in milliseconds from the same origin, which may be any.
+    /// Creates a gateway that knows nothing but its settings.
+    ///
+    /// `seed` determines every random decision and the gateway's incarnation. Each start of a gateway needs
+    /// another seed: in broadcast mode, peers take the messages of a gateway that restarted with the same
+    /// incarnation for old ones and ignore them.
+    ///
+    /// `now_ms` and the times of events are in milliseconds from the same origin. If the gateways enforce
+    /// quotas through the quota counter, all gateways need the same origin, because it determines the names
+    /// of the counts. Otherwise each gateway may have its own.
     ///
     /// # Errors
     ///
@@ -32,7 +39,7 @@
             random: SplitMix64::new(seed),
             endpoints: EndpointTable::new(EndpointSmoothing {
                 response_time_half_life_ms: RESPONSE_TIME_HALF_LIFE_MS,
-                send_rate_span_s: SEND_RATE_SPAN_S,
+                send_rate_time_constant_s: SEND_RATE_TIME_CONSTANT_S,
             }),
             latency: LatencyModel::new(
                 objectives_ms,
--- a/crates/admission/src/state/fleet/band_state.rs
+++ b/crates/admission/src/state/fleet/band_state.rs
@@ -4,13 +4,15 @@
 /// The in-flight band as one gateway maintains it.
 #[derive(Debug, Default)]
 pub(crate) struct InFlightBand {
-    /// The watermark: attempts in flight per ready endpoint at the band's middle.
+    /// The watermark: the number of attempts in flight per ready endpoint that the band is centred on. It is
+    /// a target between the band's two bounds, not a bound itself.
     watermark: f64,
     /// Whether a queued request that its quota permits waits for the band or for an endpoint.
-    blocked: bool,
-    /// Whether queued requests have waited for the band since the last step of the watermark.
-    blocked_since_step: bool,
-    /// Whether the endpoints are loaded: the fleet's attempts in flight exceed half of the band's middle.
+    has_waiting_request: bool,
+    /// Whether a queued request has waited for the band since the last step of the watermark.
+    waited_for_band_since_step: bool,
+    /// Whether the endpoints are loaded: the fleet's attempts in flight exceed half of the band's middle
+    /// (`LOADED_FILL`).
     loaded: bool,
     /// When the watermark last took a step, in milliseconds.
     stepped_ms: f64,
@@ -18,7 +20,7 @@
     ready_capacity: f64,
     /// Requests that this gateway may send by its equal share of the band; below 0, the credit is overdrawn.
     dispatch_credit: f64,
-    /// When the dispatch credit was last refilled, in milliseconds.
+    /// When dispatch credit and message tokens were last refilled, in milliseconds.
     refilled_ms: f64,
 }
 
@@ -33,7 +35,7 @@
 
 /// The band of a fleet in broadcast mode, whose gateways report their counts to each other.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Band {
+pub(crate) struct BroadcastBand {
     /// Attempts that this gateway has in flight.
     pub(crate) own_in_flight: f64,
     /// Attempts that all gateways together have in flight.
@@ -44,14 +46,16 @@
     pub(crate) gateways: f64,
 }
 
-/// The position of the attempts in flight relative to the band's bounds.
+/// Which requests the band permits to be sent, as a position relative to its bounds. In broadcast mode it is
+/// the position of the fleet's attempts in flight, the same for all requests. In a large fleet it tells
+/// whether there is enough dispatch credit for one request, and is never between the bounds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum BandPosition {
-    /// Below the lower bound: queued and new requests may be sent.
+    /// Below the lower bound: queued and new requests may be sent. In a large fleet: the request may be sent.
     BelowLowerBound,
     /// Between the bounds: a new request may be sent, queued requests wait.
     BetweenBounds,
-    /// At or above the upper bound: no request may be sent.
+    /// At or above the upper bound: no request may be sent. In a large fleet: the request may not be sent.
     AtOrAboveUpperBound,
 }
 
@@ -82,7 +86,7 @@
     }
 }
 
-impl Band {
+impl BroadcastBand {
     /// Returns the band that follows from this gateway's load and watermark and from the peers' reports:
     /// attempts in flight are summed, watermarks are averaged.
     pub(crate) fn from_reports<'a>(
@@ -96,7 +100,7 @@
             watermarks += peer.watermark();
             gateways += 1.0;
         }
-        Band {
+        BroadcastBand {
             own_in_flight: f64::from(load.in_flight),
             in_flight: f64::from(load.in_flight + peer_in_flight),
             middle: watermarks / gateways * load.ready_capacity,
@@ -111,7 +115,8 @@
         InFlightBand { watermark, dispatch_credit, ..InFlightBand::default() }
     }
 
-    /// Returns the watermark: attempts in flight per ready endpoint at the band's middle.
+    /// Returns the watermark: the number of attempts in flight per ready endpoint that the band is centred
+    /// on.
     pub(crate) fn watermark(&self) -> f64 {
         self.watermark
     }
@@ -131,35 +136,35 @@
         now_ms - self.stepped_ms
     }
 
-    /// Begins a step of the watermark, and returns whether queued requests wait now, for the band or for an
-    /// endpoint, or have waited for the band since the last step.
+    /// Begins a step of the watermark, and returns whether a queued request waits now for the band or for an
+    /// endpoint, or has waited for the band since the last step.
     pub(crate) fn begin_step(&mut self, now_ms: f64) -> bool {
-        let was_blocked = self.blocked || self.blocked_since_step;
-        self.blocked_since_step = false;
+        let has_waited = self.has_waiting_request || self.waited_for_band_since_step;
+        self.waited_for_band_since_step = false;
         self.stepped_ms = now_ms;
-        was_blocked
+        has_waited
     }
 
     /// Returns whether a queued request that its quota permits waits for the band or for an endpoint. A new
     /// request must not overtake it.
-    pub(crate) fn is_blocked(&self) -> bool {
-        self.blocked
+    pub(crate) fn has_waiting_request(&self) -> bool {
+        self.has_waiting_request
     }
 
-    /// Begins a round of dispatch, in which no request is known to wait yet.
-    pub(crate) fn unblock(&mut self) {
-        self.blocked = false;
+    /// Begins a round of dispatch, in which no queued request has been found to wait yet.
+    pub(crate) fn begin_dispatch(&mut self) {
+        self.has_waiting_request = false;
     }
 
     /// Records that a queued request waits for the band.
-    pub(crate) fn block(&mut self) {
-        self.blocked = true;
-        self.blocked_since_step = true;
+    pub(crate) fn record_wait_for_band(&mut self) {
+        self.has_waiting_request = true;
+        self.waited_for_band_since_step = true;
     }
 
     /// Records that a queued request waits for an endpoint, for which a higher watermark would not help.
-    pub(crate) fn block_for_endpoint(&mut self) {
-        self.blocked = true;
+    pub(crate) fn record_wait_for_endpoint(&mut self) {
+        self.has_waiting_request = true;
     }
 
     /// Returns whether the endpoints are loaded.
@@ -192,7 +197,8 @@
         self.dispatch_credit = dispatch_credit;
     }
 
-    /// Begins a refill of the dispatch credit, and returns the seconds since the last one.
+    /// Begins a refill of the dispatch credit and of the message tokens, and returns the seconds since the
+    /// last one.
     pub(crate) fn begin_refill(&mut self, now_ms: f64) -> f64 {
         let seconds = (now_ms - self.refilled_ms).max(0.0) / 1000.0;
         self.refilled_ms = now_ms;
--- a/crates/admission/src/state/mod.rs
+++ b/crates/admission/src/state/mod.rs
@@ -13,12 +13,14 @@
 };
 pub(crate) use event_clock::EventClock;
 pub(crate) use fleet::{
-    peer_indices, Band, BandLoad, BandPosition, Broadcast, BroadcastPeer, Coordination, FleetMeans,
+    peer_indices, BandLoad, BandPosition, Broadcast, BroadcastBand, BroadcastPeer, Coordination, FleetMeans,
     FleetMode, GatewayMeans, GatewaySet, Gossip, GossipPeer, InFlightBand, RankedGateway,
 };
 pub(crate) use quota::{
     CatchUp, CountedRequest, CounterCall, CounterCallQueue, CounterCalls, CounterEpoch, Customer,
-    CustomerTable, Grant, LocalBucketCheck, PeerCount, PendingQuotaRequests, QuotaDecision, QuotaExpectation,
-    QuotaGrants, QuotaRoute, QuotaState, ReportedConsumption,
+    CustomerTable, LocalBucketCheck, PeerCount, PendingQuotaRequests, QuotaDecision, QuotaExpectation,
+    QuotaGrants, QuotaRequestRecord, QuotaRoute, QuotaState, ReportedConsumption,
+};
+pub(crate) use request::{
+    ActiveRequest, Attempt, AttemptId, InFlightAttemptWithClass, RequestTable, RetryBudget,
 };
-pub(crate) use request::{ActiveRequest, Attempt, AttemptId, PendingAttempt, RequestTable, RetryBudget};
--- a/crates/admission/src/state/quota/pending_quota_requests.rs
+++ b/crates/admission/src/state/quota/pending_quota_requests.rs
@@ -9,8 +9,8 @@
 pub(crate) enum QuotaRoute {
     /// The quota's owner decides: it is sent a quota request.
     ToOwner,
-    /// This gateway decides alone, by what it expects of the customer.
-    DecideAlone(QuotaExpectation),
+    /// This gateway decides without the owner, by what it expects of the customer.
+    WithoutOwner(QuotaExpectation),
 }
 
 /// What this gateway expects of a customer when it decides on a request without the quota's owner.
--- a/crates/admission/src/state/request/active_request.rs
+++ b/crates/admission/src/state/request/active_request.rs
@@ -1,7 +1,7 @@
 //! Active requests: those that have no final response yet or have an attempt in flight.
 use crate::event::Request;
-use crate::id::{CustomerTag, EndpointId, RequestId};
-use crate::state::{Attempt, AttemptId, Endpoint, PendingAttempt, QuotaState};
+use crate::id::{CustomerKey, EndpointId, RequestId};
+use crate::state::{Attempt, AttemptId, Endpoint, InFlightAttemptWithClass, QuotaState};
 use std::collections::BTreeMap;
 
 /// A request from its receipt until it has its final response and all its attempts have ended.
@@ -9,8 +9,8 @@
 pub(crate) struct ActiveRequest {
     /// The request as it was received.
     pub(crate) request: Request,
-    /// The customer's tag, which is the key of the customer's record.
-    pub(crate) tag: CustomerTag,
+    /// The key of the customer's record.
+    pub(crate) customer_key: CustomerKey,
     /// When the latency objective is reached, in milliseconds.
     pub(crate) objective_at_ms: f64,
     /// When the client stops waiting, in milliseconds.
@@ -20,9 +20,9 @@
     /// Whether the request has its final response or its client has disconnected.
     closed: bool,
     /// State of the request's quota check.
-    quota: QuotaState,
-    /// Units by which the attempts' true units exceed the estimate, if another gateway or the counter counts
-    /// the quota.
+    quota_state: QuotaState,
+    /// Units by which the attempts' true units exceed the estimate, below 0 if they fall short of it. They
+    /// are summed only if another gateway or the counter counts the quota.
     excess_units: f64,
 }
 
@@ -30,42 +30,42 @@
     /// Returns whether the request still awaits a response of the quota counter. It no longer does once its
     /// client has disconnected or its time is over.
     pub(crate) fn awaits_counter(&self) -> bool {
-        !self.closed && self.quota == QuotaState::AwaitingCounter
+        !self.closed && self.quota_state == QuotaState::AwaitingCounter
     }
 
     /// Creates the record of a request that is received now and whose latency objective is reached after
     /// `objective_ms`.
-    pub(crate) fn new(request: Request, tag: CustomerTag, now_ms: f64, objective_ms: f64) -> Self {
+    pub(crate) fn new(request: Request, customer_key: CustomerKey, now_ms: f64, objective_ms: f64) -> Self {
         ActiveRequest {
-            tag,
+            customer_key,
             objective_at_ms: now_ms + objective_ms,
             deadline_at_ms: now_ms + request.time_left_ms,
             attempts: Vec::new(),
             closed: false,
-            quota: QuotaState::LocalBucket { within_quota: false },
+            quota_state: QuotaState::LocalBucket { within_quota: false },
             excess_units: 0.0,
             request,
         }
     }
 
     /// Returns the state of the request's quota check.
-    pub(crate) fn quota(&self) -> QuotaState {
-        self.quota
+    pub(crate) fn quota_state(&self) -> QuotaState {
+        self.quota_state
     }
 
     /// Sets the state of the request's quota check.
-    pub(crate) fn set_quota(&mut self, quota: QuotaState) {
-        self.quota = quota;
+    pub(crate) fn set_quota_state(&mut self, quota_state: QuotaState) {
+        self.quota_state = quota_state;
     }
 
-    /// Adds the units by which an ended attempt's true units exceed the estimate, to be settled with the
-    /// owner or the counter that counts the quota.
+    /// Adds the units by which an ended attempt's true units exceed the estimate, below 0 if they fall short
+    /// of it, to be settled with the owner or the counter that counts the quota.
     pub(crate) fn add_excess_units(&mut self, excess_units: f64) {
         self.excess_units += excess_units;
     }
 
-    /// Returns the units by which the attempts' true units exceed the estimate, if another gateway or the
-    /// counter counts the quota.
+    /// Returns the units by which the attempts' true units exceed the estimate, below 0 if they fall short of
+    /// it, if another gateway or the counter counts the quota.
     pub(crate) fn excess_units(&self) -> f64 {
         self.excess_units
     }
@@ -103,13 +103,13 @@
     }
 
     /// Returns the attempts in flight, each with its number, oldest first.
-    pub(crate) fn pending_attempts(&self) -> impl Iterator<Item = (u32, &Attempt)> {
-        (0u32..).zip(&self.attempts).filter(|(_, attempt)| attempt.is_pending())
+    pub(crate) fn attempts_in_flight(&self) -> impl Iterator<Item = (u32, &Attempt)> {
+        (0u32..).zip(&self.attempts).filter(|(_, attempt)| attempt.is_in_flight())
     }
 
     /// Marks an attempt as ended. Returns `false` if no such attempt is in flight.
     pub(crate) fn end_attempt(&mut self, number: u32, may_have_run: bool) -> bool {
-        let attempt = self.attempts.get_mut(number as usize).filter(|attempt| attempt.is_pending());
+        let attempt = self.attempts.get_mut(number as usize).filter(|attempt| attempt.is_in_flight());
         let Some(attempt) = attempt else { return false };
         attempt.end(may_have_run);
         true
@@ -127,7 +127,7 @@
 
     /// Returns whether an attempt is in flight.
     pub(crate) fn has_attempt_in_flight(&self) -> bool {
-        self.pending_attempts().next().is_some()
+        self.attempts_in_flight().next().is_some()
     }
 }
 
@@ -174,9 +174,9 @@
     }
 
     /// Returns all attempts in flight, request by request.
-    pub(crate) fn pending_attempts(&self) -> impl Iterator<Item = PendingAttempt> + '_ {
+    pub(crate) fn attempts_in_flight(&self) -> impl Iterator<Item = InFlightAttemptWithClass> + '_ {
         self.iter().flat_map(|active| {
-            active.pending_attempts().map(|(number, attempt)| PendingAttempt {
+            active.attempts_in_flight().map(|(number, attempt)| InFlightAttemptWithClass {
                 attempt_id: AttemptId { request: active.request.id, attempt: number },
                 class: active.request.class,
                 endpoint: attempt.endpoint,
--- a/crates/admission/src/tests/quota_rules/owner_rules.rs
+++ b/crates/admission/src/tests/quota_rules/owner_rules.rs
@@ -1,16 +1,16 @@
 //! Gossip mode: which gateway owns a quota, what the owner decides, and what a gateway does without a
 //! response.
 use super::is_close;
-use crate::id::{CustomerTag, GatewayIndex};
+use crate::id::{CustomerKey, GatewayIndex};
 use crate::messages::quota_message::{QuotaVerdict, SamplingFraction};
 use crate::policy::quota_owner::ceiling_fraction::{ceiling_fraction_by_ranking, even_ceiling_fraction};
-use crate::policy::quota_owner::fallback_decision::{decide_without_owner, FallbackInput};
+use crate::policy::quota_owner::fallback_decision::{decide_without_owner, WithoutOwnerInput};
 use crate::policy::quota_owner::owner_sampling::{
     sampling_fraction_at_age, wanted_sampling_fraction, QuotaDemand,
 };
 use crate::policy::quota_owner::owner_selection::{select_owner, suspected_until_ms};
 use crate::policy::quota_owner::owner_verdict::{
-    decide_quota_request, grant_lifetime_ms, has_free_slot, verdict_to_send, OwnedQuota,
+    decide_quota_request, grant_extension_ms, has_free_slot, verdict_to_send, OwnedQuota,
 };
 use crate::policy::quota_owner::quota_request_route::{
     grant_useful_until_ms, response_wait_ms, route_after_missed_response, route_quota_request,
@@ -30,16 +30,16 @@
     // units.
     let cases = [
         (&quota, 2.0, 0.0, 9, 9, QuotaVerdict::Granted),
-        (&quota, 1.9, 0.0, 0, 0, QuotaVerdict::OverQuota),
+        (&quota, 1.9, 0.0, 0, 0, QuotaVerdict::Refused),
         (&paying_plan(10.0, 40.0), 1.9, 0.0, 0, 0, QuotaVerdict::OverQuotaAllowed),
         (&ceiling, 2.0, 2.0, 0, 0, QuotaVerdict::Granted),
-        (&ceiling, 2.0, 1.9, 0, 0, QuotaVerdict::OverQuota),
-        (&ceiling, 1.9, 1.9, 0, 0, QuotaVerdict::OverQuota),
+        (&ceiling, 2.0, 1.9, 0, 0, QuotaVerdict::Refused),
+        (&ceiling, 1.9, 1.9, 0, 0, QuotaVerdict::Refused),
         (&slots, 0.0, 0.0, 2, 0, QuotaVerdict::Granted),
         (&slots, 0.0, 0.0, 3, 0, QuotaVerdict::Queued),
         // Four requests may wait for each of the three slots.
         (&slots, 0.0, 0.0, 3, 11, QuotaVerdict::Queued),
-        (&slots, 0.0, 0.0, 3, 12, QuotaVerdict::OverQuota),
+        (&slots, 0.0, 0.0, 3, 12, QuotaVerdict::Refused),
     ];
     for (plan, quota_tokens, ceiling_tokens, granted_requests, waiting_requests, expected) in cases {
         let owned = OwnedQuota { quota_tokens, ceiling_tokens, granted_requests, waiting_requests };
@@ -65,7 +65,7 @@
 
 /// The fraction stays between a twentieth and 1.
 #[test]
-fn wanted_sampling_fraction_covers_one_and_a_half_times_the_grants() {
+fn wanted_sampling_covers_one_and_a_half_times_grants_or_plan_rate() {
     // Units requested and granted per second, expected fraction; a plan with a rate of 4 units per second.
     let cases = [(6.0, 4.0, 1.0), (12.0, 4.0, 0.5), (12.0, 0.0, 0.5), (12.0, 6.0, 0.75), (1000.0, 4.0, 0.05)];
     for (requested_per_second, granted_per_second, expected) in cases {
@@ -96,11 +96,11 @@
 /// If gateways ranked differently, several of them would each grant the customer's whole quota.
 #[test]
 fn every_gateway_selects_the_same_owner() {
-    let (set, tag) = (GatewaySet::new(GatewayIndex(90), 20, 100), CustomerTag(7));
-    let owners = set.members().map(|gateway| select_owner(set.rendezvous_ranking(tag), |_| false, gateway));
+    let (set, key) = (GatewaySet::new(GatewayIndex(90), 20, 100), CustomerKey(7));
+    let owners = set.members().map(|gateway| select_owner(set.rendezvous_ranking(key), |_| false, gateway));
     let owners: Vec<GatewayIndex> = owners.collect();
     assert!(owners.iter().all(|owner| *owner == owners[0]), "{owners:?}");
-    assert_eq!(set.ranking_position(tag, owners[0]), 0);
+    assert_eq!(set.ranking_position(key, owners[0]), 0);
 }
 
 /// One lost datagram must not move a quota to another owner. After a second missed response, the gateway is
@@ -113,46 +113,50 @@
 #[test]
 fn quota_request_is_sent_if_sampled_and_a_message_token_is_left() {
     let (all, half) = (SamplingFraction::ALL, SamplingFraction::nearest(0.5));
-    let alone = QuotaRoute::DecideAlone;
-    // Whether this gateway owns the quota, retries, sampling fraction, draw, message tokens, expected route.
+    let without_owner = QuotaRoute::WithoutOwner;
+    // Whether this gateway owns the quota, resends, sampling fraction, draw, message tokens, expected route.
     let cases = [
         (true, 0, half, 0.9, 0.0, QuotaRoute::ToOwner),
         (false, 0, half, 0.4, 1.0, QuotaRoute::ToOwner),
-        (false, 0, half, 0.9, 1.0, alone(QuotaExpectation::Over)),
+        (false, 0, half, 0.9, 1.0, without_owner(QuotaExpectation::Over)),
         (false, 1, half, 0.9, 1.0, QuotaRoute::ToOwner),
-        (false, 0, half, 0.4, 0.9, alone(QuotaExpectation::Over)),
-        (false, 0, all, 0.9, 0.9, alone(QuotaExpectation::Within)),
+        (false, 0, half, 0.4, 0.9, without_owner(QuotaExpectation::Over)),
+        (false, 0, all, 0.9, 0.9, without_owner(QuotaExpectation::Within)),
         (false, 0, all, 1.0, 1.0, QuotaRoute::ToOwner),
     ];
-    for (owns_quota, retries, sampling, draw, message_tokens, expected) in cases {
-        let input = QuotaRouteInput { owns_quota, retries, sampling, draw, message_tokens };
+    for (owns_quota, resends, sampling, draw, message_tokens, expected) in cases {
+        let input = QuotaRouteInput { owns_quota, resends, sampling, draw, message_tokens };
         assert_eq!(route_quota_request(input), expected, "{input:?}");
     }
 }
 
 #[test]
-fn quota_request_is_retried_three_times_above_half_the_message_tokens() {
-    let alone = QuotaRoute::DecideAlone(QuotaExpectation::Within);
-    let cases =
-        [(0, 21.1, QuotaRoute::ToOwner), (2, 21.1, QuotaRoute::ToOwner), (3, 21.1, alone), (0, 21.0, alone)];
-    for (retries, tokens, expected) in cases {
-        assert_eq!(route_after_missed_response(retries, tokens, 42.0), expected, "{retries} {tokens}");
+fn quota_request_is_resent_three_times_above_half_the_message_tokens() {
+    let without_owner = QuotaRoute::WithoutOwner(QuotaExpectation::Within);
+    let cases = [
+        (0, 21.1, QuotaRoute::ToOwner),
+        (2, 21.1, QuotaRoute::ToOwner),
+        (3, 21.1, without_owner),
+        (0, 21.0, without_owner),
+    ];
+    for (resends, tokens, expected) in cases {
+        assert_eq!(route_after_missed_response(resends, tokens, 42.0), expected, "{resends} {tokens}");
     }
 }
 
 #[test]
-fn response_wait_and_grant_times_follow_objectives() {
+fn response_wait_is_at_least_60_ms_and_grant_extension_two_objectives() {
     // A tenth of the shortest objective, but at least 60 ms.
     assert_eq!([500.0, 600.0, 1000.0].map(response_wait_ms), [60.0, 60.0, 100.0]);
     // 0.8 mean response times before the objective or the deadline, whichever is earlier.
     assert!(is_close(grant_useful_until_ms(900.0, 2000.0, 50.0), 860.0));
     assert!(is_close(grant_useful_until_ms(900.0, 700.0, 50.0), 660.0));
     // As long as an attempt may take: two objectives.
-    assert_eq!(grant_lifetime_ms(1500.0), 3000.0);
+    assert_eq!(grant_extension_ms(1500.0), 3000.0);
 }
 
 #[test]
-fn without_owner_local_bucket_decides_if_band_ungated_and_no_ceiling() {
+fn without_owner_bucket_decides_below_credit_threshold_if_no_ceiling() {
     let own_bucket = QuotaState::LocalBucket { within_quota: true };
     let over_quota = QuotaState::OverQuota { may_exceed: false };
     let cases = [
@@ -161,8 +165,8 @@
         (QuotaExpectation::Within, false, 0.0, over_quota),
         (QuotaExpectation::Within, true, 0.1, over_quota),
     ];
-    for (expectation, band_is_ungated, ceiling_rate_per_second, expected) in cases {
-        let input = FallbackInput { expectation, band_is_ungated, ceiling_rate_per_second };
+    for (expectation, is_below_credit_threshold, ceiling_rate_per_second, expected) in cases {
+        let input = WithoutOwnerInput { expectation, is_below_credit_threshold, ceiling_rate_per_second };
         assert_eq!(decide_without_owner(input), expected, "{input:?}");
     }
 }
