--- a/crates/gateway/src/connection_budget.rs
+++ b/crates/gateway/src/connection_budget.rs
@@ -44,14 +44,14 @@
 }
 
 /// A connection that counts against a budget until it is dropped.
-pub(crate) struct PooledConnection {
+pub(crate) struct BudgetedConnection {
     /// The connection.
     pub connection: HttpConnection,
     /// The permit, which is returned to its budget when the connection is dropped.
     _permit: ConnectionPermit,
 }
 
-impl PooledConnection {
+impl BudgetedConnection {
     /// Establishes a connection that holds `permit`. Returns `None` if that fails or is not complete by
     /// `deadline`. In that case, and if the future is dropped, the permit returns to its budget.
     pub(crate) async fn connect(
@@ -60,7 +60,7 @@
         deadline: Instant,
     ) -> Option<Self> {
         let connection = timeout_at(deadline, HttpConnection::connect(addr)).await.ok()?.ok()?;
-        Some(PooledConnection { connection, _permit: permit })
+        Some(BudgetedConnection { connection, _permit: permit })
     }
 }
 
--- a/crates/gateway/src/idle_connections.rs
+++ b/crates/gateway/src/idle_connections.rs
@@ -1,5 +1,5 @@
 //! The idle connections to one server, which can be reused for another request.
-use crate::connection_budget::PooledConnection;
+use crate::connection_budget::BudgetedConnection;
 use crate::http_connection::HttpConnection;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -7,7 +7,7 @@
 /// An idle connection.
 struct IdleConnection {
     /// The connection and its permit.
-    pooled: PooledConnection,
+    pooled: BudgetedConnection,
     /// When the connection became idle.
     idle_since: Instant,
 }
@@ -37,7 +37,7 @@
     }
 
     /// Adds a connection that has just become idle.
-    pub(crate) fn put(&mut self, pooled: PooledConnection) {
+    pub(crate) fn put(&mut self, pooled: BudgetedConnection) {
         self.connections.push(IdleConnection { pooled, idle_since: Instant::now() });
     }
 
@@ -47,7 +47,7 @@
         &mut self,
         allows_reuse: impl Fn(Instant) -> bool,
         is_usable: impl Fn(&mut HttpConnection) -> bool,
-    ) -> Option<PooledConnection> {
+    ) -> Option<BudgetedConnection> {
         loop {
             let position = self.connections.iter().rposition(|idle| allows_reuse(idle.idle_since))?;
             let mut idle = self.connections.remove(position);
--- a/crates/gateway/src/idle_connections/tests.rs
+++ b/crates/gateway/src/idle_connections/tests.rs
@@ -16,7 +16,7 @@
     let mut server_streams = Vec::new();
     for _ in 0..count {
         let permit = budget.try_acquire().expect("a free permit");
-        let connecting = PooledConnection::connect(addr, permit, Instant::now() + TIMEOUT);
+        let connecting = BudgetedConnection::connect(addr, permit, Instant::now() + TIMEOUT);
         let (connection, accepted) = tokio::join!(connecting, listener.accept());
         idle.put(connection.expect("a connection"));
         let server_stream =
--- a/crates/gateway/src/quota_counter.rs
+++ b/crates/gateway/src/quota_counter.rs
@@ -1,7 +1,7 @@
 //! The client of the quota counter, the service that counts the units used at all gateways. The client opens
 //! a few connections, each of which carries one call at a time.
 use crate::clock::duration_from_ms;
-use crate::connection_budget::{ConnectionBudget, PooledConnection};
+use crate::connection_budget::{BudgetedConnection, ConnectionBudget};
 use crate::http_connection::HttpConnection;
 use crate::idle_connections::IdleConnections;
 use bytes::Bytes;
@@ -84,23 +84,23 @@
 
     /// Returns an idle connection, or a new one if none is idle. Returns `None` if the new one is not
     /// established by `deadline` or too many connections are open.
-    async fn acquire(&self, addr: SocketAddr, deadline: Instant) -> Option<PooledConnection> {
+    async fn acquire(&self, addr: SocketAddr, deadline: Instant) -> Option<BudgetedConnection> {
         if let Some(pooled) = self.take_idle() {
             return Some(pooled);
         }
         let permit = self.budget.try_acquire()?;
-        PooledConnection::connect(addr, permit, deadline).await
+        BudgetedConnection::connect(addr, permit, deadline).await
     }
 
     /// Takes the most recently used idle connection that is still usable.
-    fn take_idle(&self) -> Option<PooledConnection> {
+    fn take_idle(&self) -> Option<BudgetedConnection> {
         let allows_reuse = |_since| true;
         self.idle.borrow_mut().take(allows_reuse, HttpConnection::is_usable)
     }
 
     /// Keeps a connection for the next call if it is usable and the address has not changed, or else closes
     /// it.
-    fn release(&self, addr: SocketAddr, mut pooled: PooledConnection) {
+    fn release(&self, addr: SocketAddr, mut pooled: BudgetedConnection) {
         if self.addr.get() == Some(addr) && pooled.connection.is_usable() {
             self.idle.borrow_mut().put(pooled);
         }
--- a/crates/gateway/src/upstream/pool.rs
+++ b/crates/gateway/src/upstream/pool.rs
@@ -1,7 +1,7 @@
 //! The connection pool: the known endpoints, each with its address, state and idle connections.
 use super::reuse_delay::ReuseDelay;
 use crate::clock::duration_from_ms;
-use crate::connection_budget::{ConnectionBudget, ConnectionPermit, PooledConnection};
+use crate::connection_budget::{BudgetedConnection, ConnectionBudget, ConnectionPermit};
 use crate::discovery::DiscoveredEndpoint;
 use crate::http_connection::{HttpConnection, IdleCheck};
 use crate::idle_connections::IdleConnections;
@@ -117,16 +117,16 @@
 
     /// Returns an idle connection to an endpoint, or else a new one. Returns `None` if all permitted
     /// connections are in use, or if a new one is not established within the connect timeout.
-    pub(super) async fn acquire(&self, endpoint: EndpointId, addr: SocketAddr) -> Option<PooledConnection> {
+    pub(super) async fn acquire(&self, endpoint: EndpointId, addr: SocketAddr) -> Option<BudgetedConnection> {
         if let Some(pooled) = self.take_idle(endpoint) {
             return Some(pooled);
         }
         let permit = self.acquire_permit()?;
-        PooledConnection::connect(addr, permit, Instant::now() + self.connect_timeout).await
+        BudgetedConnection::connect(addr, permit, Instant::now() + self.connect_timeout).await
     }
 
     /// Takes the most recently used idle connection to an endpoint, among those that may be reused.
-    fn take_idle(&self, endpoint: EndpointId) -> Option<PooledConnection> {
+    fn take_idle(&self, endpoint: EndpointId) -> Option<BudgetedConnection> {
         let mut endpoints = self.endpoints.borrow_mut();
         let endpoint = endpoints.get_mut(&endpoint)?;
         let allows_reuse = |since| self.reuse_delay.allows_reuse(since, Instant::now());
@@ -145,7 +145,7 @@
 
     /// Puts a connection back into the pool, or closes it if it is not usable, or if its endpoint no longer
     /// accepts requests or has another address.
-    pub(super) fn release(&self, endpoint: EndpointId, addr: SocketAddr, mut pooled: PooledConnection) {
+    pub(super) fn release(&self, endpoint: EndpointId, addr: SocketAddr, mut pooled: BudgetedConnection) {
         if let Some(endpoint) = self.endpoints.borrow_mut().get_mut(&endpoint) {
             let accepts = endpoint.state == EndpointState::Ready && endpoint.addr == addr;
             if accepts && self.is_usable(&mut pooled.connection) {
