--- a/crates/gateway/src/dispatcher/mod.rs
+++ b/crates/gateway/src/dispatcher/mod.rs
@@ -129,7 +129,7 @@
     }
 
     /// Ends the request of a client that has disconnected. Does nothing if the request has its response.
-    pub(crate) fn on_client_gone(self: &Rc<Self>, request: RequestId) {
+    pub(crate) fn on_client_disconnected(self: &Rc<Self>, request: RequestId) {
         let responder =
             self.state.borrow_mut().active_requests.get_mut(&request).and_then(ActiveRequest::take_responder);
         if responder.is_some() {
--- a/crates/gateway/src/downstream/handler.rs
+++ b/crates/gateway/src/downstream/handler.rs
@@ -150,7 +150,7 @@
 impl Drop for CancelOnDrop<'_> {
     fn drop(&mut self) {
         if let Some(request) = self.request {
-            self.dispatcher.on_client_gone(request);
+            self.dispatcher.on_client_disconnected(request);
         }
     }
 }
