--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -1,6 +1,6 @@
 //! Loads the configuration, the JSON file that the environment variable `LB_CONFIG` names. It is read at
 //! startup and on SIGHUP.
-use crate::discovery::EndpointList;
+use crate::discovery::EndpointListUpdate;
 use irishinge_admission::{Settings, SettingsError};
 use irishinge_settings::{
     Names, SettingsDocument, SettingsDocumentError, SocketSettings, TranslatedSettings,
@@ -29,7 +29,7 @@
     /// The address for messages of each gateway of the fleet, indexed by the gateway's number.
     pub peers: Vec<SocketAddr>,
     /// The endpoint list that was cached before a restart, if there is one.
-    pub cached_list: Option<EndpointList>,
+    pub cached_list: Option<EndpointListUpdate>,
     /// The settings of the admission library.
     pub settings: Settings,
     /// The names of the classes, plans, zones and machine kinds that the settings refer to by index.
@@ -52,7 +52,7 @@
     #[serde(default)]
     peers: Vec<SocketAddr>,
     #[serde(rename = "known")]
-    cached_list: Option<EndpointList>,
+    cached_list: Option<EndpointListUpdate>,
     /// The settings of the admission library and of the network code.
     settings: SettingsDocument,
 }
--- a/crates/gateway/src/discovery/endpoint_list.rs
+++ b/crates/gateway/src/discovery/endpoint_list.rs
@@ -11,7 +11,7 @@
 /// The complete endpoint list or the changes to it, in discovery's JSON format. `known` in the configuration,
 /// the list that was cached before a restart, has the same format.
 #[derive(Deserialize)]
-pub(crate) struct EndpointList {
+pub(crate) struct EndpointListUpdate {
     /// The version number of the list. A newer list has a greater one.
     #[serde(rename = "rev")]
     pub revision: u64,
@@ -67,7 +67,7 @@
     pub addr: SocketAddr,
 }
 
-impl EndpointList {
+impl EndpointListUpdate {
     /// Returns whether the list has no records.
     pub(crate) fn is_empty(&self) -> bool {
         self.records.is_empty()
--- a/crates/gateway/src/discovery/mod.rs
+++ b/crates/gateway/src/discovery/mod.rs
@@ -24,7 +24,7 @@
 mod tests;
 mod watch;
 
-pub(crate) use self::endpoint_list::{DiscoveredEndpoint, EndpointList};
+pub(crate) use self::endpoint_list::{DiscoveredEndpoint, EndpointListUpdate};
 pub(crate) use self::observer::EndpointListObserver;
 pub(crate) use self::refresh_policy::RefreshPolicy;
 pub(crate) use self::watch::watch_endpoint_list;
--- a/crates/gateway/src/discovery/observer.rs
+++ b/crates/gateway/src/discovery/observer.rs
@@ -1,12 +1,12 @@
 //! The interface through which the watch reports the endpoint list and its lease.
-use super::endpoint_list::EndpointList;
+use super::endpoint_list::EndpointListUpdate;
 use irishinge_admission::ListUpdateKind;
 use tokio::time::Instant;
 
 /// Receives the endpoint list and the changes of its lease.
 pub(crate) trait EndpointListObserver {
     /// Called when discovery has returned the complete list or the changes to it.
-    fn list_received(&self, kind: ListUpdateKind, list: EndpointList);
+    fn list_received(&self, kind: ListUpdateKind, list: EndpointListUpdate);
 
     /// Called with the time at which the lease expires: at the start, at each renewal, and when the lease is
     /// shortened. Never called if lists have no lease.
--- a/crates/gateway/src/discovery/tests/endpoint_list.rs
+++ b/crates/gateway/src/discovery/tests/endpoint_list.rs
@@ -1,5 +1,5 @@
 //! The tests of parsing the endpoint list: each field, and records that are skipped.
-use crate::discovery::endpoint_list::{DiscoveredEndpoint, EndpointList};
+use crate::discovery::endpoint_list::{DiscoveredEndpoint, EndpointListUpdate};
 use irishinge_admission::{EndpointId, EndpointState, MachineKindIndex, ZoneIndex};
 use irishinge_settings::Names;
 use serde_json::{json, Value};
@@ -19,7 +19,7 @@
 }
 
 /// Parses a complete list with these records.
-fn list(records: Value) -> EndpointList {
+fn list(records: Value) -> EndpointListUpdate {
     serde_json::from_value(json!({"rev": 7, "all": true, "targets": records})).expect("a list")
 }
 
@@ -42,7 +42,7 @@
 fn list_is_complete_only_if_marked() {
     let complete = list(json!([]));
     assert!(complete.revision == 7 && complete.is_complete && complete.is_empty());
-    let changes: EndpointList =
+    let changes: EndpointListUpdate =
         serde_json::from_value(json!({"rev": 8, "targets": [record(json!({}))]})).expect("a list");
     assert!(changes.revision == 8 && !changes.is_complete && !changes.is_empty());
 }
--- a/crates/gateway/src/discovery/watch.rs
+++ b/crates/gateway/src/discovery/watch.rs
@@ -1,6 +1,6 @@
 //! The watch that keeps the endpoint list current by long polling. It makes one call after another over one
 //! connection, and discovery responds to each call when the list changes or the call's wait is over.
-use super::endpoint_list::EndpointList;
+use super::endpoint_list::EndpointListUpdate;
 use super::error::{CallError, DiscoveryError};
 use super::lease_expiry::report_lease_expiry;
 use super::list_revision::{ListCall, ListRevision};
@@ -92,7 +92,7 @@
 /// A list that discovery returned, and the delay of the response.
 struct ListResponse {
     /// The complete list or the changes.
-    list: EndpointList,
+    list: EndpointListUpdate,
     /// The time that the response took beyond the requested wait.
     delay: Duration,
 }
@@ -208,7 +208,7 @@
 }
 
 /// Returns the list from a response, or the error that its status or body stands for.
-fn parse_list(response: &Response<Bytes>) -> Result<EndpointList, DiscoveryError> {
+fn parse_list(response: &Response<Bytes>) -> Result<EndpointListUpdate, DiscoveryError> {
     match response.status() {
         StatusCode::OK => {}
         StatusCode::SERVICE_UNAVAILABLE => return Err(DiscoveryError::Rejected),
--- a/crates/gateway/src/dispatcher/mod.rs
+++ b/crates/gateway/src/dispatcher/mod.rs
@@ -14,7 +14,7 @@
 use self::request_deadlines::{fallback_response, RequestDeadlines};
 use self::timers::{Rearm, TimerKind, TimerQueue};
 use crate::clock::Clock;
-use crate::discovery::{EndpointList, EndpointListObserver};
+use crate::discovery::{EndpointListObserver, EndpointListUpdate};
 use crate::peers::{PeerMessageHandler, Peers};
 use crate::quota_counter::QuotaCounter;
 use crate::upstream::{AttemptResult, UpstreamPool, UpstreamRequest};
@@ -224,7 +224,7 @@
 }
 
 impl EndpointListObserver for Rc<Dispatcher> {
-    fn list_received(&self, kind: ListUpdateKind, list: EndpointList) {
+    fn list_received(&self, kind: ListUpdateKind, list: EndpointListUpdate) {
         let endpoints = list.endpoints(&self.names, self.clock.now_ms());
         self.upstream.apply_list(kind, &endpoints);
         let entries = endpoints.into_iter().map(|endpoint| endpoint.entry).collect();
--- a/crates/gateway/src/startup.rs
+++ b/crates/gateway/src/startup.rs
@@ -3,7 +3,7 @@
 use crate::clock::Clock;
 use crate::config::{Config, ConfigError};
 use crate::descriptor_budget::DescriptorBudget;
-use crate::discovery::{watch_endpoint_list, EndpointList, EndpointListObserver, RefreshPolicy};
+use crate::discovery::{watch_endpoint_list, EndpointListObserver, EndpointListUpdate, RefreshPolicy};
 use crate::dispatcher::Dispatcher;
 use crate::downstream::{DownstreamServer, DownstreamSettings};
 use crate::logging::target;
@@ -108,7 +108,7 @@
 
 /// Applies the endpoint list that was cached before a restart. Returns the revision from which the watch
 /// requests changes, or `None` if it is to request the complete list.
-fn restore_cached_list(dispatcher: &Rc<Dispatcher>, cached: Option<EndpointList>) -> Option<u64> {
+fn restore_cached_list(dispatcher: &Rc<Dispatcher>, cached: Option<EndpointListUpdate>) -> Option<u64> {
     let cached = cached?;
     // The changes to an empty list are the complete list, so requesting only changes would save discovery
     // no work.
