--- a/crates/gateway/src/discovery/endpoint_list.rs
+++ b/crates/gateway/src/discovery/endpoint_list.rs
@@ -8,25 +8,26 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// The complete endpoint list or the changes to it, in discovery's JSON format. `known` in the configuration,
-/// the list that was cached before a restart, has the same format.
+/// An update of the endpoint list, in discovery's JSON format: either the complete list or only the changes
+/// to it. `known` in the configuration, the complete list that was cached before a restart, has the same
+/// format.
 #[derive(Deserialize)]
 pub(crate) struct EndpointListUpdate {
-    /// The version number of the list. A newer list has a greater one.
+    /// The version number of the list after this update. A newer list has a greater one.
     #[serde(rename = "rev")]
     pub revision: u64,
-    /// Whether this is the complete list rather than the changes since a revision.
+    /// Whether the update has the complete list rather than the changes since a revision.
     #[serde(default, rename = "all")]
     pub is_complete: bool,
-    /// The endpoints' records. They are parsed one by one, so that a malformed record does not make the
+    /// The entries of the endpoints. They are parsed one by one, so that a malformed entry does not make the
     /// others unusable.
     #[serde(rename = "targets")]
-    records: Vec<serde_json::Value>,
+    entries: Vec<serde_json::Value>,
 }
 
-/// One endpoint in discovery's JSON format.
+/// The entry of one endpoint in discovery's JSON format.
 #[derive(Deserialize)]
-struct EndpointRecord {
+struct JsonEndpointEntry {
     /// The unique name of the endpoint, which is the same at every gateway.
     uid: String,
     /// The address that the endpoint listens on.
@@ -48,10 +49,10 @@
     started_at_ms: f64,
 }
 
-/// The reason for which a record of the list is ignored.
+/// The reason for which an entry of the list is ignored.
 #[derive(Debug, Error)]
-enum EndpointRecordError {
-    /// The record is not an object, or a field is missing or has the wrong type.
+enum EndpointEntryError {
+    /// The entry is not an object, or a field is missing or has the wrong type.
     #[error(transparent)]
     Malformed(#[from] serde_json::Error),
     /// The state is none of the three that the gateway knows.
@@ -68,17 +69,17 @@
 }
 
 impl EndpointListUpdate {
-    /// Returns whether the list has no records.
+    /// Returns whether the update has no entries.
     pub(crate) fn is_empty(&self) -> bool {
-        self.records.is_empty()
+        self.entries.is_empty()
     }
 
-    /// Returns the endpoints of the list. `now_ms` is the current time in Unix milliseconds.
+    /// Returns the endpoints of the update. `now_ms` is the current time in Unix milliseconds.
     ///
-    /// A record that is malformed or has an unknown state is logged and skipped. If the list is complete, its
+    /// An entry that is malformed or has an unknown state is logged and skipped. If the list is complete, its
     /// endpoint then counts as absent, and nothing is sent to it.
     pub(crate) fn endpoints(self, names: &Names, now_ms: f64) -> Vec<DiscoveredEndpoint> {
-        let parse = |record| match EndpointRecord::parse(record).and_then(|r| r.into_endpoint(names, now_ms))
+        let parse = |entry| match JsonEndpointEntry::parse(entry).and_then(|e| e.into_endpoint(names, now_ms))
         {
             Ok(endpoint) => Some(endpoint),
             Err(error) => {
@@ -90,23 +91,23 @@
                 None
             }
         };
-        self.records.into_iter().filter_map(parse).collect()
+        self.entries.into_iter().filter_map(parse).collect()
     }
 }
 
-impl EndpointRecord {
-    /// Parses a record of the list.
-    fn parse(record: serde_json::Value) -> Result<Self, EndpointRecordError> {
-        Ok(serde_json::from_value(record)?)
+impl JsonEndpointEntry {
+    /// Parses an entry of the list.
+    fn parse(entry: serde_json::Value) -> Result<Self, EndpointEntryError> {
+        Ok(serde_json::from_value(entry)?)
     }
 
-    /// Converts the record to an endpoint. `names` gives the indexes of the zone and the kind of machine.
-    fn into_endpoint(self, names: &Names, now_ms: f64) -> Result<DiscoveredEndpoint, EndpointRecordError> {
+    /// Converts the entry to an endpoint. `names` gives the indexes of the zone and the kind of machine.
+    fn into_endpoint(self, names: &Names, now_ms: f64) -> Result<DiscoveredEndpoint, EndpointEntryError> {
         let state = match self.state.as_str() {
             "up" => EndpointState::Ready,
             "draining" => EndpointState::Draining,
             "removed" => EndpointState::Gone,
-            _ => return Err(EndpointRecordError::UnknownState(self.state)),
+            _ => return Err(EndpointEntryError::UnknownState(self.state)),
         };
         let has_start_time = self.started_at_ms.is_finite() && self.started_at_ms > 0.0;
         let entry = EndpointEntry {
--- a/crates/gateway/src/discovery/error.rs
+++ b/crates/gateway/src/discovery/error.rs
@@ -9,8 +9,8 @@
 /// A call to discovery that returned no usable list, classified by what this shows about discovery's state.
 #[derive(Debug, Error)]
 pub(super) enum DiscoveryError {
-    /// No connection could be established. While discovery cannot be reached, no gateway need know of the
-    /// changes that discovery has.
+    /// No connection could be established. The time within which a change must be known to every gateway does
+    /// not run while discovery cannot be reached.
     #[error("discovery cannot be reached")]
     Unreachable {
         /// When the attempt to connect began.
@@ -28,9 +28,10 @@
     #[error("discovery returned no endpoint list")]
     NoList(#[source] CallError),
     /// A later call on a connection got no response or no valid one, or a call returned an older revision
-    /// than the cached one: discovery may be up or down.
-    #[error("the watch of the endpoint list was interrupted")]
-    WatchInterrupted(#[source] CallError),
+    /// than the cached one. This shows neither that discovery is down nor that it has changes which the
+    /// gateway missed, so the lease and the overload state stay as they are.
+    #[error("the call returned no usable endpoint list")]
+    Inconclusive(#[source] CallError),
 }
 
 /// The cause of a failed call.
@@ -48,7 +49,7 @@
     /// The connection was established, but the response did not arrive before the timeout.
     #[error("no response in time")]
     ResponseTimedOut,
-    /// The connection was lost, or the response is not valid HTTP or too large.
+    /// The connection was lost, or the response is not valid HTTP, incomplete or too large.
     #[error("no valid response")]
     ExchangeFailed(#[from] ExchangeError),
     /// The status is neither 200 nor 503.
@@ -58,6 +59,11 @@
     #[error("the response is not a valid endpoint list")]
     MalformedList(#[from] serde_json::Error),
     /// The revision of the received list is older than that of the cached one.
-    #[error("the received endpoint list is older than the cached one")]
-    StaleRevision,
+    #[error("the received endpoint list has revision {received}, which is older than the cached {cached}")]
+    StaleRevision {
+        /// The revision of the received list.
+        received: u64,
+        /// The revision of the cached list.
+        cached: u64,
+    },
 }
--- a/crates/gateway/src/discovery/list_lease.rs
+++ b/crates/gateway/src/discovery/list_lease.rs
@@ -9,7 +9,7 @@
 /// The time within which every change that the new discovery has must be known, counted from when SIGHUP has
 /// changed discovery's address.
 pub(super) const MAX_DELAY_AFTER_ADDRESS_CHANGE: Duration = Duration::from_millis(4000);
-/// The time between the expiry of a lease that was not renewed and the time when a change must be known.
+/// How long before the end of [`MAX_PROPAGATION_DELAY`] a lease expires if it is not renewed.
 pub(super) const LEASE_MARGIN: Duration = Duration::from_millis(500);
 /// The time for which a list may be used after it was last known to be current.
 pub(super) const LEASE_DURATION: Duration = MAX_PROPAGATION_DELAY.saturating_sub(LEASE_MARGIN);
@@ -17,13 +17,14 @@
 const LEASE_DURATION_AFTER_ADDRESS_CHANGE: Duration =
     MAX_DELAY_AFTER_ADDRESS_CHANGE.saturating_sub(LEASE_MARGIN);
 /// The time for which a rejected call renews the lease: enough for the longest pause and for a next rejection
-/// that takes 2 s. It exceeds [`LEASE_DURATION`], which uses up some of the drain grace.
+/// that takes 2 s. The excess over [`LEASE_DURATION`] is taken from the drain grace (`stopSendingWithinMs`),
+/// the time that is allowed for a gateway to stop sending to an endpoint once the change is known.
 ///
 /// A rejection may come from an overloaded discovery, or from a proxy in front of a discovery that is down.
 /// Because a gateway cannot distinguish the two, a rejection renews the lease as an outage does.
 pub(super) const REJECTION_RENEWAL: Duration = Duration::from_millis(7000);
 /// The maximum time from the last list to the end of a lease that rejections renew: enough for an outage of
-/// ten seconds, the wait of the watch before it, and the calls after it.
+/// ten seconds, the wait of the long poll before it, and the calls after it.
 pub(super) const MAX_LEASE_WITH_REJECTIONS: Duration = Duration::from_millis(20_000);
 
 /// A lease on the cached list, which may be used until the lease expires. After that, only a newly received
--- a/crates/gateway/src/discovery/list_revision.rs
+++ b/crates/gateway/src/discovery/list_revision.rs
@@ -20,7 +20,7 @@
 }
 
 impl ListRevision {
-    /// Returns the next call. If there is a revision, the call is a watch, which waits up to `wait` for
+    /// Returns the next call. If there is a revision, the call is a long poll, which waits up to `wait` for
     /// changes. Otherwise it requests the complete list, which discovery returns immediately.
     pub(super) fn next_call(&self, wait: Duration) -> ListCall {
         match self.0 {
@@ -36,13 +36,13 @@
     ///
     /// # Errors
     ///
-    /// Fails if the received revision is older than the requested one, because the response was overtaken
+    /// Fails if the received revision is older than the cached one, because the response was overtaken
     /// by a newer one or discovery has restarted its revision numbers. If such a response were applied, it
     /// could make a draining endpoint ready again, and its changes may not be relative to the cached list.
-    /// The error makes the watch fetch the complete list.
+    /// After the error, the next call requests the complete list.
     pub(super) fn advance(&mut self, received: u64) -> Result<(), DiscoveryError> {
-        if self.0.is_some_and(|cached| received < cached) {
-            return Err(DiscoveryError::WatchInterrupted(CallError::StaleRevision));
+        if let Some(cached) = self.0.filter(|cached| received < *cached) {
+            return Err(DiscoveryError::Inconclusive(CallError::StaleRevision { received, cached }));
         }
         self.0 = Some(received);
         Ok(())
@@ -61,7 +61,7 @@
             DiscoveryError::Rejected => {}
             DiscoveryError::Unreachable { .. }
             | DiscoveryError::NoList(_)
-            | DiscoveryError::WatchInterrupted(_) => self.reset(),
+            | DiscoveryError::Inconclusive(_) => self.reset(),
         }
     }
 }
--- a/crates/gateway/src/discovery/mod.rs
+++ b/crates/gateway/src/discovery/mod.rs
@@ -4,8 +4,8 @@
 //! This module does not depend on the users of the list: it notifies an [`EndpointListObserver`] of each
 //! list and of each change of the lease.
 //!
-//! - [`endpoint_list`]: parses the list from discovery's JSON.
-//! - [`watch`]: the loop that calls discovery over one connection after another.
+//! - [`endpoint_list`]: parses updates of the list from discovery's JSON.
+//! - [`watch`]: the loop that long-polls discovery over one connection after another.
 //! - [`refresh_schedule`]: decides when the next call starts and how long it may take, from the
 //!   [`refresh_policy`], the [`list_lease`] and a [`backoff`] with jitter.
 //! - [`list_revision`]: what to request next, and which responses may be applied.
--- a/crates/gateway/src/discovery/refresh_schedule.rs
+++ b/crates/gateway/src/discovery/refresh_schedule.rs
@@ -7,24 +7,24 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The time reserved for a connection and a response before the list expires, while discovery is not
-/// overloaded.
+/// The part of the time reserved before the list expires, while discovery is not overloaded, that is for a
+/// new connection and the response on it. [`RefreshSchedule::call_times`] has the other parts.
 pub(super) const RESPONSE_ALLOWANCE: Duration = Duration::from_millis(1250);
-/// The time reserved for a response before the list expires, while discovery is overloaded. It is shorter
-/// than [`RESPONSE_ALLOWANCE`], so that watches wait longer and make fewer calls, and it covers the time
-/// for which their responses are queued by discovery.
-const OVERLOADED_RESPONSE_ALLOWANCE: Duration = Duration::from_millis(1000);
+/// The whole time reserved before the list expires while discovery is overloaded. It is shorter than the sum
+/// that is reserved otherwise, so that long polls wait longer and the gateway makes fewer calls, and it
+/// covers the time for which discovery queues a call.
+const OVERLOADED_ALLOWANCE: Duration = Duration::from_millis(1000);
 /// The delay of a response above which discovery counts as overloaded, because the call must have been
 /// queued.
 const OVERLOADED_DELAY: Duration = Duration::from_millis(250);
-/// The narrowest window of pauses after an interrupted watch. The window is narrowed so that a response can
-/// arrive before the list expires. It has this minimum because the watches of all gateways may have been
-/// interrupted at once.
-pub(super) const MIN_RETRY_WINDOW: Duration = Duration::from_millis(250);
+/// The narrowest window of pauses after an inconclusive call. The window is narrowed so that a response can
+/// arrive before the list expires. It has this minimum because the long polls of all gateways may have
+/// failed at once.
+pub(super) const MIN_INCONCLUSIVE_WINDOW: Duration = Duration::from_millis(250);
 /// The widest window of pauses after a rejected call while the list may be used. If a call is rejected just
 /// before discovery recovers, this pause and the next response end before the drain grace of a change is
 /// over.
-pub(super) const MAX_REJECTION_BACKOFF: Duration = Duration::from_millis(4250);
+pub(super) const MAX_REJECTION_WINDOW: Duration = Duration::from_millis(4250);
 
 /// The position of a call among the calls on its connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -63,7 +63,7 @@
         RefreshSchedule {
             policy,
             lease: policy.lease_duration.map(|duration| ListLease::new(duration, now)),
-            backoff: Backoff::new(policy.initial_backoff, policy.max_backoff, seed),
+            backoff: Backoff::new(policy.initial_backoff_window, policy.max_backoff_window, seed),
             is_overloaded: false,
         }
     }
@@ -85,15 +85,16 @@
         let response_timeout =
             if may_be_queued { policy.queued_response_timeout } else { policy.response_timeout };
         // Longer waits mean fewer calls. But if the list expires during the wait, the gateway sends nothing
-        // until it has the response.
+        // until it has the response. So unless discovery is overloaded, there is time for this call to time
+        // out, for a pause, and for a new connection with its first response.
         let allowance = if self.is_overloaded {
-            OVERLOADED_RESPONSE_ALLOWANCE
+            OVERLOADED_ALLOWANCE
         } else {
-            response_timeout + MIN_RETRY_WINDOW + RESPONSE_ALLOWANCE
+            response_timeout + MIN_INCONCLUSIVE_WINDOW + RESPONSE_ALLOWANCE
         };
         let wait = match &self.lease {
-            Some(lease) => lease.remaining(now).saturating_sub(allowance).min(policy.watch_wait),
-            None => policy.watch_wait,
+            Some(lease) => lease.remaining(now).saturating_sub(allowance).min(policy.long_poll_wait),
+            None => policy.long_poll_wait,
         };
         CallTimes { wait, response_timeout }
     }
@@ -119,6 +120,8 @@
 
     /// Handles a failed call and returns the pause before the next call.
     pub(super) fn on_error(&mut self, error: &DiscoveryError, now: Instant) -> Duration {
+        // Pushed lists have no lease: every error is followed by a pause from the same widening window, and
+        // discovery never counts as overloaded because of an error.
         let Some(lease) = &mut self.lease else { return self.draw_pause_and_widen() };
         match error {
             // Calls that do not reach discovery put no load on it. A wider window would only delay the first
@@ -134,15 +137,16 @@
                 self.pause_after_rejection(remaining)
             }
             // A missing response may mean an outage, and after its end the list must be fetched without
-            // delay. The response timeout limits the rate of calls.
+            // delay. The response timeout limits the rate of calls; if the response came but has no list,
+            // only the pause does.
             DiscoveryError::NoList(_) => {
                 self.is_overloaded = true;
                 lease.record_reached_without_list();
                 self.backoff.draw_pause(self.backoff.initial_window())
             }
-            DiscoveryError::WatchInterrupted(_) => {
+            DiscoveryError::Inconclusive(_) => {
                 let remaining = lease.remaining(now);
-                self.pause_after_interruption(remaining)
+                self.pause_after_inconclusive_call(remaining)
             }
         }
     }
@@ -160,21 +164,21 @@
         let mut window = self.backoff.window();
         self.backoff.widen();
         if remaining.is_zero() {
-            // While the list is expired, nothing is sent to its endpoints, so the pause may exceed the
-            // maximum for a valid list.
+            // While the list is expired, nothing is sent to its endpoints, so pauses may be longer: each
+            // rejection widens the window twice, and the pause is drawn without the maximum for a valid list.
             self.backoff.widen();
         } else {
-            window = window.min(MAX_REJECTION_BACKOFF);
+            window = window.min(MAX_REJECTION_WINDOW);
         }
         self.backoff.draw_pause(window)
     }
 
-    /// Returns the pause after an interrupted watch. `remaining` is the time for which the list may still be
+    /// Returns the pause after an inconclusive call. `remaining` is the time for which the list may still be
     /// used.
-    fn pause_after_interruption(&mut self, remaining: Duration) -> Duration {
+    fn pause_after_inconclusive_call(&mut self, remaining: Duration) -> Duration {
         let mut window = self.backoff.window();
         if !remaining.is_zero() {
-            window = window.min(remaining.saturating_sub(RESPONSE_ALLOWANCE).max(MIN_RETRY_WINDOW));
+            window = window.min(remaining.saturating_sub(RESPONSE_ALLOWANCE).max(MIN_INCONCLUSIVE_WINDOW));
         }
         self.backoff.draw_pause(window)
     }
--- a/crates/gateway/src/discovery/watch.rs
+++ b/crates/gateway/src/discovery/watch.rs
@@ -1,5 +1,5 @@
-//! The watch that keeps the endpoint list current by long polling. It makes one call after another over one
-//! connection, and discovery responds to each call when the list changes or the call's wait is over.
+//! The watch: the loop that keeps the endpoint list current by long polling. It makes one call after another
+//! over one connection, and discovery responds to each call when the list changes or the call's wait is over.
 use super::endpoint_list::EndpointListUpdate;
 use super::error::{CallError, DiscoveryError};
 use super::lease_expiry::report_lease_expiry;
@@ -43,7 +43,7 @@
     let (expires_at_sender, expires_at_receiver) = watch::channel(Instant::now());
     let revision = ListRevision(cached_revision);
     let mut list_watch =
-        EndpointListWatch { observer, revision, schedule, expires_at_sender, is_healthy: true };
+        EndpointListWatch { observer, revision, schedule, expires_at_sender, last_call_returned_list: true };
     list_watch.publish_lease();
     if policy.lease_duration.is_some() {
         let observer = list_watch.observer.clone();
@@ -86,12 +86,12 @@
     /// Passes the time when the lease expires to the task that reports the expiry.
     expires_at_sender: watch::Sender<Instant>,
     /// Whether the last call returned a list. Only the first failure after a list is logged.
-    is_healthy: bool,
+    last_call_returned_list: bool,
 }
 
 /// A list that discovery returned, and the delay of the response.
 struct ListResponse {
-    /// The complete list or the changes.
+    /// The complete list or the changes to it.
     list: EndpointListUpdate,
     /// The time that the response took beyond the requested wait.
     delay: Duration,
@@ -102,7 +102,7 @@
     async fn watch_until_error(&mut self, addr: SocketAddr) {
         let Err::<Infallible, DiscoveryError>(error) = self.watch_over_one_connection(addr).await;
         self.revision.reset_after(&error);
-        if std::mem::take(&mut self.is_healthy) {
+        if std::mem::take(&mut self.last_call_returned_list) {
             tracing::warn!(
                 target: target::DISCOVERY,
                 discovery = %addr,
@@ -132,19 +132,20 @@
 
     /// Connects to discovery and makes one call after another over that connection, until a call fails.
     async fn watch_over_one_connection(&mut self, addr: SocketAddr) -> Result<Infallible, DiscoveryError> {
-        let complete_list_first = self.schedule.policy().complete_list_first;
-        if complete_list_first {
+        let lists_are_pushed = self.schedule.policy().lists_are_pushed;
+        // The agent that lists are pushed to may have restarted its revision numbers.
+        if lists_are_pushed {
             self.revision.reset();
         }
         let started_at = Instant::now();
         let mut connection = self.connect(addr, started_at).await?;
         // If lists are pushed, one timeout covers the connection attempt and the first call together.
-        let called_at = if complete_list_first { started_at } else { Instant::now() };
+        let called_at = if lists_are_pushed { started_at } else { Instant::now() };
         // The connection has just been established, so a first call that fails shows that discovery was
-        // reached. An interrupted watch does not show that.
+        // reached. A later call that fails does not show that.
         let first_response = self.call(&mut connection, addr, CallPosition::First, called_at).await;
         let mut response = first_response.map_err(|error| match error {
-            DiscoveryError::WatchInterrupted(cause) => DiscoveryError::NoList(cause),
+            DiscoveryError::Inconclusive(cause) => DiscoveryError::NoList(cause),
             other => other,
         })?;
         loop {
@@ -172,7 +173,7 @@
         self.revision.advance(list.revision)?;
         self.schedule.on_list(delay, Instant::now());
         self.publish_lease();
-        if !std::mem::replace(&mut self.is_healthy, true) {
+        if !std::mem::replace(&mut self.last_call_returned_list, true) {
             tracing::info!(
                 target: target::DISCOVERY,
                 discovery = %addr,
@@ -196,12 +197,12 @@
         let times = self.schedule.call_times(position, started_at);
         let ListCall { path, wait } = self.revision.next_call(times.wait);
         let request = Request::get(path).header(HOST, addr.to_string()).body(Full::new(Bytes::new()));
-        let request = request.map_err(|error| DiscoveryError::WatchInterrupted(error.into()))?;
+        let request = request.map_err(|error| DiscoveryError::Inconclusive(error.into()))?;
         let deadline = started_at + wait + times.response_timeout;
         let response = timeout_at(deadline, connection.exchange(request, MAX_LIST_BYTES)).await;
         let response = response
-            .map_err(|_| DiscoveryError::WatchInterrupted(CallError::ResponseTimedOut))?
-            .map_err(|error| DiscoveryError::WatchInterrupted(error.into()))?;
+            .map_err(|_| DiscoveryError::Inconclusive(CallError::ResponseTimedOut))?
+            .map_err(|error| DiscoveryError::Inconclusive(error.into()))?;
         let list = parse_list(&response)?;
         Ok(ListResponse { list, delay: started_at.elapsed().saturating_sub(wait) })
     }
