--- a/crates/gateway/src/dispatcher/actions.rs
+++ b/crates/gateway/src/dispatcher/actions.rs
@@ -1,4 +1,4 @@
-//! Carries out the actions that the decision library returns.
+//! Carries out the actions that the admission library returns.
 use super::active_request::{Attempt, EndedAttempt};
 use super::final_response::FinalResponse;
 use super::timers::TimerKind;
--- a/crates/gateway/src/dispatcher/active_request.rs
+++ b/crates/gateway/src/dispatcher/active_request.rs
@@ -121,7 +121,7 @@
 }
 
 impl EndedAttempt {
-    /// Returns the event that reports the attempt's end to the decision library.
+    /// Returns the event that reports the attempt's end to the admission library.
     pub(super) fn into_event(self, result: &AttemptResult) -> Event {
         Event::AttemptEnded(AttemptEnd {
             request: self.request,
--- a/crates/gateway/src/dispatcher/mod.rs
+++ b/crates/gateway/src/dispatcher/mod.rs
@@ -1,4 +1,4 @@
-//! Connects the decision library to the sockets. The dispatcher is the only owner of the library's
+//! Connects the admission library to the sockets. The dispatcher is the only owner of the library's
 //! `Gateway`: it passes events to the `Gateway`, carries out the returned actions in order, and owns the
 //! active requests with their attempts.
 mod actions;
@@ -29,7 +29,7 @@
 
 /// The part of the dispatcher that events change.
 struct State {
-    /// The decision library.
+    /// The admission library.
     gateway: Gateway,
     /// Events that the library has not handled yet.
     events: VecDeque<Event>,
@@ -39,12 +39,12 @@
     timers: TimerQueue,
 }
 
-/// Sends requests to endpoints as the decision library decides. Everything runs on one thread.
+/// Sends requests to endpoints as the admission library decides. Everything runs on one thread.
 pub(crate) struct Dispatcher {
     state: RefCell<State>,
     /// Wakes the timer task when a timer is added that expires before the time the task sleeps until.
     rearm: Notify,
-    /// The clock of the decision library's events and timers.
+    /// The clock of the admission library's events and timers.
     clock: Clock,
     /// The names that the settings define.
     names: Names,
@@ -157,7 +157,7 @@
     }
 
     /// Sends the [`fallback_response`] to a request that still waits for its response, and ends the request
-    /// in the decision library as if its client had disconnected.
+    /// in the admission library as if its client had disconnected.
     fn send_fallback_response(self: &Rc<Self>, request: RequestId) {
         let (responder, was_attempted) = {
             let mut state = self.state.borrow_mut();
@@ -170,7 +170,7 @@
         self.remove_if_finished(request);
     }
 
-    /// Reports an attempt's end to the decision library, and sends the client the endpoint's response if the
+    /// Reports an attempt's end to the admission library, and sends the client the endpoint's response if the
     /// attempt succeeded.
     fn on_attempt_end(self: &Rc<Self>, request: RequestId, index: usize, result: AttemptResult) {
         let event = {
@@ -205,8 +205,8 @@
         }
     }
 
-    /// Passes an event to the decision library and carries out the library's actions, then does the same with
-    /// each event that these actions cause at once.
+    /// Passes an event to the admission library and carries out the library's actions, then does the same
+    /// with each event that these actions cause at once.
     ///
     /// Such events are queued: if the library handled them while its actions are carried out, actions would
     /// be carried out in another order than the library decided.
--- a/crates/gateway/src/dispatcher/request_deadlines.rs
+++ b/crates/gateway/src/dispatcher/request_deadlines.rs
@@ -1,4 +1,4 @@
-//! The deadlines of a request, and the fallback response that the dispatcher sends if the decision library
+//! The deadlines of a request, and the fallback response that the dispatcher sends if the admission library
 //! has not responded shortly before the deadline.
 use super::final_response::FinalResponse;
 use crate::clock::duration_from_ms;
@@ -6,8 +6,8 @@
 
 /// How long before a request's deadline the dispatcher sends the fallback response, in milliseconds.
 ///
-/// The decision library normally responds sooner. The fallback guarantees that every request gets a response,
-/// whatever the library does.
+/// The admission library normally responds sooner. The fallback guarantees that every request gets a
+/// response, whatever the library does.
 pub(super) const FALLBACK_MARGIN_MS: f64 = 5.0;
 
 /// The deadlines of one request.
--- a/crates/gateway/src/dispatcher/timers.rs
+++ b/crates/gateway/src/dispatcher/timers.rs
@@ -1,4 +1,4 @@
-//! Timers: those that the decision library sets, and one for each request's fallback response.
+//! Timers: those that the admission library sets, and one for each request's fallback response.
 use super::Dispatcher;
 use irishinge_admission::{Event, RequestId};
 use std::cmp::Reverse;
@@ -9,7 +9,7 @@
 /// What happens when a timer expires.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum TimerKind {
-    /// The decision library gets an event with this token, which it set the timer with.
+    /// The admission library gets an event with this token, which it set the timer with.
     Library(u64),
     /// The dispatcher sends this request's fallback response, if the request has no response yet.
     FallbackResponse(RequestId),
