--- a/crates/gateway/src/downstream/connection.rs
+++ b/crates/gateway/src/downstream/connection.rs
@@ -12,12 +12,13 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep, Instant};
 
-/// How long the first request of a new connection, head and body, may take to arrive. Clients are promised
-/// a response or a close within 3 s of connecting.
+/// How long the first request of a new connection, head and body, may take to arrive. It leaves time to
+/// keep the guarantee that a client gets a response or a close within 3 s of connecting.
 const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(2500);
-/// How often the unread bytes after a request in progress are checked for a flood. The timer is needed
-/// because a socket with unread bytes stays readable, so that readiness does not report the bytes that follow
-/// them. Without unread bytes no timer is needed, because readiness reports a disconnect.
+/// How often the pipelined bytes, those that follow the request in progress in the stream, are checked for a
+/// flood. The timer is needed because a socket with unread bytes stays readable, so that readiness does not
+/// report the bytes that follow them. Without unread bytes no timer is needed, because readiness reports a
+/// disconnect.
 const FLOOD_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 /// The pause between two rounds of discarding. It is short enough to notice soon a disconnect that is queued
 /// behind full buffers at both ends, and long enough for other connections to be served.
@@ -30,8 +31,9 @@
     AwaitingFirstRequest,
     /// The previous request has its response, and the next one has not completely arrived.
     Idle,
-    /// A request is in progress, or the connection is closing after its last response.
-    Active,
+    /// A request is in progress, or the connection is about to close: after its last response, or because it
+    /// was evicted while idle. It is not evicted.
+    InUseOrClosing,
     /// The connection closes without a response, because it was evicted before a complete request arrived or
     /// because its client has disconnected.
     Aborted,
@@ -61,7 +63,7 @@
     role: ConnectionRole,
     /// The socket, which hyper uses too.
     stream: Rc<RefCell<TcpStream>>,
-    /// Whether the client has sent a flood of bytes after a request. They are discarded.
+    /// Whether the client has pipelined a flood of bytes behind a request. They are discarded.
     is_flooded: Cell<bool>,
 }
 
@@ -100,7 +102,7 @@
         self.role
     }
 
-    /// Returns whether the client has sent a flood of bytes. If it has, the connection closes after the
+    /// Returns whether the client has pipelined a flood of bytes. If it has, the connection closes after the
     /// response, because a further request may have been discarded with those bytes.
     pub(super) fn is_flooded(&self) -> bool {
         self.is_flooded.get()
@@ -117,8 +119,8 @@
         self.stage_since.set(Instant::now());
     }
 
-    /// Enters [`ConnectionStage::Active`] for a request that has completely arrived. If the client has
-    /// disconnected, aborts the connection instead and never returns.
+    /// Enters [`ConnectionStage::InUseOrClosing`] for a request that has completely arrived. If the client
+    /// has disconnected, aborts the connection instead and never returns.
     ///
     /// Without this check, a request could be sent to an endpoint after its client disconnected: the client
     /// may have done so long before the request was read, and a dispatched request may be sent at once. The
@@ -129,7 +131,7 @@
         if self.has_client_disconnected() {
             self.abort().await;
         }
-        self.enter_stage(ConnectionStage::Active);
+        self.enter_stage(ConnectionStage::InUseOrClosing);
     }
 
     /// Requests the connection's task to close the connection, after the response if a request is in
@@ -145,11 +147,12 @@
     }
 
     /// Evicts the connection, which has no request in progress. An idle connection may be reading a request
-    /// at this moment; it then responds to that request before it closes.
+    /// at this moment; it then responds to that request before it closes. The new stage prevents a second
+    /// eviction.
     pub(super) fn evict(&self) {
         self.stage.set(match self.stage.get() {
             ConnectionStage::AwaitingFirstRequest => ConnectionStage::Aborted,
-            _ => ConnectionStage::Active,
+            _ => ConnectionStage::InUseOrClosing,
         });
         self.request_close();
     }
--- a/crates/gateway/src/downstream/connection_limit.rs
+++ b/crates/gateway/src/downstream/connection_limit.rs
@@ -34,20 +34,20 @@
         open >= self.max_serving
     }
 
-    /// Returns whether a new connection, even one whose requests are rejected, may be accepted while `open`
-    /// connections are open.
-    pub(super) fn has_capacity(&self, open: usize) -> bool {
+    /// Returns whether `open` connections are fewer than the limit on served and rejecting connections
+    /// together. At that limit, a new connection may not even be accepted to reject its requests.
+    pub(super) fn is_below_total_limit(&self, open: usize) -> bool {
         open < self.max_serving + self.max_rejecting
     }
 
     /// Decides on a new connection while `open` others are open. `eviction` is the result of the eviction, or
     /// `None` if none was needed. An evicted connection counts as open until its task has run.
     pub(super) fn decide(&self, open: usize, eviction: Option<Eviction>) -> AcceptDecision {
-        match (eviction, self.has_capacity(open)) {
+        match (eviction, self.is_below_total_limit(open)) {
             (None | Some(Eviction::Evicted), true) => AcceptDecision::Serve,
             (None | Some(Eviction::Evicted), false) => AcceptDecision::ServeAfterClose,
-            (Some(Eviction::AllActive), true) => AcceptDecision::Reject,
-            (Some(Eviction::AllActive), false) => AcceptDecision::Close,
+            (Some(Eviction::NoneEvictable), true) => AcceptDecision::Reject,
+            (Some(Eviction::NoneEvictable), false) => AcceptDecision::Close,
         }
     }
 }
--- a/crates/gateway/src/downstream/connection_table.rs
+++ b/crates/gateway/src/downstream/connection_table.rs
@@ -28,7 +28,7 @@
     /// A connection was notified to close.
     Evicted,
     /// No connection can be evicted: each has a request in progress or is closing already.
-    AllActive,
+    NoneEvictable,
 }
 
 impl ConnectionTable {
@@ -87,7 +87,7 @@
                 connection.evict();
                 Eviction::Evicted
             }
-            None => Eviction::AllActive,
+            None => Eviction::NoneEvictable,
         }
     }
 }
--- a/crates/gateway/src/downstream/eviction_order.rs
+++ b/crates/gateway/src/downstream/eviction_order.rs
@@ -14,7 +14,8 @@
 /// their stage for longest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct EvictionRank {
-    /// Whether the connection has been in its stage for less than [`MIN_SILENCE`] or [`MIN_IDLE`].
+    /// Whether the connection has been in its stage for less than [`MIN_SILENCE`] if it awaits its first
+    /// request, or less than [`MIN_IDLE`] if it is idle after a response.
     is_recent: bool,
     /// The stage of the connection.
     stage: ConnectionStage,
@@ -29,7 +30,7 @@
         let min_time = match stage {
             ConnectionStage::AwaitingFirstRequest => MIN_SILENCE,
             ConnectionStage::Idle => MIN_IDLE,
-            ConnectionStage::Active | ConnectionStage::Aborted => return None,
+            ConnectionStage::InUseOrClosing | ConnectionStage::Aborted => return None,
         };
         let is_recent = time_in_stage < min_time;
         Some(EvictionRank { is_recent, stage, time_in_stage: Reverse(time_in_stage) })
--- a/crates/gateway/src/downstream/flood.rs
+++ b/crates/gateway/src/downstream/flood.rs
@@ -1,4 +1,4 @@
-//! Detects a flood of bytes that a client sends after a request in progress, and discards it.
+//! Detects a flood of pipelined bytes, which follow the request in progress in the stream, and discards it.
 //!
 //! hyper reads no further than the request in progress. If the unread bytes fill the socket's receive buffer,
 //! a close by the client cannot arrive behind them, and the request would go on although no client waits for
@@ -9,7 +9,7 @@
 use tokio::io::Interest;
 use tokio::net::TcpStream;
 
-/// The number of unread bytes after a request in progress that counts as a flood. A typical client sends one
+/// The number of unread pipelined bytes that counts as a flood. A typical client sends one
 /// request at a time.
 pub(super) const MIN_FLOOD_BYTES: usize = 64 * 1024;
 /// The number of reads in one round of discarding, each of up to [`MIN_FLOOD_BYTES`] bytes. Between rounds
@@ -27,7 +27,7 @@
     ClientDisconnected,
 }
 
-/// Returns whether the socket has a flood of unread bytes.
+/// Returns whether the socket has a flood of unread pipelined bytes.
 pub(super) fn is_flood(stream: &TcpStream) -> bool {
     let mut buffer = vec![MaybeUninit::uninit(); MIN_FLOOD_BYTES];
     matches!(SockRef::from(stream).peek(&mut buffer), Ok(length) if length == MIN_FLOOD_BYTES)
--- a/crates/gateway/src/downstream/handler.rs
+++ b/crates/gateway/src/downstream/handler.rs
@@ -65,7 +65,7 @@
         if closes {
             response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
-        connection.enter_stage(if closes { ConnectionStage::Active } else { ConnectionStage::Idle });
+        connection.enter_stage(if closes { ConnectionStage::InUseOrClosing } else { ConnectionStage::Idle });
         Ok(response)
     }
 
@@ -127,6 +127,8 @@
             () = connection.client_disconnected() => connection.abort().await,
         };
         cancellation.disarm();
+        // The dispatcher drops the channel without a response only if it is dropped itself: at the latest, it
+        // sends the fallback response.
         response.unwrap_or(FinalResponse::Failed)
     }
 }
--- a/crates/gateway/src/downstream/listener.rs
+++ b/crates/gateway/src/downstream/listener.rs
@@ -18,7 +18,7 @@
     pub(crate) async fn accept(self: Rc<Self>, listener: Rc<TcpListener>) {
         loop {
             match listener.accept().await {
-                Ok((stream, _)) => self.admit(stream).await,
+                Ok((stream, _)) => self.handle_accepted(stream).await,
                 Err(error) => {
                     tracing::warn!(
                         target: target::DOWNSTREAM,
@@ -36,12 +36,12 @@
         }
     }
 
-    /// Serves, rejects or closes a new connection. At the limit, a connection without a request in progress
-    /// is evicted to make room for the new one. If every connection has a request in progress, a few more
-    /// connections are accepted to reject their requests, and any beyond those are closed. If those were not
-    /// accepted at all, they would stay in the kernel's accept queue, and their clients would wait for a
-    /// response that never comes.
-    async fn admit(self: &Rc<Self>, stream: TcpStream) {
+    /// Serves, rejects or closes a connection that was accepted. At the limit, a connection without a request
+    /// in progress is evicted to make room for the new one. If every connection has a request in progress, a
+    /// few more connections are accepted to reject their requests, and any beyond those are closed. If those
+    /// were not accepted at all, they would stay in the kernel's accept queue, and their clients would wait
+    /// for a response that never comes.
+    async fn handle_accepted(self: &Rc<Self>, stream: TcpStream) {
         let limit = self.connection_limit();
         let open = self.connections().len();
         let eviction = limit.needs_eviction(open).then(|| self.connections().evict_one());
@@ -50,7 +50,7 @@
             AcceptDecision::ServeAfterClose => {
                 // The evicted connection closes when its task runs, unless it is still reading a body.
                 yield_now().await;
-                if limit.has_capacity(self.connections().len()) {
+                if limit.is_below_total_limit(self.connections().len()) {
                     self.serve(stream, ConnectionRole::Serving);
                 }
             }
--- a/crates/gateway/src/downstream/metering.rs
+++ b/crates/gateway/src/downstream/metering.rs
@@ -1,13 +1,13 @@
-//! The `X-Metering` header: the units that a request takes from its quota, and the gateways that its
-//! customer's requests arrive at.
+//! The `X-Metering` header: the units that a request takes from its customer's quota, and the gateways that
+//! the customer's requests come through.
 use irishinge_admission::Settings;
 
 /// The fields of `X-Metering`.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct Metering {
-    /// The units that the request takes from its quota.
+    /// The units that the request takes from its customer's quota.
     pub(super) units: f64,
-    /// The number of gateways that the customer's requests arrive at (`spread` on the wire).
+    /// The number of gateways that the customer's requests come through (`spread` on the wire).
     pub(super) gateway_count: usize,
     /// The index of the first of these gateways (`first` on the wire).
     pub(super) first_gateway: usize,
--- a/crates/gateway/src/downstream/request_parsing.rs
+++ b/crates/gateway/src/downstream/request_parsing.rs
@@ -29,14 +29,14 @@
 ) -> Result<Request, RequestError> {
     let headers = &head.headers;
     let customer = parse_customer(head.uri.path())?;
-    check_framing(headers)?;
+    check_headers(headers)?;
     let id = header(headers, CALL_ID).and_then(parse_hex).ok_or(RequestError::InvalidCallId)?;
     let class = header(headers, CALL_CLASS).ok_or(RequestError::MissingClass)?;
     let class = names.class_index(class).map_err(|_| RequestError::UnknownClass)?;
     let plan = header(headers, CONTRACT).ok_or(RequestError::MissingPlan)?;
     let plan = names.plan_index(plan).map_err(|_| RequestError::UnknownPlan)?;
     let class_settings = &settings.classes[class.0];
-    check_idempotency(head, class_settings.idempotency)?;
+    check_method_and_key(head, class_settings.idempotency)?;
     let budget_s = parse_budget_s(headers)?;
     let metering = header(headers, METERING).and_then(|text| Metering::parse(text, settings));
     let metering = metering.ok_or(RequestError::InvalidMetering)?;
@@ -78,13 +78,14 @@
     customer.map(CustomerId).ok_or(RequestError::InvalidCustomer)
 }
 
-/// Checks that there is no `Transfer-Encoding` and that no header of [`SINGLE_HEADERS`] is repeated.
+/// Checks the headers as a whole: there must be no `Transfer-Encoding`, and no header of [`SINGLE_HEADERS`]
+/// may be repeated.
 ///
 /// The length of a body must be declared once, by `Content-Length`. A client that declares it in two ways may
 /// hide a second request in the body (request smuggling): this gateway and an endpoint would then disagree on
 /// where the first request ends. hyper removes `Content-Length` if there is a `Transfer-Encoding`, so only
 /// the latter can be checked here.
-fn check_framing(headers: &HeaderMap) -> Result<(), RequestError> {
+fn check_headers(headers: &HeaderMap) -> Result<(), RequestError> {
     if headers.contains_key(TRANSFER_ENCODING) {
         return Err(RequestError::LengthRequired);
     }
@@ -94,8 +95,9 @@
     Ok(())
 }
 
-/// Checks that the request has the method and, if the class requires one, the idempotency key.
-fn check_idempotency(head: &Parts, idempotency: Idempotency) -> Result<(), RequestError> {
+/// Checks that the request has the method that its class requires and, if the class requires one, an
+/// idempotency key.
+fn check_method_and_key(head: &Parts, idempotency: Idempotency) -> Result<(), RequestError> {
     let method = match idempotency {
         Idempotency::Idempotent => Method::GET,
         _ => Method::POST,
--- a/crates/gateway/src/downstream/request_rules.rs
+++ b/crates/gateway/src/downstream/request_rules.rs
@@ -25,7 +25,7 @@
 pub(super) fn body_deadline(input: &BodyDeadlineInput) -> Instant {
     let deadline = match input.stage {
         ConnectionStage::AwaitingFirstRequest => input.first_request_deadline,
-        ConnectionStage::Idle | ConnectionStage::Active | ConnectionStage::Aborted => {
+        ConnectionStage::Idle | ConnectionStage::InUseOrClosing | ConnectionStage::Aborted => {
             input.received_at + BODY_TIMEOUT
         }
     };
@@ -39,7 +39,7 @@
     pub(super) is_invalid: bool,
     /// Whether the requests on the connection are served or rejected.
     pub(super) role: ConnectionRole,
-    /// Whether the client has sent a flood of bytes after a request.
+    /// Whether the client has pipelined a flood of bytes behind a request.
     pub(super) is_flooded: bool,
     /// Whether the gateway is draining.
     pub(super) is_draining: bool,
@@ -53,7 +53,7 @@
     InvalidRequest,
     /// The connection was accepted beyond the limit.
     OverLimit,
-    /// The client has sent a flood of bytes, and a further request may have been discarded with them.
+    /// The client has pipelined a flood of bytes, and a further request may have been discarded with them.
     Flooded,
     /// The gateway is draining.
     Draining,
--- a/crates/gateway/src/downstream/server.rs
+++ b/crates/gateway/src/downstream/server.rs
@@ -18,9 +18,9 @@
 
 /// The maximum size of a request's head (request line and headers), in bytes.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// How long a request's head may take to arrive, and how long a connection may be idle. The connection is
-/// closed when this time has passed.
-const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
+/// How long a request's head may take to arrive, and how long a connection may be idle between requests. The
+/// connection is closed when this time has passed.
+const HEAD_AND_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// The HTTP server for clients: their open connections, and the handler of their requests.
 pub(crate) struct DownstreamServer {
@@ -100,7 +100,7 @@
         let service = service_fn(|request| self.handler.respond(connection, request));
         let driver = http1::Builder::new()
             .timer(TokioTimer::new())
-            .header_read_timeout(HEAD_TIMEOUT)
+            .header_read_timeout(HEAD_AND_IDLE_TIMEOUT)
             .max_buf_size(MAX_HEAD_BYTES)
             .auto_date_header(false)
             .serve_connection(TokioIo::new(connection.shared_stream()), service);
@@ -119,8 +119,8 @@
                 },
                 () = first_request_timeout.as_mut(), if !first_request_timeout.is_elapsed() => {
                     // Without this timeout, a client that never completes a request would hold a connection:
-                    // hyper's timeout covers only the head, and it is longer than the time within which
-                    // clients are promised a response or a close.
+                    // hyper's timeout covers only the head, and it is longer than the 3 s within which a
+                    // new client is guaranteed a response or a close.
                     if connection.stage() == ConnectionStage::AwaitingFirstRequest {
                         return;
                     }
--- a/crates/gateway/src/downstream/tests/client_disconnect.rs
+++ b/crates/gateway/src/downstream/tests/client_disconnect.rs
@@ -74,7 +74,7 @@
 /// A client writes bytes after its request, in one case more than the buffers of both sockets hold, and
 /// disconnects. While the bytes fill the buffers, the close cannot arrive, and the request would go on
 /// although no client waits for it. Expected: the bytes are discarded and the disconnect is noticed within 50
-/// ms, half of the time that clients are promised.
+/// ms. That is half of the 100 ms within which the gateway must notice a disconnect.
 #[tokio::test(start_paused = true)]
 async fn disconnect_behind_unread_bytes_is_noticed_within_50_ms() {
     for (name, disconnect) in WAYS_TO_DISCONNECT {
--- a/crates/gateway/src/downstream/tests/connection_limit.rs
+++ b/crates/gateway/src/downstream/tests/connection_limit.rs
@@ -12,16 +12,16 @@
 }
 
 #[test]
-fn decision_on_new_connection_follows_open_count_and_eviction() {
+fn new_connection_is_served_if_there_is_room_else_rejected_or_closed() {
     let cases = [
         (0, None, AcceptDecision::Serve),
         (9, None, AcceptDecision::Serve),
         (10, Some(Eviction::Evicted), AcceptDecision::Serve),
         (11, Some(Eviction::Evicted), AcceptDecision::Serve),
         (12, Some(Eviction::Evicted), AcceptDecision::ServeAfterClose),
-        (10, Some(Eviction::AllActive), AcceptDecision::Reject),
-        (11, Some(Eviction::AllActive), AcceptDecision::Reject),
-        (12, Some(Eviction::AllActive), AcceptDecision::Close),
+        (10, Some(Eviction::NoneEvictable), AcceptDecision::Reject),
+        (11, Some(Eviction::NoneEvictable), AcceptDecision::Reject),
+        (12, Some(Eviction::NoneEvictable), AcceptDecision::Close),
     ];
     for (open, eviction, expected) in cases {
         assert_eq!(LIMIT.decide(open, eviction), expected, "{open} open, {eviction:?}");
--- a/crates/gateway/src/downstream/tests/eviction.rs
+++ b/crates/gateway/src/downstream/tests/eviction.rs
@@ -57,7 +57,11 @@
     let new = fixture.add(ConnectionStage::AwaitingFirstRequest).await;
     advance(Duration::from_millis(10)).await;
     assert_eq!(fixture.table.evict_one(), Eviction::Evicted);
-    assert_eq!(idle.stage(), ConnectionStage::Active, "it may be reading a request and then responds to it");
+    assert_eq!(
+        idle.stage(),
+        ConnectionStage::InUseOrClosing,
+        "it may be reading a request and then responds to it"
+    );
     assert_eq!(new.stage(), ConnectionStage::AwaitingFirstRequest);
 }
 
@@ -78,7 +82,7 @@
         assert_eq!(idle.stage(), ConnectionStage::Idle);
     }
     assert_eq!(fixture.table.evict_one(), Eviction::Evicted);
-    assert_eq!(idle.stage(), ConnectionStage::Active);
+    assert_eq!(idle.stage(), ConnectionStage::InUseOrClosing);
 }
 
 /// At the limit, every connection has a request in progress or is closing already. Evicting one with a
@@ -86,9 +90,9 @@
 #[tokio::test(start_paused = true)]
 async fn active_connection_is_never_evicted() {
     let mut fixture = Fixture::default();
-    let active = fixture.add(ConnectionStage::Active).await;
+    let active = fixture.add(ConnectionStage::InUseOrClosing).await;
     fixture.add(ConnectionStage::Aborted).await;
     advance(Duration::from_secs(10)).await;
-    assert_eq!(fixture.table.evict_one(), Eviction::AllActive);
-    assert_eq!(active.stage(), ConnectionStage::Active);
+    assert_eq!(fixture.table.evict_one(), Eviction::NoneEvictable);
+    assert_eq!(active.stage(), ConnectionStage::InUseOrClosing);
 }
--- a/crates/gateway/src/downstream/tests/eviction_order.rs
+++ b/crates/gateway/src/downstream/tests/eviction_order.rs
@@ -1,5 +1,7 @@
 //! Tests of the order in which connections are evicted.
-use crate::downstream::connection::ConnectionStage::{self, Aborted, Active, AwaitingFirstRequest, Idle};
+use crate::downstream::connection::ConnectionStage::{
+    self, Aborted, AwaitingFirstRequest, Idle, InUseOrClosing,
+};
 use crate::downstream::eviction_order::{EvictionRank, MIN_IDLE, MIN_SILENCE};
 use std::time::Duration;
 
@@ -27,7 +29,7 @@
 
 #[test]
 fn active_and_aborted_connections_have_no_rank() {
-    for stage in [Active, Aborted] {
+    for stage in [InUseOrClosing, Aborted] {
         assert_eq!(EvictionRank::new(stage, Duration::from_secs(60)), None, "{stage:?}");
     }
 }
--- a/crates/gateway/src/downstream/tests/mod.rs
+++ b/crates/gateway/src/downstream/tests/mod.rs
@@ -32,7 +32,7 @@
     // that.
     assert_eq!(stream.try_read(&mut [0]).map_err(|e| e.kind()), Err(io::ErrorKind::WouldBlock));
     let connection = Connection::new(stream, ConnectionRole::Serving);
-    connection.enter_stage(ConnectionStage::Active);
+    connection.enter_stage(ConnectionStage::InUseOrClosing);
     (connection, client)
 }
 
--- a/crates/gateway/src/downstream/tests/request_rules.rs
+++ b/crates/gateway/src/downstream/tests/request_rules.rs
@@ -15,7 +15,7 @@
         (ConnectionStage::AwaitingFirstRequest, 5000.0, first_request_deadline),
         (ConnectionStage::AwaitingFirstRequest, 300.0, after_ms(300)),
         (ConnectionStage::Idle, 5000.0, received_at + BODY_TIMEOUT),
-        (ConnectionStage::Active, 5000.0, received_at + BODY_TIMEOUT),
+        (ConnectionStage::InUseOrClosing, 5000.0, received_at + BODY_TIMEOUT),
         (ConnectionStage::Idle, 300.0, after_ms(300)),
     ];
     for (stage, time_left_ms, deadline) in cases {
