--- a/crates/settings/src/document.rs
+++ b/crates/settings/src/document.rs
@@ -13,8 +13,11 @@
     pub(crate) gateways: usize,
     /// The number of this gateway in the fleet, counted from 0.
     #[serde(rename = "me")]
-    pub(crate) gateway_number: usize,
-    /// Shortest time between two rounds of events, in milliseconds.
+    pub(crate) this_gateway: usize,
+    /// The length of a tick, in milliseconds: the simulator delivers events in rounds that are at least this
+    /// far apart. A deployed gateway handles each event when it occurs; there, as in the simulator, the
+    /// admission library takes the margins that it keeps before deadlines and the ends of key windows in
+    /// ticks.
     #[serde(rename = "tickMs")]
     pub(crate) tick_ms: f64,
     /// The name of this gateway's zone.
@@ -90,10 +93,10 @@
     /// The factor by which the plan multiplies the value of its customers' requests.
     #[serde(rename = "valueFactor")]
     pub(crate) plan_weight: f64,
-    /// The fraction of its value that a request over the quota has.
+    /// The value of a request over the quota, as a fraction of the request's full value.
     #[serde(rename = "overWorth")]
     pub(crate) over_quota_value: f64,
-    /// The fraction of its value that an attempt over the quota costs.
+    /// The cost of a request over the quota, as a fraction of the request's full value.
     #[serde(rename = "beyondCosts")]
     pub(crate) over_quota_cost: f64,
     /// Hard ceiling: the rate at which its token bucket fills, in units per second. 0 means no ceiling.
--- a/crates/settings/src/socket_settings.rs
+++ b/crates/settings/src/socket_settings.rs
@@ -24,10 +24,12 @@
 /// How the endpoint list reaches a gateway.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DiscoveryMode {
-    /// The list is pushed by an agent on the gateway's own machine. The agent answers calls at once and at no
-    /// cost, and the gateway counts as notified of a change as soon as the agent has it.
+    /// Discovery pushes the list to an agent on the gateway's own machine, and the gateway receives it from
+    /// there by long polling. Calls to the agent cost nothing and are not queued, and the gateway counts as
+    /// notified of a change as soon as the agent has it.
     Pushed,
-    /// The list is polled from one service that all gateways call and that queues their calls.
+    /// The gateway receives the list by long polling from one service that all gateways call and that queues
+    /// their calls.
     Polled,
 }
 
--- a/crates/settings/src/translate.rs
+++ b/crates/settings/src/translate.rs
@@ -37,7 +37,7 @@
             .map(RequestClassSection::translate)
             .collect::<Result<Vec<_>, _>>()?;
         let settings = Settings {
-            this_gateway: GatewayIndex(self.gateway_number),
+            this_gateway: GatewayIndex(self.this_gateway),
             gateways: self.gateways,
             tick_ms: self.tick_ms,
             zone,
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,8 +1,8 @@
 //! Runs gateways inside the simulator: reads batches of events on standard input and writes one reply for
 //! each on standard output, with the same admission library that the deployed gateway uses.
 //!
-//! The program only translates; the library decides. On input that it cannot read, it ends with one line on
-//! standard error.
+//! The program only translates; the library decides. If a line of input cannot be processed, it ends with one
+//! line on standard error.
 
 mod hosted_gateways;
 mod wire;
--- a/crates/simulator-adapter/src/wire/event_messages.rs
+++ b/crates/simulator-adapter/src/wire/event_messages.rs
@@ -26,7 +26,7 @@
     /// the response.
     #[serde(rename = "weight")]
     pub(super) units: f64,
-    /// The number of gateways that the customer's requests arrive at.
+    /// The number of gateways that the customer's requests come through.
     #[serde(rename = "spread")]
     pub(super) gateway_count: usize,
     /// The number of the first of these gateways. The others follow it by number, and number 0 follows the
@@ -53,10 +53,10 @@
 /// A message that reports the end of a call to the quota counter.
 #[derive(Deserialize)]
 pub(crate) struct CounterReplyMessage {
-    /// The name of the counter.
+    /// The name of the count.
     #[serde(rename = "book")]
     pub(super) name: u64,
-    /// The total after the call, in units; absent if the counter returned none.
+    /// The total of the count after the call, in units; absent if the quota counter returned none.
     pub(super) total: Option<f64>,
     /// The time since the call, in milliseconds. No rule uses it; it is parsed to reject malformed messages.
     #[serde(rename = "timeTakenMs")]
@@ -70,7 +70,7 @@
 /// The result of a call to the quota counter.
 #[derive(Deserialize)]
 pub(super) enum WireCounterOutcome {
-    /// The counter returned its total.
+    /// The quota counter returned the total of the count.
     #[serde(rename = "OK")]
     Total,
     /// The call was rejected, and nothing was added.
@@ -129,7 +129,7 @@
     /// How the attempt ended.
     #[serde(rename = "verdict")]
     pub(super) outcome: WireOutcome,
-    /// The true units that the request took from its customer's quota; absent or 0 if the response did not
+    /// The true units that the request takes from its customer's quota; absent or 0 if the response did not
     /// carry them.
     #[serde(rename = "charged")]
     pub(super) true_units: Option<f64>,
@@ -142,8 +142,8 @@
     /// The endpoint that the attempt was sent to.
     #[serde(rename = "host")]
     pub(super) endpoint: EndpointAddress,
-    /// 1 + the customer's use in percent of its rate; absent or 0 if the meter gave none. No rule uses it; it
-    /// is parsed to reject malformed messages.
+    /// A figure of the simulator's meter: 1 + the customer's use in percent of its rate; absent or 0 if the
+    /// meter gave none. No rule uses it; it is parsed to reject malformed messages.
     #[serde(rename = "metered")]
     #[expect(dead_code, reason = "parsed only to reject malformed messages")]
     metered_percent_plus_one: Option<f64>,
--- a/crates/simulator-adapter/src/wire/ids.rs
+++ b/crates/simulator-adapter/src/wire/ids.rs
@@ -47,8 +47,9 @@
     }
 }
 
-/// An endpoint, written as `address:port`. The admission library's id holds both, so that no table is needed
-/// to translate it back.
+/// An endpoint, written as `address:port`. In the simulator an endpoint has the same address at every
+/// gateway, so the admission library's id is made of the address and port, and no table is needed to
+/// translate it back.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(try_from = "String")]
 pub(crate) struct EndpointAddress(pub(crate) EndpointId);
--- a/crates/simulator-adapter/src/wire/output.rs
+++ b/crates/simulator-adapter/src/wire/output.rs
@@ -86,16 +86,16 @@
         #[serde(rename = "name")]
         token: u64,
     },
-    /// Adds to a counter of the quota counter service.
+    /// Adds to a count of the quota counter.
     #[serde(rename = "PostAmount")]
     AddToCounter {
-        /// The name of the counter.
+        /// The name of the count.
         #[serde(rename = "book")]
         name: u64,
-        /// The units to add. 0 only reads the counter.
+        /// The units to add. 0 only reads the count.
         #[serde(rename = "n")]
         amount: f64,
-        /// The time to live of the counter if this call creates it, in milliseconds.
+        /// The time to live of the count if this call creates it, in milliseconds.
         #[serde(rename = "ttlMs")]
         time_to_live_ms: f64,
     },
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -98,10 +98,10 @@
     assert_eq!(replies[3], r#"{"parts":[]}"#, "a killed gateway writes nothing");
 }
 
-/// If the adapter skipped a line, message or settings object that it cannot read, its gateways would act on
-/// other events than the simulator assumes. It must end with one error line that names the input line.
+/// If the adapter skipped a line, message or settings object that it cannot process, its gateways would act
+/// on other events than the simulator assumes. It must end with one error line that names the input line.
 #[test]
-fn ends_with_one_error_line_on_input_that_cannot_be_read() {
+fn ends_with_one_error_line_on_line_that_cannot_be_processed() {
     let mut missing_key = settings_document();
     missing_key.as_object_mut().expect("an object").remove("me");
     let mut out_of_range = settings_document();
