--- a/crates/gateway/src/connection_budget.rs
+++ b/crates/gateway/src/connection_budget.rs
@@ -43,7 +43,7 @@
     }
 }
 
-/// A connection that counts against a budget until it is dropped.
+/// A connection that holds a permit of a budget, and so counts against the budget until it is dropped.
 pub(crate) struct BudgetedConnection {
     /// The connection.
     pub connection: HttpConnection,
--- a/crates/gateway/src/descriptor_budget.rs
+++ b/crates/gateway/src/descriptor_budget.rs
@@ -21,8 +21,9 @@
     discovery: usize,
     /// The configuration file while it is read.
     configuration: usize,
-    /// A connection that was accepted only to be closed, and one to spare.
-    shed_connections: usize,
+    /// The connection that is accepted only to be closed, of which there is one at a time, and a margin of
+    /// one more.
+    connections_being_closed: usize,
     /// The connections to the quota counter.
     quota_counter: usize,
     /// The connections from clients beyond their limit, which are accepted only to reject the requests on
@@ -37,7 +38,7 @@
     listeners: 2,
     discovery: 2,
     configuration: 1,
-    shed_connections: 2,
+    connections_being_closed: 2,
     quota_counter: quota_counter::MAX_CONNECTIONS,
     rejecting_connections: downstream::MAX_REJECTING_CONNECTIONS,
 };
@@ -50,7 +51,7 @@
             + self.listeners
             + self.discovery
             + self.configuration
-            + self.shed_connections
+            + self.connections_being_closed
             + self.quota_counter
             + self.rejecting_connections
     }
--- a/crates/gateway/src/descriptor_budget/tests.rs
+++ b/crates/gateway/src/descriptor_budget/tests.rs
@@ -3,7 +3,7 @@
 
 /// The descriptors are divided among clients, endpoints and the process itself. If the sum of the budgets
 /// exceeded the limit, an accept or connect would fail at full load. Expected: the sum equals the limit, and
-/// connections to endpoints get at least a minimum number.
+/// at the minimum limit of 64, connections to endpoints still get 13 descriptors.
 #[test]
 fn budgets_add_up_to_the_limit_with_a_minimum_for_endpoints() {
     assert_eq!(RESERVED.total(), 32);
@@ -15,8 +15,11 @@
             + RESERVED.listeners
             + RESERVED.discovery
             + RESERVED.configuration
-            + RESERVED.shed_connections;
+            + RESERVED.connections_being_closed;
         assert_eq!(downstream + budget.upstream + quota_counter::MAX_CONNECTIONS + own, limit);
-        assert!(budget.upstream >= 13, "a minimum of connections to endpoints");
+        assert!(
+            budget.upstream >= 13,
+            "at least the 13 connections to endpoints that the minimum limit of 64 leaves"
+        );
     }
 }
--- a/crates/gateway/src/header_names.rs
+++ b/crates/gateway/src/header_names.rs
@@ -15,8 +15,8 @@
 /// gateway to the endpoint with the time that is left.
 pub(crate) const BUDGET: HeaderName = HeaderName::from_static("x-budget");
 
-/// The units that a request takes from its quota, and the set of gateways that serve the customer. Sent by
-/// the client.
+/// The units that a request takes from its customer's quota, and the gateways that the customer's requests
+/// come through. Sent by the client.
 pub(crate) const METERING: HeaderName = HeaderName::from_static("x-metering");
 
 /// The value `1` marks a request as a client's retry. Sent by clients that mark their retries.
@@ -26,7 +26,8 @@
 /// forwarded to the endpoint.
 pub(crate) const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
 
-/// The units that the request really used. Sent by the endpoint if units are settled afterwards.
+/// The true units that the request takes from its customer's quota. Sent by the endpoint if the units in
+/// `X-Metering` are only an estimate.
 pub(crate) const SETTLED: HeaderName = HeaderName::from_static("x-settled");
 
 /// The value `1` on a 503 or 504 response means that the request was rejected and not executed. Sent by the
--- a/crates/gateway/src/http_connection/mod.rs
+++ b/crates/gateway/src/http_connection/mod.rs
@@ -33,9 +33,10 @@
 
 /// The maximum size of a response's head (status line and headers), in bytes.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// How long a response may take to arrive once its first byte has arrived. Endpoints write a whole response
-/// at once, so a response that is incomplete after this time will never be completed.
-const RESPONSE_TIMEOUT: Duration = Duration::from_millis(250);
+/// How long a response may take to be complete, counted from the arrival of its first byte. Endpoints write a
+/// whole response at once, so a response that is incomplete after this time will never be completed. The same
+/// limit applies to the lists of discovery and to the responses of the quota counter.
+const RESPONSE_COMPLETION_TIMEOUT: Duration = Duration::from_millis(250);
 /// The maximum number of interim (1xx) responses before the final one.
 const MAX_INTERIM_RESPONSES: u32 = 8;
 
@@ -45,8 +46,13 @@
     /// The server has closed the connection, or it failed.
     #[error("the connection was lost")]
     ConnectionLost,
-    /// The connection is still open, but the response is malformed, incomplete or too large.
-    #[error("the response is invalid")]
+    /// The connection is still open, but the response is malformed or exceeds a limit: the size of its head
+    /// or body, [`RESPONSE_COMPLETION_TIMEOUT`] or [`MAX_INTERIM_RESPONSES`].
+    #[error(
+        "the response is malformed, too large, incomplete after {} ms, or preceded by more than \
+         {MAX_INTERIM_RESPONSES} interim responses",
+        RESPONSE_COMPLETION_TIMEOUT.as_millis()
+    )]
     InvalidResponse,
 }
 
@@ -185,7 +191,7 @@
 struct ResponseWatchdog {
     /// The number of interim responses at the last poll.
     interim_seen: u32,
-    /// The end of the time for the response; `None` until its first byte has arrived.
+    /// The end of [`RESPONSE_COMPLETION_TIMEOUT`]; `None` until its first byte has arrived.
     timeout: Option<Pin<Box<Sleep>>>,
 }
 
@@ -205,7 +211,7 @@
         if !state.response_begun.get() {
             return Poll::Pending;
         }
-        let timeout = self.timeout.get_or_insert_with(|| Box::pin(sleep(RESPONSE_TIMEOUT)));
+        let timeout = self.timeout.get_or_insert_with(|| Box::pin(sleep(RESPONSE_COMPLETION_TIMEOUT)));
         timeout.as_mut().poll(cx).map(|()| ExchangeError::InvalidResponse)
     }
 }
--- a/crates/gateway/src/idle_connections.rs
+++ b/crates/gateway/src/idle_connections.rs
@@ -7,7 +7,7 @@
 /// An idle connection.
 struct IdleConnection {
     /// The connection and its permit.
-    pooled: BudgetedConnection,
+    budgeted: BudgetedConnection,
     /// When the connection became idle.
     idle_since: Instant,
 }
@@ -37,8 +37,8 @@
     }
 
     /// Adds a connection that has just become idle.
-    pub(crate) fn put(&mut self, pooled: BudgetedConnection) {
-        self.connections.push(IdleConnection { pooled, idle_since: Instant::now() });
+    pub(crate) fn put(&mut self, budgeted: BudgetedConnection) {
+        self.connections.push(IdleConnection { budgeted, idle_since: Instant::now() });
     }
 
     /// Takes the most recently used connection for which `allows_reuse` returns true, given the time when the
@@ -52,7 +52,7 @@
             let position = self.connections.iter().rposition(|idle| allows_reuse(idle.idle_since))?;
             let mut idle = self.connections.remove(position);
             if is_fresh(&mut idle, self.timeout, &is_usable) {
-                return Some(idle.pooled);
+                return Some(idle.budgeted);
             }
         }
     }
@@ -82,7 +82,7 @@
     timeout: Duration,
     is_usable: impl Fn(&mut HttpConnection) -> bool,
 ) -> bool {
-    idle.idle_since.elapsed() < timeout && is_usable(&mut idle.pooled.connection)
+    idle.idle_since.elapsed() < timeout && is_usable(&mut idle.budgeted.connection)
 }
 
 #[cfg(test)]
--- a/crates/gateway/src/logging.rs
+++ b/crates/gateway/src/logging.rs
@@ -75,7 +75,7 @@
     }
 
     /// Counts a line and returns whether it may be written.
-    fn admit(&mut self, now: Instant) -> bool {
+    fn try_take(&mut self, now: Instant) -> bool {
         if now.saturating_duration_since(self.period_start) >= PERIOD {
             self.period_start = now;
             self.written = 0;
@@ -103,7 +103,7 @@
 
 impl<S: Subscriber> Layer<S> for LimitLayer {
     fn event_enabled(&self, _event: &Event<'_>, _context: Context<'_, S>) -> bool {
-        self.limit.lock().unwrap_or_else(PoisonError::into_inner).admit(Instant::now())
+        self.limit.lock().unwrap_or_else(PoisonError::into_inner).try_take(Instant::now())
     }
 }
 
--- a/crates/gateway/src/logging/tests.rs
+++ b/crates/gateway/src/logging/tests.rs
@@ -95,7 +95,7 @@
 fn each_second_has_its_own_limit() {
     let start = Instant::now();
     let mut limit = LineLimit::new(start);
-    let admitted = |limit: &mut LineLimit, now| (0..25).filter(|_| limit.admit(now)).count();
+    let admitted = |limit: &mut LineLimit, now| (0..25).filter(|_| limit.try_take(now)).count();
     assert_eq!(admitted(&mut limit, start), 10);
     assert_eq!(admitted(&mut limit, start + Duration::from_millis(999)), 0);
     assert_eq!(limit.take_dropped(), 40);
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -58,7 +58,7 @@
     let mut sigterm = signal(SignalKind::terminate()).map_err(StartupError::Signals)?;
 
     let gateway = startup::start(Config::load()?).await?;
-    spawn_local(reload::reload_on_sighup(sighup, gateway.discovery_addr, gateway.dispatcher));
+    spawn_local(reload::reload_on_sighup(sighup, gateway.discovery_addr_sender, gateway.dispatcher));
 
     sigterm.recv().await;
     gateway.shutdown.run().await;
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -70,7 +70,7 @@
     /// The address of each gateway of the fleet, indexed by the gateway's number.
     addrs: Vec<SocketAddr>,
     /// This gateway's number.
-    own_index: GatewayIndex,
+    this_gateway: GatewayIndex,
     /// The limit on the messages to all peers together.
     send_rate_limit: RefCell<SendRateLimit>,
 }
@@ -85,7 +85,7 @@
     pub(crate) async fn bind(
         listen: Option<SocketAddr>,
         addrs: Vec<SocketAddr>,
-        own_index: GatewayIndex,
+        this_gateway: GatewayIndex,
         accepted_per_second: f64,
     ) -> Result<Self, BindError> {
         let socket = match listen {
@@ -93,7 +93,7 @@
             None => None,
         };
         let send_rate_limit = RefCell::new(SendRateLimit::full(accepted_per_second, Instant::now()));
-        Ok(Peers { socket, addrs, own_index, send_rate_limit })
+        Ok(Peers { socket, addrs, this_gateway, send_rate_limit })
     }
 
     /// Returns the address on which messages are received, or `None` if there is no socket.
@@ -101,8 +101,9 @@
         self.socket.as_ref()?.local_addr().ok()
     }
 
-    /// Sends a message to the peer with the number `to`. A message that cannot be sent is logged and dropped,
-    /// and one to a number without an address is dropped.
+    /// Sends a message to the peer with the number `to`. A message that cannot be sent is logged and dropped.
+    /// A message to a number without an address is dropped and not logged: the configuration may have no
+    /// `peers` at all, but not fewer than the fleet has gateways.
     pub(crate) fn send(&self, to: GatewayIndex, body: &str) {
         let Some(socket) = &self.socket else {
             return tracing::warn!(
@@ -164,7 +165,7 @@
             .iter()
             .position(|addr| *addr == sender)
             .map(GatewayIndex)
-            .filter(|peer| *peer != self.own_index);
+            .filter(|peer| *peer != self.this_gateway);
         match parse_datagram(from, datagram) {
             Ok((from, body)) => handler.on_peer_message(from, body.to_string()),
             Err(reason) => {
--- a/crates/gateway/src/quota_counter.rs
+++ b/crates/gateway/src/quota_counter.rs
@@ -59,17 +59,17 @@
         self.idle.borrow_mut().close_stale(HttpConnection::is_usable);
     }
 
-    /// Adds `amount` to the total with the name `name` and returns the outcome. A total expires `ttl_ms`
-    /// after the call that created it.
+    /// Adds `amount` to the count with the name `name`, and returns the outcome with the count's new total. A
+    /// count expires `ttl_ms` after the call that created it.
     pub(crate) async fn add(&self, name: u64, amount: f64, ttl_ms: f64) -> CounterOutcome {
         let deadline = Instant::now() + self.call_timeout;
         let Some(addr) = self.addr.get() else { return CounterOutcome::Rejected };
         let path = format!("/counters/{name:016x}?by={amount:.6}&expire_ms={}", ttl_ms.max(1.0) as u64);
         let request = Request::post(path).header(HOST, addr.to_string()).body(Full::new(Bytes::new()));
         let Ok(request) = request else { return CounterOutcome::Rejected };
-        let Some(mut pooled) = self.acquire(addr, deadline).await else { return CounterOutcome::Rejected };
-        let write_status = pooled.connection.write_status();
-        let response = timeout_at(deadline, pooled.connection.exchange(request, MAX_BODY_BYTES)).await;
+        let Some(mut budgeted) = self.acquire(addr, deadline).await else { return CounterOutcome::Rejected };
+        let write_status = budgeted.connection.write_status();
+        let response = timeout_at(deadline, budgeted.connection.exchange(request, MAX_BODY_BYTES)).await;
         let Ok(Ok(response)) = response else {
             return outcome_without_response(write_status.any_written());
         };
@@ -77,7 +77,7 @@
         // After a response that cannot be interpreted, the connection is closed. Otherwise, bytes that still
         // follow could be read as the response to the next call.
         if !matches!(outcome, CounterOutcome::Unanswered) {
-            self.release(addr, pooled);
+            self.release(addr, budgeted);
         }
         outcome
     }
@@ -85,8 +85,8 @@
     /// Returns an idle connection, or a new one if none is idle. Returns `None` if the new one is not
     /// established by `deadline` or too many connections are open.
     async fn acquire(&self, addr: SocketAddr, deadline: Instant) -> Option<BudgetedConnection> {
-        if let Some(pooled) = self.take_idle() {
-            return Some(pooled);
+        if let Some(budgeted) = self.take_idle() {
+            return Some(budgeted);
         }
         let permit = self.budget.try_acquire()?;
         BudgetedConnection::connect(addr, permit, deadline).await
@@ -100,15 +100,15 @@
 
     /// Keeps a connection for the next call if it is usable and the address has not changed, or else closes
     /// it.
-    fn release(&self, addr: SocketAddr, mut pooled: BudgetedConnection) {
-        if self.addr.get() == Some(addr) && pooled.connection.is_usable() {
-            self.idle.borrow_mut().put(pooled);
+    fn release(&self, addr: SocketAddr, mut budgeted: BudgetedConnection) {
+        if self.addr.get() == Some(addr) && budgeted.connection.is_usable() {
+            self.idle.borrow_mut().put(budgeted);
         }
     }
 }
 
 /// Returns the outcome of a call from the status and body of its response. If the total cannot be parsed,
-/// it is unknown; if the status means that the call was rejected, nothing was added to the total.
+/// it is unknown; if the status means that the call was rejected, nothing was added to the count.
 fn response_outcome(status: StatusCode, body: &[u8]) -> CounterOutcome {
     let text = std::str::from_utf8(body).ok();
     let total = text.and_then(|text| text.trim().parse::<f64>().ok()).filter(|total| total.is_finite());
--- a/crates/gateway/src/reload.rs
+++ b/crates/gateway/src/reload.rs
@@ -14,7 +14,7 @@
 /// If the file cannot be read or is invalid, the previous configuration stays in force.
 pub(crate) async fn reload_on_sighup(
     mut sighup: Signal,
-    discovery_addr: watch::Sender<SocketAddr>,
+    discovery_addr_sender: watch::Sender<SocketAddr>,
     dispatcher: Rc<Dispatcher>,
 ) {
     // Signals that arrive while the file is loaded are merged into one. That is enough, because the file is
@@ -28,7 +28,7 @@
                     "configuration reloaded"
                 );
                 dispatcher.set_quota_counter_addr(config.counter);
-                discovery_addr
+                discovery_addr_sender
                     .send_if_modified(|addr| std::mem::replace(addr, config.discovery) != config.discovery);
             }
             Err(error) => tracing::error!(
--- a/crates/gateway/src/shutdown.rs
+++ b/crates/gateway/src/shutdown.rs
@@ -9,8 +9,9 @@
 use tokio::task::JoinHandle;
 use tokio::time::{sleep, timeout_at, Instant};
 
-/// How long new connections are accepted after SIGTERM. Clients keep connecting for up to 0.4 s after it. A
-/// request that arrives on such a connection more than 0.7 s after SIGTERM may be cut off by SIGKILL.
+/// How long new connections are accepted after SIGTERM. It is longer than 0.4 s because clients keep
+/// connecting for up to that time. It is shorter than [`KILL_DELAY_AFTER_DEADLINE`], 0.7 s, because a request
+/// that arrives later than that and has the longest deadline may be cut off by SIGKILL.
 const ACCEPT_DURATION: Duration = Duration::from_millis(600);
 /// The minimum delay of SIGKILL: it arrives no sooner after SIGTERM than the longest deadline of any class
 /// plus this time.
--- a/crates/gateway/src/startup.rs
+++ b/crates/gateway/src/startup.rs
@@ -35,7 +35,8 @@
     /// The configuration could not be loaded.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// The admission library rejected the settings.
+    /// The admission library rejected the settings. Does not occur with settings from a configuration file,
+    /// which are checked when the file is loaded.
     #[error("invalid settings")]
     Settings(#[from] SettingsError),
     /// The address on which peers' messages are received could not be bound.
@@ -53,8 +54,8 @@
 
 /// The parts of a running gateway that reload and shutdown need.
 pub(crate) struct RunningGateway {
-    /// Passes discovery's address to the watch of the endpoint list.
-    pub discovery_addr: watch::Sender<SocketAddr>,
+    /// Sends discovery's address to the watch of the endpoint list.
+    pub discovery_addr_sender: watch::Sender<SocketAddr>,
     /// The dispatcher, which can change the quota counter's address.
     pub dispatcher: Rc<Dispatcher>,
     /// The components that the shutdown ends.
@@ -85,7 +86,7 @@
     let listener = listen(config.listen, &peers).await?;
     let shutdown_times = ShutdownTimes::new(&settings);
     let refresh_policy = RefreshPolicy::new(&socket_settings, settings.gateways);
-    let (discovery_addr, watched_addr) = watch::channel(config.discovery);
+    let (discovery_addr_sender, watched_addr) = watch::channel(config.discovery);
     let downstream_settings = DownstreamSettings {
         admission: settings,
         sends_retry_after: socket_settings.retry_after_enabled,
@@ -103,11 +104,11 @@
     let accept_task = spawn_local(downstream.clone().accept(listener.clone()));
     let shutdown =
         Shutdown { downstream, dispatcher: dispatcher.clone(), listener, accept_task, times: shutdown_times };
-    Ok(RunningGateway { discovery_addr, dispatcher, shutdown })
+    Ok(RunningGateway { discovery_addr_sender, dispatcher, shutdown })
 }
 
-/// Applies the endpoint list that was cached before a restart. Returns the revision from which the watch
-/// requests changes, or `None` if it is to request the complete list.
+/// Applies the complete endpoint list that was cached before a restart. Returns the revision from which the
+/// watch requests changes, or `None` if it is to request the complete list.
 fn restore_cached_list(dispatcher: &Rc<Dispatcher>, cached: Option<EndpointListUpdate>) -> Option<u64> {
     let cached = cached?;
     // The changes to an empty list are the complete list, so requesting only changes would save discovery
@@ -122,6 +123,7 @@
     let error = |source| StartupError::Listen { addr, source };
     let listener = TcpListener::bind(addr).await.map_err(error)?;
     let bound = listener.local_addr().map_err(error)?;
+    // The integration tests read the two addresses from this line.
     match peers.local_addr() {
         Some(peer_addr) => tracing::info!(target: target::LIFECYCLE, "listening on {bound} {peer_addr}"),
         None => tracing::info!(target: target::LIFECYCLE, "listening on {bound}"),
