--- a/crates/gateway/src/discovery/endpoint_list.rs
+++ b/crates/gateway/src/discovery/endpoint_list.rs
@@ -79,26 +79,26 @@
     /// An entry that is malformed or has an unknown state is logged and skipped. If the list is complete, its
     /// endpoint then counts as absent, and nothing is sent to it.
     pub(crate) fn endpoints(self, names: &Names, now_ms: f64) -> Vec<DiscoveredEndpoint> {
-        let parse = |entry| match JsonEndpointEntry::parse(entry).and_then(|e| e.into_endpoint(names, now_ms))
-        {
-            Ok(endpoint) => Some(endpoint),
-            Err(error) => {
+        let parse = |(index, entry): (usize, &serde_json::Value)| {
+            let endpoint = JsonEndpointEntry::parse(entry).and_then(|e| e.into_endpoint(names, now_ms));
+            if let Err(error) = &endpoint {
+                let uid = &entry["uid"];
                 tracing::warn!(
                     target: target::DISCOVERY,
                     reason = %error,
-                    "endpoint list entry ignored: malformed or in an unknown state"
+                    "endpoint list entry ignored: malformed or in an unknown state: index {index}, uid {uid}"
                 );
-                None
             }
+            endpoint.ok()
         };
-        self.entries.into_iter().filter_map(parse).collect()
+        self.entries.iter().enumerate().filter_map(parse).collect()
     }
 }
 
 impl JsonEndpointEntry {
     /// Parses an entry of the list.
-    fn parse(entry: serde_json::Value) -> Result<Self, EndpointEntryError> {
-        Ok(serde_json::from_value(entry)?)
+    fn parse(entry: &serde_json::Value) -> Result<Self, EndpointEntryError> {
+        Ok(Self::deserialize(entry)?)
     }
 
     /// Converts the entry to an endpoint. `names` gives the indexes of the zone and the kind of machine.
--- a/crates/gateway/src/discovery/watch.rs
+++ b/crates/gateway/src/discovery/watch.rs
@@ -70,7 +70,7 @@
 fn on_lease_expired(observer: &impl EndpointListObserver) {
     tracing::error!(
         target: target::DISCOVERY,
-        "endpoint list expired; nothing is sent until discovery answers"
+        "endpoint list expired; nothing is sent until discovery returns a list"
     );
     observer.lease_expired();
 }
@@ -107,7 +107,7 @@
                 target: target::DISCOVERY,
                 discovery = %addr,
                 reason = %ErrorChain(&error),
-                "call to discovery failed; the cached endpoint list stays in use"
+                "call to discovery failed; the cached endpoint list, if any, stays in use until it expires"
             );
         }
         let pause = self.schedule.on_error(&error, Instant::now());
@@ -177,7 +177,7 @@
             tracing::info!(
                 target: target::DISCOVERY,
                 discovery = %addr,
-                "discovery answers again; endpoint list current"
+                "discovery returned a list again; endpoint list current"
             );
         }
         let kind = if list.is_complete { ListUpdateKind::Complete } else { ListUpdateKind::Changes };
--- a/crates/gateway/src/downstream/listener.rs
+++ b/crates/gateway/src/downstream/listener.rs
@@ -23,7 +23,7 @@
                     tracing::warn!(
                         target: target::DOWNSTREAM,
                         %error,
-                        "cannot accept a client connection; evicting an idle one to free a descriptor"
+                        "cannot accept a client connection; evicting one without a request, if any"
                     );
                     self.connections().evict_one();
                     sleep(ACCEPT_RETRY_INTERVAL).await;
--- a/crates/gateway/src/logging/tests.rs
+++ b/crates/gateway/src/logging/tests.rs
@@ -1,6 +1,11 @@
 //! Tests of the log: the form of a line, the limit on lines, and the documentation of each line.
 use super::*;
+use crate::discovery::EndpointListUpdate;
+use crate::peers::Peers;
+use irishinge_admission::GatewayIndex;
+use irishinge_settings::Names;
 use std::cell::Cell;
+use std::net::SocketAddr;
 use std::path::Path;
 
 /// A writer that records the bytes written to it.
@@ -104,6 +109,55 @@
     assert_eq!(limit.take_dropped(), 0);
 }
 
+/// An entry of the endpoint list is ignored. If its line did not say which entry, the operator would have to
+/// search a list of thousands. Expected: the line has the entry's index and its uid, or null if it has none.
+#[test]
+fn line_on_ignored_endpoint_list_entry_has_its_index_and_uid() {
+    let recorded = RecordingWriter::default();
+    let writer = recorded.clone();
+    let list = serde_json::json!({"rev": 7, "targets": [
+        {"uid": "u0", "endpoint": "127.0.0.1:80", "state": "up"},
+        {"uid": "u\n1", "endpoint": "127.0.0.1:81", "state": "riddle"},
+        {"endpoint": "127.0.0.1:82", "state": "up"},
+    ]});
+    let list: EndpointListUpdate = serde_json::from_value(list).expect("a list");
+    let names = Names { classes: vec![], plans: vec![], zones: vec![], machine_kinds: vec![] };
+    let endpoints = tracing::subscriber::with_default(limited_subscriber(move || writer.clone()), || {
+        list.endpoints(&names, 1000.0)
+    });
+    assert_eq!(endpoints.len(), 1);
+    let prefix = "irishinge: WARN discovery: endpoint list entry ignored: malformed or in an unknown state:";
+    let expected = [
+        format!(
+            "{prefix} index 1, uid \"u\\n1\" \
+             reason=unknown state \"riddle\", expected \"up\", \"draining\" or \"removed\"\n"
+        ),
+        format!("{prefix} index 2, uid null reason=missing field `uid`\n"),
+    ];
+    assert_eq!(recorded.text(), expected.concat());
+}
+
+/// A message cannot be sent to any peer. Expected: the line names the peer that it was for.
+#[tokio::test]
+async fn line_on_message_that_cannot_be_sent_names_the_peer() {
+    let recorded = RecordingWriter::default();
+    let writer = recorded.clone();
+    let loopback = SocketAddr::from(([127, 0, 0, 1], 0));
+    let silent = Peers::bind(None, vec![loopback; 4], GatewayIndex(0), 40.0).await.expect("no socket");
+    let bound =
+        Peers::bind(Some(loopback), vec![loopback; 4], GatewayIndex(0), 40.0).await.expect("a socket");
+    tracing::subscriber::with_default(limited_subscriber(move || writer.clone()), || {
+        silent.send(GatewayIndex(2), "text");
+        bound.send(GatewayIndex(3), &"x".repeat(257));
+    });
+    assert_eq!(
+        recorded.text(),
+        "irishinge: WARN peers: message not sent to peer 2 reason=\"no peer_listen address\"\n\
+         irishinge: ERROR peers: message not sent to peer 3 bytes=257 \
+         reason=\"longer than a datagram may be\"\n"
+    );
+}
+
 /// Adds the level, target and message of each log statement in the sources below `directory` to `found`.
 fn collect_log_statements(directory: &Path, found: &mut Vec<(String, String, String)>) {
     for entry in std::fs::read_dir(directory).expect("a readable directory") {
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -105,11 +105,12 @@
     /// A message to a number without an address is dropped and not logged: the configuration may have no
     /// `peers` at all, but not fewer than the fleet has gateways.
     pub(crate) fn send(&self, to: GatewayIndex, body: &str) {
+        let peer = to.0;
         let Some(socket) = &self.socket else {
             return tracing::warn!(
                 target: target::PEERS,
                 reason = "no peer_listen address",
-                "message not sent"
+                "message not sent to peer {peer}"
             );
         };
         if body.len() > MAX_DATAGRAM_BYTES {
@@ -117,11 +118,11 @@
                 target: target::PEERS,
                 bytes = body.len(),
                 reason = "longer than a datagram may be",
-                "message not sent"
+                "message not sent to peer {peer}"
             );
         }
-        if let Some(addr) = self.addrs.get(to.0) {
-            self.send_to(socket, to.0, *addr, body);
+        if let Some(addr) = self.addrs.get(peer) {
+            self.send_to(socket, peer, *addr, body);
         }
     }
 
--- a/crates/gateway/src/reload.rs
+++ b/crates/gateway/src/reload.rs
@@ -22,10 +22,11 @@
     while sighup.recv().await.is_some() {
         match Config::load() {
             Ok(config) => {
+                let counter = config.counter.map_or_else(|| "none".to_string(), |addr| addr.to_string());
                 tracing::info!(
                     target: target::LIFECYCLE,
                     discovery = %config.discovery,
-                    "configuration reloaded"
+                    "configuration reloaded; only addresses take effect; quota counter: {counter}"
                 );
                 dispatcher.set_quota_counter_addr(config.counter);
                 discovery_addr_sender
