--- a/crates/settings/src/socket_settings.rs
+++ b/crates/settings/src/socket_settings.rs
@@ -77,11 +77,14 @@
     if value >= 0.0 {
         Ok(value)
     } else {
-        Err(SettingsDocumentError::Negative { key })
+        Err(SettingsDocumentError::Negative { key, value: value.to_string() })
     }
 }
 
 /// Returns `value`, or an error that names `key` if the value is absent, not above 0 or not finite.
 fn require_positive(key: &'static str, value: Option<f64>) -> Result<f64, SettingsDocumentError> {
-    value.filter(|value| value.is_finite() && *value > 0.0).ok_or(SettingsDocumentError::NotPositive { key })
+    value.filter(|value| value.is_finite() && *value > 0.0).ok_or_else(|| {
+        let value = value.map(|value| value.to_string());
+        SettingsDocumentError::NotPositive { key, value }
+    })
 }
--- a/crates/settings/src/translate.rs
+++ b/crates/settings/src/translate.rs
@@ -30,7 +30,10 @@
             zones: self.zones,
             machine_kinds: self.machine_kinds,
         };
-        let zone = names.zone_index(&self.zone)?;
+        let zone = names.zone_index(&self.zone).map_err(|unknown| SettingsDocumentError::UnknownZone {
+            zone: unknown.name,
+            zones: names.zones.clone(),
+        })?;
         let classes = self
             .request_classes
             .into_iter()
