--- a/crates/gateway/src/downstream/tests/eviction.rs
+++ b/crates/gateway/src/downstream/tests/eviction.rs
@@ -88,7 +88,7 @@
 /// At the limit, every connection has a request in progress or is closing already. Evicting one with a
 /// request would leave its client without a response. Expected: no connection is evicted.
 #[tokio::test(start_paused = true)]
-async fn active_connection_is_never_evicted() {
+async fn connection_in_use_or_closing_is_never_evicted() {
     let mut fixture = Fixture::default();
     let active = fixture.add(ConnectionStage::InUseOrClosing).await;
     fixture.add(ConnectionStage::Aborted).await;
--- a/crates/gateway/src/downstream/tests/eviction_order.rs
+++ b/crates/gateway/src/downstream/tests/eviction_order.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn active_and_aborted_connections_have_no_rank() {
+fn connections_in_use_closing_or_aborted_have_no_rank() {
     for stage in [InUseOrClosing, Aborted] {
         assert_eq!(EvictionRank::new(stage, Duration::from_secs(60)), None, "{stage:?}");
     }
--- a/crates/settings/src/document.rs
+++ b/crates/settings/src/document.rs
@@ -148,7 +148,7 @@
     /// `mayCount` is true.
     #[serde(rename = "countLimitMs", default)]
     pub(crate) counter_timeout_ms: Option<f64>,
-    /// The maximum number of units that one request takes from its quota.
+    /// The maximum number of units that one request takes from its customer's quota.
     #[serde(rename = "mostUnits")]
     pub(crate) max_units: f64,
     /// The number of messages per second that a gateway accepts from its peers.
