--- a/crates/gateway/src/reload.rs
+++ b/crates/gateway/src/reload.rs
@@ -14,7 +14,7 @@
 /// If the file cannot be read or is invalid, the previous configuration stays in force.
 pub(crate) async fn reload_on_sighup(
     mut sighup: Signal,
-    discovery_addr: watch::Sender<SocketAddr>,
+    discovery_addr_sender: watch::Sender<SocketAddr>,
     dispatcher: Rc<Dispatcher>,
 ) {
     // Signals that arrive while the file is loaded are merged into one. That is enough, because the file is
@@ -22,13 +22,14 @@
     while sighup.recv().await.is_some() {
         match Config::load() {
             Ok(config) => {
+                let counter = config.counter.map_or_else(|| "none".to_string(), |addr| addr.to_string());
                 tracing::info!(
                     target: target::LIFECYCLE,
                     discovery = %config.discovery,
-                    "configuration reloaded"
+                    "configuration reloaded; only addresses take effect; quota counter: {counter}"
                 );
                 dispatcher.set_quota_counter_addr(config.counter);
-                discovery_addr
+                discovery_addr_sender
                     .send_if_modified(|addr| std::mem::replace(addr, config.discovery) != config.discovery);
             }
             Err(error) => tracing::error!(
--- a/crates/settings/src/translate.rs
+++ b/crates/settings/src/translate.rs
@@ -30,14 +30,17 @@
             zones: self.zones,
             machine_kinds: self.machine_kinds,
         };
-        let zone = names.zone_index(&self.zone)?;
+        let zone = names.zone_index(&self.zone).map_err(|unknown| SettingsDocumentError::UnknownZone {
+            zone: unknown.name,
+            zones: names.zones.clone(),
+        })?;
         let classes = self
             .request_classes
             .into_iter()
             .map(RequestClassSection::translate)
             .collect::<Result<Vec<_>, _>>()?;
         let settings = Settings {
-            this_gateway: GatewayIndex(self.gateway_number),
+            this_gateway: GatewayIndex(self.this_gateway),
             gateways: self.gateways,
             tick_ms: self.tick_ms,
             zone,
