--- a/crates/gateway/src/http_connection/idle_check.rs
+++ b/crates/gateway/src/http_connection/idle_check.rs
@@ -7,7 +7,7 @@
     /// The connection can carry another request.
     Usable,
     /// Bytes arrived that belong to no response. They would be read as the response to the next request.
-    UnexpectedBytes,
+    SurplusBytes,
     /// The server has closed the connection, or it failed. A request written to it would get no response, and
     /// the server may nevertheless have processed it.
     Closed,
@@ -18,7 +18,7 @@
     /// is whether hyper has just read bytes, and `unread` is the result of a peek at one byte of the socket.
     pub(super) fn new(is_ready: bool, has_read_bytes: bool, unread: &io::Result<usize>) -> Self {
         if has_read_bytes || matches!(unread, Ok(1)) {
-            IdleCheck::UnexpectedBytes
+            IdleCheck::SurplusBytes
         } else if is_ready && matches!(unread, Err(error) if error.kind() == io::ErrorKind::WouldBlock) {
             IdleCheck::Usable
         } else {
--- a/crates/gateway/src/http_connection/mod.rs
+++ b/crates/gateway/src/http_connection/mod.rs
@@ -110,7 +110,7 @@
         self.state.response_begun.set(false);
         let is_ready = self.driver.as_mut().poll(&mut cx).is_pending() && self.sender.is_ready();
         let unread = SockRef::from(&*self.stream.borrow()).peek(&mut [MaybeUninit::uninit()]);
-        // hyper may have read unexpected bytes during this poll, and would report them as an error only
+        // hyper may have read surplus bytes during this poll, and would report them as an error only
         // during the next one.
         IdleCheck::new(is_ready, self.state.response_begun.get(), &unread)
     }
--- a/crates/gateway/src/http_connection/tests.rs
+++ b/crates/gateway/src/http_connection/tests.rs
@@ -13,10 +13,10 @@
         (false, false, nothing(), IdleCheck::Closed),
         (true, false, Ok(0), IdleCheck::Closed),
         (true, false, Err(Error::from(ErrorKind::ConnectionReset)), IdleCheck::Closed),
-        (true, false, Ok(1), IdleCheck::UnexpectedBytes),
-        (false, false, Ok(1), IdleCheck::UnexpectedBytes),
-        (true, true, nothing(), IdleCheck::UnexpectedBytes),
-        (false, true, Ok(0), IdleCheck::UnexpectedBytes),
+        (true, false, Ok(1), IdleCheck::SurplusBytes),
+        (false, false, Ok(1), IdleCheck::SurplusBytes),
+        (true, true, nothing(), IdleCheck::SurplusBytes),
+        (false, true, Ok(0), IdleCheck::SurplusBytes),
     ];
     for (is_ready, has_read_bytes, unread, expected) in cases {
         let check = IdleCheck::new(is_ready, has_read_bytes, &unread);
--- a/crates/gateway/src/upstream/pool.rs
+++ b/crates/gateway/src/upstream/pool.rs
@@ -137,7 +137,7 @@
     /// for all connections if this one has received surplus bytes.
     pub(super) fn is_usable(&self, connection: &mut HttpConnection) -> bool {
         let check = connection.check_idle();
-        if check == IdleCheck::UnexpectedBytes {
+        if check == IdleCheck::SurplusBytes {
             self.reuse_delay.begin(Instant::now());
         }
         check == IdleCheck::Usable
