--- a/crates/gateway/src/dispatcher/actions.rs
+++ b/crates/gateway/src/dispatcher/actions.rs
@@ -38,25 +38,27 @@
             );
         };
         let index = active.next_attempt_index();
-        // An event that the library has not handled yet may have ended the request: it has its response, or
-        // its client has disconnected. Without this check, the endpoint would process a request whose
+        // The request may have its response, or its client may have disconnected, in an event that the
+        // library has not handled yet. Without this check, the endpoint would process a request whose
         // response nobody reads. The attempt still takes its index, because the library counts it.
         if !active.awaits_response() {
             active.push_attempt(None);
-            let ended = EndedAttempt { request, index, endpoint, took_ms: 0.0, request_answered: true };
+            let ended = EndedAttempt { request, index, endpoint, took_ms: 0.0, request_closed: true };
             return state.events.push_back(ended.into_event_without_response(Outcome::TooLate));
         }
-        let sent_at = Instant::now();
-        let deadline = active.attempt_deadline(sent_at, timeout_ms);
+        let started_at = Instant::now();
+        let deadline = active.attempt_deadline(started_at, timeout_ms);
         let (dispatcher, upstream_request) = (self.clone(), active.upstream_request.clone());
-        // `Attempt` owns the task: the library cancels the attempt by its index, and an active request is
-        // removed only once all its attempts have ended.
+        // The task runs until its attempt ends or `cancel` aborts it: `Attempt` holds only an abort handle,
+        // and dropping that or the join handle does not end the task. The library cancels an attempt by its
+        // index, and an active request is removed only once all its attempts have ended.
         let task = spawn_local(async move {
-            let is_wanted = || dispatcher.awaits_response(request);
-            let result = dispatcher.upstream.attempt(endpoint, &upstream_request, deadline, is_wanted).await;
+            let awaits_response = || dispatcher.awaits_response(request);
+            let result =
+                dispatcher.upstream.attempt(endpoint, &upstream_request, deadline, awaits_response).await;
             dispatcher.on_attempt_end(request, index, result);
         });
-        active.push_attempt(Some(Attempt { endpoint, sent_at, task: task.abort_handle() }));
+        active.push_attempt(Some(Attempt { endpoint, started_at, task: task.abort_handle() }));
     }
 
     /// Starts a call to the quota counter.
@@ -94,7 +96,7 @@
         index,
         endpoint: attempt.endpoint,
         took_ms: attempt.elapsed_ms(),
-        request_answered: !active.awaits_response(),
+        request_closed: !active.awaits_response(),
     };
     state.events.push_back(ended.into_event_without_response(Outcome::Cancelled));
 }
--- a/crates/gateway/src/dispatcher/active_request.rs
+++ b/crates/gateway/src/dispatcher/active_request.rs
@@ -21,10 +21,10 @@
 
 /// An attempt in flight.
 pub(super) struct Attempt {
-    /// The endpoint that the attempt is sent to.
+    /// The endpoint that the attempt is made to.
     pub(super) endpoint: EndpointId,
-    /// When the attempt was started.
-    pub(super) sent_at: Instant,
+    /// When the attempt was started, which is before its connection was acquired.
+    pub(super) started_at: Instant,
     /// Aborting the task closes the attempt's connection, which cancels the request at the endpoint.
     pub(super) task: AbortHandle,
 }
@@ -32,7 +32,7 @@
 impl Attempt {
     /// Returns the time since the attempt was started, in milliseconds.
     pub(super) fn elapsed_ms(&self) -> f64 {
-        self.sent_at.elapsed().as_secs_f64() * 1000.0
+        self.started_at.elapsed().as_secs_f64() * 1000.0
     }
 }
 
@@ -44,7 +44,8 @@
     pub(super) upstream_request: Rc<UpstreamRequest>,
     /// When attempts time out at the latest.
     deadlines: RequestDeadlines,
-    /// Attempts in the order in which they were started; `None` once an attempt has ended.
+    /// Attempts in the order in which the decision library asked for them; `None` once an attempt has ended,
+    /// or if it was not started.
     attempts: Vec<Option<Attempt>>,
 }
 
@@ -78,7 +79,8 @@
         self.responder.take()
     }
 
-    /// Returns whether any attempt was ever added, even one that was not sent.
+    /// Returns whether any attempt was ever added, even one that was not started, or whose request was never
+    /// written to a connection.
     pub(super) fn was_attempted(&self) -> bool {
         !self.attempts.is_empty()
     }
@@ -88,7 +90,7 @@
         self.attempts.len()
     }
 
-    /// Adds the next attempt; `None` if it ended before it was sent.
+    /// Adds the next attempt; `None` if it is not started.
     pub(super) fn push_attempt(&mut self, attempt: Option<Attempt>) {
         self.attempts.push(attempt);
     }
@@ -99,10 +101,10 @@
         self.attempts.get_mut(index)?.take()
     }
 
-    /// Returns when an attempt that is sent at `sent_at` times out, as
+    /// Returns when an attempt that is started at `started_at` times out, as
     /// [`RequestDeadlines::attempt_deadline`] computes it.
-    pub(super) fn attempt_deadline(&self, sent_at: Instant, timeout_ms: f64) -> Instant {
-        self.deadlines.attempt_deadline(sent_at, timeout_ms)
+    pub(super) fn attempt_deadline(&self, started_at: Instant, timeout_ms: f64) -> Instant {
+        self.deadlines.attempt_deadline(started_at, timeout_ms)
     }
 }
 
@@ -114,10 +116,13 @@
     pub(super) index: usize,
     /// The endpoint that the attempt was for.
     pub(super) endpoint: EndpointId,
-    /// The time from the attempt's start to its end, in milliseconds; 0 if it was not sent.
+    /// The time from the attempt's start to its end, in milliseconds. It includes the time to establish a
+    /// connection, and is 0 if the attempt was not started because its request no longer waited for a
+    /// response.
     pub(super) took_ms: f64,
-    /// Whether the request no longer waits for a response, perhaps because this attempt has brought one.
-    pub(super) request_answered: bool,
+    /// Whether the request no longer waits for a response: it has one, perhaps from this attempt, or its
+    /// client has disconnected.
+    pub(super) request_closed: bool,
 }
 
 impl EndedAttempt {
@@ -129,7 +134,7 @@
             endpoint: self.endpoint,
             outcome: result.outcome,
             took_ms: self.took_ms,
-            request_closed: self.request_answered,
+            request_closed: self.request_closed,
             true_units: result.true_units(),
         })
     }
--- a/crates/gateway/src/dispatcher/mod.rs
+++ b/crates/gateway/src/dispatcher/mod.rs
@@ -12,7 +12,7 @@
 use self::active_request::{ActiveRequest, EndedAttempt};
 pub(crate) use self::final_response::FinalResponse;
 use self::request_deadlines::{fallback_response, RequestDeadlines};
-use self::timers::{Rearm, TimerKind, TimerQueue};
+use self::timers::{TimerKind, TimerQueue, WakeUp};
 use crate::clock::Clock;
 use crate::discovery::{EndpointList, EndpointListObserver};
 use crate::peers::{PeerMessageHandler, Peers};
@@ -42,8 +42,9 @@
 /// Sends requests to endpoints as the decision library decides. Everything runs on one thread.
 pub(crate) struct Dispatcher {
     state: RefCell<State>,
-    /// Wakes the timer task when a timer is added that expires before the time the task sleeps until.
-    rearm: Notify,
+    /// Wakes the timer task when a timer is added that expires before the task's sleep ends, or while the
+    /// task waits for a timer to be added.
+    earlier_timer_added: Notify,
     /// The clock of the decision library's events and timers.
     clock: Clock,
     /// The names that the settings define.
@@ -74,7 +75,7 @@
         };
         Rc::new(Dispatcher {
             state: RefCell::new(state),
-            rearm: Notify::new(),
+            earlier_timer_added: Notify::new(),
             clock,
             names,
             upstream,
@@ -138,10 +139,11 @@
         }
     }
 
-    /// Sends the fallback response to every active request, because the process is about to end.
+    /// Sends the fallback response to every active request that still waits for its response, because the
+    /// process is about to end.
     pub(crate) fn respond_to_all(self: &Rc<Self>) {
-        let open: Vec<RequestId> = self.state.borrow().active_requests.keys().copied().collect();
-        open.into_iter().for_each(|request| self.send_fallback_response(request));
+        let active: Vec<RequestId> = self.state.borrow().active_requests.keys().copied().collect();
+        active.into_iter().for_each(|request| self.send_fallback_response(request));
     }
 
     /// Returns whether a request still waits for its response.
@@ -151,8 +153,8 @@
 
     /// Adds a timer that expires at `at`, and wakes the timer task if it would sleep for too long.
     fn schedule(&self, state: &mut State, at: Instant, kind: TimerKind) {
-        if state.timers.push(at, kind) == Rearm::Needed {
-            self.rearm.notify_one();
+        if state.timers.push(at, kind) == WakeUp::Needed {
+            self.earlier_timer_added.notify_one();
         }
     }
 
@@ -183,7 +185,7 @@
                 index,
                 endpoint: attempt.endpoint,
                 took_ms: attempt.elapsed_ms(),
-                request_answered: result.outcome == Outcome::Ok || !active.awaits_response(),
+                request_closed: result.outcome == Outcome::Ok || !active.awaits_response(),
             };
             let event = ended.into_event(&result);
             if let (Outcome::Ok, Some(response)) = (result.outcome, result.response) {
@@ -231,8 +233,8 @@
         self.on_event(Event::EndpointList { kind, entries });
     }
 
-    fn lease_updated(&self, until: Instant) {
-        self.upstream.set_lease_end(until);
+    fn lease_updated(&self, expires_at: Instant) {
+        self.upstream.set_lease_expires_at(expires_at);
     }
 
     fn lease_expired(&self) {
--- a/crates/gateway/src/dispatcher/request_deadlines.rs
+++ b/crates/gateway/src/dispatcher/request_deadlines.rs
@@ -33,17 +33,18 @@
         self.fallback_at
     }
 
-    /// Returns when an attempt that is sent at `sent_at` times out: after `timeout_ms`, but never later than
-    /// the request's deadline.
-    pub(super) fn attempt_deadline(&self, sent_at: Instant, timeout_ms: f64) -> Instant {
-        self.deadline.min(sent_at + duration_from_ms(timeout_ms))
+    /// Returns when an attempt that is started at `started_at` times out: after `timeout_ms`, but never later
+    /// than the request's deadline.
+    pub(super) fn attempt_deadline(&self, started_at: Instant, timeout_ms: f64) -> Instant {
+        self.deadline.min(started_at + duration_from_ms(timeout_ms))
     }
 }
 
 /// Returns the response to a request that has none shortly before its deadline or when the process ends.
 ///
-/// The request is rejected only if no attempt was ever started. Otherwise it may have run, and a client that
-/// reads a rejection may send it again.
+/// The request is rejected only if the decision library never asked for an attempt. Otherwise it counts as
+/// possibly run, even if no attempt was written to a connection, and fails: a client that reads a rejection
+/// may send its request again, which could then run twice.
 pub(super) fn fallback_response(was_attempted: bool) -> FinalResponse {
     if was_attempted {
         FinalResponse::Failed
--- a/crates/gateway/src/dispatcher/tests/request_deadlines.rs
+++ b/crates/gateway/src/dispatcher/tests/request_deadlines.rs
@@ -5,7 +5,7 @@
 use tokio::time::Instant;
 
 #[test]
-fn sends_the_fallback_response_5_ms_before_the_deadline() {
+fn fallback_response_is_due_5_ms_before_the_deadline_or_at_once() {
     let now = Instant::now();
     for (time_left_ms, fallback_ms) in [(1000.0, 995), (5.0, 0), (2.0, 0), (0.0, 0)] {
         let fallback_at = RequestDeadlines::new(now, time_left_ms).fallback_at();
@@ -19,14 +19,18 @@
     let deadlines = RequestDeadlines::new(now, 1000.0);
     let after_ms = |ms| now + Duration::from_millis(ms);
     let cases = [(0, 300.0, 300), (600, 300.0, 900), (800, 300.0, 1000), (800, 1.0, 801)];
-    for (sent_after_ms, timeout_ms, ends_after_ms) in cases {
-        let ends_at = deadlines.attempt_deadline(after_ms(sent_after_ms), timeout_ms);
-        assert_eq!(ends_at, after_ms(ends_after_ms), "sent after {sent_after_ms} ms for {timeout_ms} ms");
+    for (started_after_ms, timeout_ms, ends_after_ms) in cases {
+        let ends_at = deadlines.attempt_deadline(after_ms(started_after_ms), timeout_ms);
+        assert_eq!(
+            ends_at,
+            after_ms(ends_after_ms),
+            "started after {started_after_ms} ms for {timeout_ms} ms"
+        );
     }
 }
 
-/// A client that reads a rejection may send its request again. If an attempt had been made, the request could
-/// run twice.
+/// A client that reads a rejection may send its request again. If an attempt had been asked for, the request
+/// could run twice. Expected: only a request without attempts is rejected, and any other fails.
 #[test]
 fn fallback_rejects_only_a_request_without_attempts() {
     assert!(matches!(fallback_response(false), FinalResponse::Rejected { retry_after_ms: None }));
--- a/crates/gateway/src/dispatcher/tests/timer_queue.rs
+++ b/crates/gateway/src/dispatcher/tests/timer_queue.rs
@@ -1,5 +1,5 @@
 //! Tests of the dispatcher's timers.
-use crate::dispatcher::timers::{Rearm, TimerKind, TimerQueue};
+use crate::dispatcher::timers::{TimerKind, TimerQueue, WakeUp};
 use irishinge_admission::RequestId;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -29,12 +29,12 @@
     let at = |ms| start + Duration::from_millis(ms);
     let mut timers = TimerQueue::default();
     assert!(
-        timers.push(at(20), TimerKind::Library(1)) == Rearm::Needed,
+        timers.push(at(20), TimerKind::Library(1)) == WakeUp::Needed,
         "the task does not sleep until any time yet"
     );
-    assert_eq!(timers.arm(), Some(at(20)));
-    assert!(timers.push(at(30), TimerKind::Library(2)) == Rearm::NotNeeded);
-    assert!(timers.push(at(20), TimerKind::Library(3)) == Rearm::NotNeeded);
-    assert!(timers.push(at(10), TimerKind::Library(4)) == Rearm::Needed);
-    assert_eq!(timers.arm(), Some(at(10)));
+    assert_eq!(timers.begin_sleep(), Some(at(20)));
+    assert!(timers.push(at(30), TimerKind::Library(2)) == WakeUp::NotNeeded);
+    assert!(timers.push(at(20), TimerKind::Library(3)) == WakeUp::NotNeeded);
+    assert!(timers.push(at(10), TimerKind::Library(4)) == WakeUp::Needed);
+    assert_eq!(timers.begin_sleep(), Some(at(10)));
 }
--- a/crates/gateway/src/dispatcher/timers.rs
+++ b/crates/gateway/src/dispatcher/timers.rs
@@ -20,26 +20,29 @@
 pub(super) struct TimerQueue {
     /// Each timer's expiry and kind; the one that expires first is on top.
     entries: BinaryHeap<Reverse<(Instant, TimerKind)>>,
-    /// When the timer task's sleep ends; `None` if the task waits for a timer to be added.
-    armed: Option<Instant>,
+    /// When the timer task's sleep ends; `None` if the task waits for a timer to be added. After a wake-up,
+    /// this is when the task's next sleep ends. While the task handles expired timers, the time is in the
+    /// past.
+    sleeps_until: Option<Instant>,
 }
 
-/// Whether the timer task must be woken, because a new timer expires before the task's sleep ends.
+/// Whether the timer task must be woken after a timer was added.
 #[derive(PartialEq, Eq)]
-pub(super) enum Rearm {
+pub(super) enum WakeUp {
     Needed,
     NotNeeded,
 }
 
 impl TimerQueue {
-    /// Adds a timer that expires at `at`.
-    pub(super) fn push(&mut self, at: Instant, kind: TimerKind) -> Rearm {
+    /// Adds a timer that expires at `at`. Returns whether the timer task must be woken, because the timer
+    /// expires before the task's sleep ends or the task waits for a timer to be added.
+    pub(super) fn push(&mut self, at: Instant, kind: TimerKind) -> WakeUp {
         self.entries.push(Reverse((at, kind)));
-        if self.armed.is_none_or(|armed| at < armed) {
-            self.armed = Some(at);
-            Rearm::Needed
+        if self.sleeps_until.is_none_or(|end| at < end) {
+            self.sleeps_until = Some(at);
+            WakeUp::Needed
         } else {
-            Rearm::NotNeeded
+            WakeUp::NotNeeded
         }
     }
 
@@ -52,10 +55,11 @@
         self.entries.pop().map(|Reverse((_, kind))| kind)
     }
 
-    /// Records that the timer task will sleep until the next timer expires, and returns when that is.
-    pub(super) fn arm(&mut self) -> Option<Instant> {
-        self.armed = self.entries.peek().map(|Reverse((at, _))| *at);
-        self.armed
+    /// Records that the timer task begins a sleep until the next timer expires, and returns when that is.
+    /// Returns `None` if there is no timer, so that the task waits for one to be added.
+    pub(super) fn begin_sleep(&mut self) -> Option<Instant> {
+        self.sleeps_until = self.entries.peek().map(|Reverse((at, _))| *at);
+        self.sleeps_until
     }
 }
 
@@ -68,9 +72,9 @@
                 // wake-up that arrives between two waits.
                 Some(at) => tokio::select! {
                     () = sleep_until(at) => {}
-                    () = self.rearm.notified() => {}
+                    () = self.earlier_timer_added.notified() => {}
                 },
-                None => self.rearm.notified().await,
+                None => self.earlier_timer_added.notified().await,
             }
         }
     }
@@ -84,7 +88,7 @@
                 let timers = &mut self.state.borrow_mut().timers;
                 match timers.pop_expired(Instant::now()) {
                     Some(kind) => kind,
-                    None => return timers.arm(),
+                    None => return timers.begin_sleep(),
                 }
             };
             match kind {
--- a/crates/gateway/src/upstream/attempt.rs
+++ b/crates/gateway/src/upstream/attempt.rs
@@ -1,4 +1,4 @@
-//! A single attempt to serve a request: acquires a connection, sends the request and classifies the
+//! A single attempt to serve a request: acquires a connection, writes the request and classifies the
 //! outcome.
 use super::outcomes::{failure_outcome, reason_not_to_send, response_outcome, timeout_outcome, SendCheck};
 use super::pool::UpstreamPool;
@@ -44,8 +44,8 @@
 }
 
 impl UpstreamPool {
-    /// Makes one attempt, which ends by `deadline`. Once the connection is established, the request is sent
-    /// only if `is_wanted` returns true.
+    /// Makes one attempt, which ends by `deadline`. Once a connection is acquired, the request is written
+    /// only if `awaits_response` returns true.
     ///
     /// Dropping the future cancels the attempt, because it closes the connection.
     pub(crate) async fn attempt(
@@ -53,10 +53,11 @@
         endpoint: EndpointId,
         request: &UpstreamRequest,
         deadline: Instant,
-        is_wanted: impl Fn() -> bool,
+        awaits_response: impl Fn() -> bool,
     ) -> AttemptResult {
         let write_status = Cell::new(None);
-        let attempt = self.attempt_without_timeout(endpoint, request, deadline, is_wanted, &write_status);
+        let attempt =
+            self.attempt_without_timeout(endpoint, request, deadline, awaits_response, &write_status);
         match timeout_at(deadline, attempt).await {
             Ok(result) => result,
             Err(_) => {
@@ -73,13 +74,13 @@
         endpoint: EndpointId,
         request: &UpstreamRequest,
         deadline: Instant,
-        is_wanted: impl Fn() -> bool,
+        awaits_response: impl Fn() -> bool,
         write_status: &Cell<Option<WriteStatus>>,
     ) -> AttemptResult {
-        let never_sent = || AttemptResult::without_response(Outcome::ConnectFailed);
-        let Some(addr) = self.ready_addr(endpoint) else { return never_sent() };
-        let Some(mut pooled) = self.acquire(endpoint, addr).await else { return never_sent() };
-        if let Some(outcome) = self.check_before_send(endpoint, addr, is_wanted) {
+        let connect_failed = || AttemptResult::without_response(Outcome::ConnectFailed);
+        let Some(addr) = self.ready_addr(endpoint) else { return connect_failed() };
+        let Some(mut pooled) = self.acquire(endpoint, addr).await else { return connect_failed() };
+        if let Some(outcome) = self.check_before_send(endpoint, addr, awaits_response) {
             self.release(endpoint, addr, pooled);
             return AttemptResult::without_response(outcome);
         }
@@ -97,7 +98,7 @@
     }
 
     /// Returns the outcome of an attempt whose request must no longer be sent now that the connection is
-    /// established, or `None` if the request may be sent.
+    /// acquired, or `None` if the request may be sent.
     ///
     /// A connection may take long to establish. Without this check, a request could be sent although the
     /// endpoint list has expired, the endpoint is draining, or the client has disconnected or has the
@@ -107,12 +108,12 @@
         &self,
         endpoint: EndpointId,
         addr: SocketAddr,
-        is_wanted: impl Fn() -> bool,
+        awaits_response: impl Fn() -> bool,
     ) -> Option<Outcome> {
         reason_not_to_send(&SendCheck {
             is_lease_expired: self.is_lease_expired(),
             is_endpoint_ready: self.ready_addr(endpoint) == Some(addr),
-            is_wanted: is_wanted(),
+            awaits_response: awaits_response(),
         })
     }
 }
--- a/crates/gateway/src/upstream/outcomes.rs
+++ b/crates/gateway/src/upstream/outcomes.rs
@@ -3,7 +3,7 @@
 use hyper::StatusCode;
 use irishinge_admission::Outcome;
 
-/// The state that decides whether a request may be sent once the connection is established.
+/// The state that decides whether a request may be sent once a connection is acquired.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct SendCheck {
     /// Whether the lease on the endpoint list has expired.
@@ -11,16 +11,20 @@
     /// Whether the endpoint is ready and still has the address that the connection was made to.
     pub(super) is_endpoint_ready: bool,
     /// Whether the request still waits for its response.
-    pub(super) is_wanted: bool,
+    pub(super) awaits_response: bool,
 }
 
 /// Returns the outcome of an attempt whose request must no longer be sent now that the connection is
-/// established, or `None` if the request may be sent.
+/// acquired, or `None` if the request may be sent.
+///
+/// With `ConnectFailed`, the admission library counts a failure of the endpoint. That includes a request
+/// which no longer waits for its response, although its endpoint may be healthy.
 pub(super) fn reason_not_to_send(check: &SendCheck) -> Option<Outcome> {
     if check.is_lease_expired {
-        // The endpoint did not fail, so the outcome must not count as the endpoint's failure.
+        // An expired list says nothing about the endpoint, so the outcome must not count as the endpoint's
+        // failure.
         Some(Outcome::TooLate)
-    } else if !check.is_endpoint_ready || !check.is_wanted {
+    } else if !check.is_endpoint_ready || !check.awaits_response {
         Some(Outcome::ConnectFailed)
     } else {
         None
@@ -55,8 +59,8 @@
 /// Returns the outcome of an attempt that timed out. `any_written` says whether at least one byte of the
 /// request was written.
 ///
-/// One byte is enough for the endpoint to have received the request, since the kernel may have sent the
-/// rest. If the request counted as never sent, it could be sent again while it runs.
+/// `any_written` does not say how much was written. It may be the whole request, which the kernel sends even
+/// after the time-out. If the request counted as never sent, it could be sent again while it runs.
 pub(super) fn timeout_outcome(any_written: bool) -> Outcome {
     if any_written {
         Outcome::TimedOut
--- a/crates/gateway/src/upstream/pool.rs
+++ b/crates/gateway/src/upstream/pool.rs
@@ -38,7 +38,7 @@
     endpoints: RefCell<HashMap<EndpointId, Endpoint>>,
     /// When the endpoint list's lease expires and requests are no longer sent; `None` if the list has no
     /// lease.
-    lease_end: Cell<Option<Instant>>,
+    lease_expires_at: Cell<Option<Instant>>,
     /// Limits the connections to all endpoints together.
     budget: ConnectionBudget,
     /// How long establishing a connection may take.
@@ -54,7 +54,7 @@
     pub(crate) fn new(settings: &SocketSettings, max_connections: usize) -> Self {
         UpstreamPool {
             endpoints: RefCell::default(),
-            lease_end: Cell::default(),
+            lease_expires_at: Cell::default(),
             budget: ConnectionBudget::new(max_connections),
             connect_timeout: duration_from_ms(settings.connect_timeout_ms),
             idle_timeout: duration_from_ms(settings.idle_connection_timeout_ms * IDLE_TIMEOUT_FRACTION),
@@ -67,8 +67,11 @@
         self.endpoints.borrow().values().any(|endpoint| endpoint.state == EndpointState::Ready)
     }
 
-    /// Applies an endpoint list. Closes idle connections to endpoints that no longer accept requests or that
-    /// have another address.
+    /// Applies an endpoint list that discovery returned. Unless `kind` is `Changes`, endpoints that the list
+    /// does not name are removed; `kind` is never `Failed`, because failed calls are not reported to the
+    /// pool.
+    ///
+    /// Closes idle connections to endpoints that no longer accept requests or that have another address.
     pub(crate) fn apply_list(&self, kind: ListUpdateKind, discovered: &[DiscoveredEndpoint]) {
         let mut endpoints = self.endpoints.borrow_mut();
         if kind != ListUpdateKind::Changes {
@@ -93,13 +96,13 @@
     }
 
     /// Sets when the endpoint list's lease expires.
-    pub(crate) fn set_lease_end(&self, until: Instant) {
-        self.lease_end.set(Some(until));
+    pub(crate) fn set_lease_expires_at(&self, expires_at: Instant) {
+        self.lease_expires_at.set(Some(expires_at));
     }
 
     /// Returns whether the endpoint list's lease has expired, so that no request may be sent.
     pub(super) fn is_lease_expired(&self) -> bool {
-        self.lease_end.get().is_some_and(|until| Instant::now() >= until)
+        self.lease_expires_at.get().is_some_and(|expires_at| Instant::now() >= expires_at)
     }
 
     /// Closes connections that have been idle for too long or that are not usable.
@@ -133,8 +136,8 @@
         endpoint.idle.take(allows_reuse, |connection| self.is_usable(connection))
     }
 
-    /// Returns whether a connection can carry another request, now or after the reuse delay. Begins the delay
-    /// for all connections if this one has received surplus bytes.
+    /// Returns whether a connection can carry another request, now or after the reuse delay. If this one has
+    /// received surplus bytes, the reuse delay comes into force for all connections.
     pub(super) fn is_usable(&self, connection: &mut HttpConnection) -> bool {
         let check = connection.check_idle();
         if check == IdleCheck::SurplusBytes {
--- a/crates/gateway/src/upstream/tests/connections.rs
+++ b/crates/gateway/src/upstream/tests/connections.rs
@@ -40,10 +40,11 @@
 }
 
 /// A response arrives twice, the copy some milliseconds after the first. If the connection were reused at
-/// once, the copy would be taken for the next response. Expected: each reuse is delayed for a period after
-/// surplus bytes were received; before and after that period, none is.
+/// once, the copy would be taken for the next response. Expected: during the period after surplus bytes were
+/// received, a connection may be reused only once `REUSE_DELAY` has passed since its response; before and
+/// after that period, at once.
 #[test]
-fn reuse_is_delayed_only_for_a_period_after_surplus_bytes() {
+fn reuse_is_delayed_only_during_a_period_after_surplus_bytes() {
     let reuse_delay = ReuseDelay::default();
     let now = Instant::now();
     assert!(reuse_delay.allows_reuse(now, now), "no surplus bytes were received");
@@ -56,11 +57,12 @@
     assert!(reuse_delay.allows_reuse(later, later), "the period is over");
 }
 
-/// A connection receives surplus bytes, which need not be a response, before it becomes idle or while it is
-/// idle. If they were missed, copies of responses on other connections could be taken for responses. The
-/// connection must close and the reuse delay begin; a close without surplus bytes must not begin the delay.
+/// Surplus bytes may arrive on a connection at any time. If they were missed, copies of responses on other
+/// connections could be taken for responses. Here a usable connection receives a response to no request, and
+/// the server then closes its end. Expected: the connection is not usable, closes when it is dropped, and the
+/// reuse delay is in force. After a close without surplus bytes the delay is not in force.
 #[tokio::test]
-async fn surplus_bytes_begin_the_reuse_delay_whenever_they_arrive() {
+async fn surplus_bytes_begin_the_reuse_delay_and_a_close_does_not() {
     for has_surplus in [false, true] {
         let pool = pool();
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind a loopback port");
@@ -86,11 +88,12 @@
     }
 }
 
-/// The endpoint list expires while a connection is being established, or just before a pooled connection is
-/// used. If the request were sent, it could go to an endpoint that is draining. Expected: nothing is written,
-/// the outcome does not count as the endpoint's failure, and the attempt is sent while the list is valid.
+/// The endpoint list may expire while a connection is being established, or just before one from the pool is
+/// used. If the request were written, it could go to an endpoint that is draining. Here the list expires just
+/// before each attempt. Expected: nothing is written, the outcome is `TooLate`, which does not count as the
+/// endpoint's failure, and the request is written while the list is valid.
 #[tokio::test]
-async fn attempt_is_not_sent_once_the_list_has_expired() {
+async fn request_is_not_written_once_the_list_has_expired() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind a loopback port");
     let addr = listener.local_addr().expect("the listener is bound");
     let (pool, id) = (pool(), EndpointId(1));
@@ -107,13 +110,13 @@
     };
     list_endpoint_as(EndpointState::Ready);
     let request = request();
-    let until = Instant::now() + Duration::from_secs(60);
-    // The list expires after the attempt has begun. The first attempt's connection is then pooled, and the
-    // second attempt uses it.
+    let later = Instant::now() + Duration::from_secs(60);
+    // The list expires before the attempt is first polled. The first attempt establishes a connection, which
+    // is then put into the pool, and the second attempt takes it from there.
     for pooled in [false, true] {
-        pool.set_lease_end(until);
-        let attempt = pool.attempt(id, &request, until, || true);
-        pool.set_lease_end(Instant::now());
+        pool.set_lease_expires_at(later);
+        let attempt = pool.attempt(id, &request, later, || true);
+        pool.set_lease_expires_at(Instant::now());
         assert_eq!(attempt.await.outcome, Outcome::TooLate, "pooled: {pooled}");
     }
     let (server, _) = listener.accept().await.expect("accept the connection");
@@ -121,10 +124,10 @@
     let mut server = server.into_std().expect("convert the stream");
     server.set_nonblocking(false).expect("make the stream blocking");
     assert!(matches!(server.read(&mut [0; 16]), Ok(0)), "no request is written");
-    // While the list is valid, the same attempt is sent.
+    // While the list is valid, the same request is written.
     list_endpoint_as(EndpointState::Ready);
-    pool.set_lease_end(until);
-    let (attempt, answered) = tokio::join!(pool.attempt(id, &request, until, || true), async {
+    pool.set_lease_expires_at(later);
+    let (attempt, answered) = tokio::join!(pool.attempt(id, &request, later, || true), async {
         let (server, _) = listener.accept().await?;
         // The socket may be reported readable before it is.
         while server.try_read(&mut [0; 4096]).is_err() {
--- a/crates/gateway/src/upstream/tests/outcomes.rs
+++ b/crates/gateway/src/upstream/tests/outcomes.rs
@@ -8,10 +8,10 @@
 
 #[test]
 fn sends_only_with_a_valid_list_a_ready_endpoint_and_a_waiting_client() {
-    let sendable = SendCheck { is_lease_expired: false, is_endpoint_ready: true, is_wanted: true };
+    let sendable = SendCheck { is_lease_expired: false, is_endpoint_ready: true, awaits_response: true };
     let cases = [
         (sendable, None),
-        (SendCheck { is_wanted: false, ..sendable }, Some(Outcome::ConnectFailed)),
+        (SendCheck { awaits_response: false, ..sendable }, Some(Outcome::ConnectFailed)),
         (SendCheck { is_endpoint_ready: false, ..sendable }, Some(Outcome::ConnectFailed)),
         (SendCheck { is_lease_expired: true, ..sendable }, Some(Outcome::TooLate)),
         (SendCheck { is_lease_expired: true, is_endpoint_ready: false, ..sendable }, Some(Outcome::TooLate)),
