--- a/crates/gateway/tests/it/attempts.rs
+++ b/crates/gateway/tests/it/attempts.rs
@@ -8,7 +8,7 @@
 #[test]
 fn only_x_rejected_proves_that_a_non_idempotent_request_never_ran() {
     for (headers, never_ran) in [("X-Rejected: 1\r\n", true), ("", false)] {
-        let endpoint = ScriptedServer::start(respond("503 Service Unavailable", headers, ""));
+        let endpoint = StubServer::start(respond("503 Service Unavailable", headers, ""));
         let (gateway, _discovery) = start_gateway(&[&endpoint]);
         let status = gateway.client().request(&ClientRequest::new("once")).status();
         assert_eq!(
@@ -23,10 +23,10 @@
 /// could run it twice. Expected: 502, and only one endpoint has received the request.
 #[test]
 fn fails_a_non_idempotent_request_whose_connection_broke() {
-    let endpoints = [ScriptedServer::start(Reply::Close), ScriptedServer::start(Reply::Close)];
+    let endpoints = [StubServer::start(Reply::Close), StubServer::start(Reply::Close)];
     let (gateway, _discovery) = start_gateway(&[&endpoints[0], &endpoints[1]]);
     assert_eq!(gateway.client().request(&ClientRequest::new("once")).status(), 502);
-    let sent = endpoints.iter().flat_map(ScriptedServer::requests_so_far).count();
+    let sent = endpoints.iter().flat_map(StubServer::requests_so_far).count();
     assert_eq!(sent, 1);
 }
 
@@ -48,7 +48,7 @@
 /// carries the next request.
 #[test]
 fn a_silent_endpoint_does_not_delay_a_request_past_its_deadline() {
-    let endpoint = ScriptedServer::silent();
+    let endpoint = StubServer::silent();
     let (gateway, _discovery) = start_gateway(&[&endpoint]);
     let mut client = gateway.client();
     let response = client.request(&ClientRequest { budget: "3.0", ..ClientRequest::new("once") });
--- a/crates/gateway/tests/it/client_connections.rs
+++ b/crates/gateway/tests/it/client_connections.rs
@@ -6,7 +6,7 @@
 
 /// Starts a gateway with a limit of 64 descriptors, 32 of which are for connections and 19 of those for
 /// clients. Its quota is too large to reject any request.
-fn start_with_64_descriptors(endpoint: &ScriptedServer) -> (GatewayProcess, SequentialDiscovery) {
+fn start_with_64_descriptors(endpoint: &StubServer) -> (GatewayProcess, SequentialDiscovery) {
     start_gateway_with(&[endpoint.addr], |config| {
         config["limits"]["sockets"] = json!(64);
         config["settings"]["tiersOfService"][0]["peakUnits"] = json!(1000.0);
@@ -18,7 +18,7 @@
 /// carried a request may stay idle.
 #[test]
 fn closes_a_new_connection_without_a_complete_request_within_3_s() {
-    let endpoint = ScriptedServer::serving("");
+    let endpoint = StubServer::serving("");
     let (gateway, _discovery) = start_gateway(&[&endpoint]);
     let mut served = gateway.client();
     assert_eq!(served.request(&ClientRequest::new("read")).status(), 200);
@@ -49,7 +49,7 @@
 /// been idle longest is closed.
 #[test]
 fn closes_the_longest_idle_connection_beyond_the_limit() {
-    let endpoint = ScriptedServer::serving("");
+    let endpoint = StubServer::serving("");
     let (gateway, _discovery) = start_with_64_descriptors(&endpoint);
     let mut first = gateway.client();
     assert_eq!(first.health_status(), 200);
@@ -69,7 +69,7 @@
 /// served, and a connection that has carried a request stays open.
 #[test]
 fn closes_silent_connections_before_served_ones_beyond_the_limit() {
-    let endpoint = ScriptedServer::serving("");
+    let endpoint = StubServer::serving("");
     let (gateway, _discovery) = start_with_64_descriptors(&endpoint);
     let mut served = gateway.client();
     assert_eq!(served.request(&ClientRequest::new("read")).status(), 200);
@@ -86,7 +86,7 @@
 /// closes.
 #[test]
 fn rejects_a_request_at_once_beyond_the_limit_if_none_is_idle() {
-    let endpoint = ScriptedServer::silent();
+    let endpoint = StubServer::silent();
     let (gateway, _discovery) = start_with_64_descriptors(&endpoint);
     let mut busy = Vec::new();
     for _ in 0..19 {
--- a/crates/gateway/tests/it/client_disconnects.rs
+++ b/crates/gateway/tests/it/client_disconnects.rs
@@ -9,7 +9,7 @@
 /// produce a response that no client reads. Expected: the attempt's connection closes.
 #[test]
 fn cancels_the_attempt_of_a_client_that_disconnects() {
-    let endpoint = ScriptedServer::silent();
+    let endpoint = StubServer::silent();
     let (gateway, _discovery) = start_gateway(&[&endpoint]);
     let mut client = gateway.client();
     client.write(&ClientRequest::new("read").text());
@@ -24,7 +24,7 @@
 /// closes long before the deadline.
 #[test]
 fn cancels_the_attempt_although_unread_bytes_follow_the_request() {
-    let endpoint = ScriptedServer::silent();
+    let endpoint = StubServer::silent();
     let (gateway, _discovery) = start_gateway(&[&endpoint]);
     for trailing_bytes in ["x".to_string(), ClientRequest::new("read").text(), "noise\r\n".repeat(20_000)] {
         let start = Instant::now();
@@ -44,8 +44,8 @@
 /// endpoint would process it for a client that is gone. Expected: the request is never sent.
 #[test]
 fn never_sends_a_request_after_a_disconnect_during_its_quota_check() {
-    let endpoint = ScriptedServer::serving("");
-    let counter = ScriptedServer::silent();
+    let endpoint = StubServer::serving("");
+    let counter = StubServer::silent();
     let (gateway, _discovery) = start_gateway_with_quota_counter(&endpoint, &counter);
     let request = || ClientRequest { metering: "units=1,spread=2,first=0", ..ClientRequest::new("once") };
     let mut client = gateway.client();
--- a/crates/gateway/tests/it/common/gateway_process.rs
+++ b/crates/gateway/tests/it/common/gateway_process.rs
@@ -1,6 +1,6 @@
 //! The gateway as a process, which ends with its test.
 use super::{
-    config, endpoint_entry, unique_number, use_quota_counter, Client, ScriptedServer, SequentialDiscovery,
+    config, endpoint_entry, unique_number, use_quota_counter, Client, SequentialDiscovery, StubServer,
 };
 use serde_json::Value;
 use std::io::{BufRead, BufReader};
@@ -46,7 +46,7 @@
 }
 
 /// Starts a gateway whose initial list has these endpoints. Discovery responds only when the test says so.
-pub(crate) fn start_gateway(endpoints: &[&ScriptedServer]) -> (GatewayProcess, SequentialDiscovery) {
+pub(crate) fn start_gateway(endpoints: &[&StubServer]) -> (GatewayProcess, SequentialDiscovery) {
     let addrs: Vec<_> = endpoints.iter().map(|endpoint| endpoint.addr).collect();
     start_gateway_with(&addrs, |_| {})
 }
@@ -70,8 +70,8 @@
 /// Starts a gateway that knows this endpoint and may call this quota counter, but must not send messages to
 /// its peer.
 pub(crate) fn start_gateway_with_quota_counter(
-    endpoint: &ScriptedServer,
-    counter: &ScriptedServer,
+    endpoint: &StubServer,
+    counter: &StubServer,
 ) -> (GatewayProcess, SequentialDiscovery) {
     start_gateway_with(&[endpoint.addr], |config| use_quota_counter(config, counter.addr))
 }
--- a/crates/gateway/tests/it/common/mod.rs
+++ b/crates/gateway/tests/it/common/mod.rs
@@ -7,8 +7,8 @@
 mod gateway_process;
 mod http_message;
 mod quota_owner;
-mod scripted_server;
 mod sequential_discovery;
+mod stub_server;
 
 pub(crate) use client::{Client, ClientRequest, HEALTH_CHECK};
 pub(crate) use concurrent_discovery::{ConcurrentDiscovery, DiscoveryCall};
@@ -19,8 +19,8 @@
 };
 pub(crate) use http_message::{http_response, read_message};
 pub(crate) use quota_owner::{use_quota_owner, QuotaOwner};
-pub(crate) use scripted_server::{respond, Received, Reply, ScriptedServer};
 pub(crate) use sequential_discovery::SequentialDiscovery;
+pub(crate) use stub_server::{respond, Received, Reply, StubServer};
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
--- a/crates/gateway/tests/it/common/scripted_server.rs
+++ b/crates/gateway/tests/it/common/stub_server.rs
@@ -42,7 +42,7 @@
 }
 
 /// An HTTP server that replies to every request as the test has set last.
-pub(crate) struct ScriptedServer {
+pub(crate) struct StubServer {
     pub(crate) addr: SocketAddr,
     /// Everything received that the test has not taken yet.
     pub(crate) received: Receiver<Received>,
@@ -52,9 +52,9 @@
     streams: Arc<Mutex<Vec<TcpStream>>>,
 }
 
-impl ScriptedServer {
+impl StubServer {
     /// Starts a server that replies with `reply`.
-    pub(crate) fn start(reply: Reply) -> ScriptedServer {
+    pub(crate) fn start(reply: Reply) -> StubServer {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("bind a loopback port");
         let addr = listener.local_addr().expect("the socket is bound");
         let reply = Arc::new(Mutex::new(reply));
@@ -76,17 +76,17 @@
                 thread::spawn(move || serve(connection, stream, &sender, &reply));
             }
         });
-        ScriptedServer { addr, received, reply, streams }
+        StubServer { addr, received, reply, streams }
     }
 
     /// Starts a server that responds with 200 and this body.
-    pub(crate) fn serving(body: &str) -> ScriptedServer {
-        ScriptedServer::start(respond("200 OK", "", body))
+    pub(crate) fn serving(body: &str) -> StubServer {
+        StubServer::start(respond("200 OK", "", body))
     }
 
     /// Starts a server that does not respond.
-    pub(crate) fn silent() -> ScriptedServer {
-        ScriptedServer::start(Reply::Silence)
+    pub(crate) fn silent() -> StubServer {
+        StubServer::start(Reply::Silence)
     }
 
     /// Sets the reply to all further requests.
--- a/crates/gateway/tests/it/descriptors.rs
+++ b/crates/gateway/tests/it/descriptors.rs
@@ -10,7 +10,7 @@
 #[test]
 fn idle_clients_leave_descriptors_for_discovery_and_endpoints() {
     for sockets in [64, 256] {
-        let endpoint = ScriptedServer::serving("new");
+        let endpoint = StubServer::serving("new");
         let discovery = SequentialDiscovery::start();
         let mut config = config(discovery.addr, &[]);
         config["limits"]["sockets"] = json!(sockets);
@@ -71,7 +71,7 @@
 /// get no response, and the gateway would be taken for dead. Expected: health checks are served.
 #[test]
 fn silent_clients_beyond_the_limit_are_evicted_for_others() {
-    let (endpoint, discovery) = (ScriptedServer::silent(), SequentialDiscovery::start());
+    let (endpoint, discovery) = (StubServer::silent(), SequentialDiscovery::start());
     let mut config = config(discovery.addr, &[endpoint_entry("s-0", endpoint.addr, "up")]);
     config["limits"]["sockets"] = json!(64);
     config["settings"]["tiersOfService"][0]["peakUnits"] = json!(1000.0);
--- a/crates/gateway/tests/it/disconnect_variants.rs
+++ b/crates/gateway/tests/it/disconnect_variants.rs
@@ -84,7 +84,7 @@
 /// Sends `request` and returns the ids of the requests that the endpoint received before it.
 fn ids_received_before(
     gateway: &GatewayProcess,
-    endpoint: &ScriptedServer,
+    endpoint: &StubServer,
     request: ClientRequest,
 ) -> Vec<String> {
     assert_eq!(gateway.client().request(&request).status(), 200);
@@ -102,7 +102,7 @@
 #[test]
 fn never_sends_a_request_abandoned_while_it_is_queued() {
     for kind in disconnect_kinds() {
-        let endpoint = ScriptedServer::serving("");
+        let endpoint = StubServer::serving("");
         let (gateway, discovery) = start_with_large_quota(&[], |_| {});
         discovery.next_call();
         let client = DisconnectingClient::submit(&gateway, &ClientRequest::new("read"));
@@ -125,7 +125,7 @@
 #[test]
 fn never_sends_a_request_abandoned_during_its_quota_counter_call() {
     for kind in disconnect_kinds() {
-        let (endpoint, counter) = (ScriptedServer::serving(""), ScriptedServer::silent());
+        let (endpoint, counter) = (StubServer::serving(""), StubServer::silent());
         let (gateway, _discovery) =
             start_with_large_quota(&[endpoint.addr], |config| use_quota_counter(config, counter.addr));
         let request = || ClientRequest { metering: "units=1,spread=2,first=0", ..ClientRequest::new("read") };
@@ -145,7 +145,7 @@
 #[test]
 fn never_sends_a_request_abandoned_during_its_quota_request() {
     for kind in disconnect_kinds() {
-        let (endpoint, owner) = (ScriptedServer::serving(""), QuotaOwner::start());
+        let (endpoint, owner) = (StubServer::serving(""), QuotaOwner::start());
         let (gateway, _discovery) =
             start_with_large_quota(&[endpoint.addr], |config| use_quota_owner(config, owner.addr()));
         let client = DisconnectingClient::submit(&gateway, &QuotaOwner::request());
@@ -162,7 +162,7 @@
 /// the owner grants it, and not before.
 #[test]
 fn sends_a_request_once_its_quota_owner_grants_it() {
-    let (endpoint, owner) = (ScriptedServer::serving(""), QuotaOwner::start());
+    let (endpoint, owner) = (StubServer::serving(""), QuotaOwner::start());
     let (gateway, _discovery) =
         start_with_large_quota(&[endpoint.addr], |config| use_quota_owner(config, owner.addr()));
     let request = QuotaOwner::request();
@@ -180,7 +180,7 @@
 #[test]
 fn makes_no_further_attempt_after_a_disconnect() {
     for kind in disconnect_kinds() {
-        let endpoint = ScriptedServer::silent();
+        let endpoint = StubServer::silent();
         let (gateway, _discovery) = start_with_large_quota(&[endpoint.addr], |config| {
             config["settings"]["ceilings"]["cancel"] = json!(false);
         });
--- a/crates/gateway/tests/it/discovery.rs
+++ b/crates/gateway/tests/it/discovery.rs
@@ -7,7 +7,7 @@
 /// no effect.
 #[test]
 fn health_checks_fail_until_a_ready_endpoint_is_known() {
-    let endpoint = ScriptedServer::serving("");
+    let endpoint = StubServer::serving("");
     let (gateway, discovery) = start_gateway(&[]);
     assert_eq!(gateway.client().health_status(), 503);
     assert_eq!(discovery.next_call(), "GET /v1/servers HTTP/1.1");
@@ -20,7 +20,7 @@
 /// unknown. Expected: the complete list is fetched after both, and the cached list is used until it arrives.
 #[test]
 fn fetches_the_complete_list_after_an_outage_and_serves_meanwhile() {
-    let endpoint = ScriptedServer::serving("");
+    let endpoint = StubServer::serving("");
     let (gateway, discovery) = start_gateway(&[&endpoint]);
     discovery.next_call();
     discovery.push(complete_list(4, &[endpoint_entry("s-0", endpoint.addr, "up")]));
@@ -39,7 +39,7 @@
 /// cached revision.
 #[test]
 fn watches_from_the_cached_revision_after_503() {
-    let endpoint = ScriptedServer::serving("");
+    let endpoint = StubServer::serving("");
     let (_gateway, discovery) = start_gateway(&[&endpoint]);
     // The list that the gateway was started with has revision 1.
     assert!(discovery.next_call().starts_with("GET /v1/servers?after=1&wait_ms="));
@@ -56,7 +56,7 @@
 /// requests go to the other endpoint.
 #[test]
 fn closes_idle_connections_to_a_draining_endpoint_and_stops_sending() {
-    let (old, new) = (ScriptedServer::serving("old"), ScriptedServer::serving("new"));
+    let (old, new) = (StubServer::serving("old"), StubServer::serving("new"));
     let (gateway, discovery) = start_gateway(&[&old]);
     let mut client = gateway.client();
     assert_eq!(client.request(&ClientRequest::new("read")).body, b"old");
--- a/crates/gateway/tests/it/discovery_push.rs
+++ b/crates/gateway/tests/it/discovery_push.rs
@@ -4,9 +4,7 @@
 
 /// Starts a gateway with pushed lists in a fleet of 100 000 gateways. If a pause grew with the fleet, it
 /// would not end while a test waits.
-fn start_in_large_fleet_with_pushed_lists(
-    known: &[&ScriptedServer],
-) -> (GatewayProcess, ConcurrentDiscovery) {
+fn start_in_large_fleet_with_pushed_lists(known: &[&StubServer]) -> (GatewayProcess, ConcurrentDiscovery) {
     let discovery = ConcurrentDiscovery::start();
     let known: Vec<_> =
         known.iter().enumerate().map(|(n, e)| endpoint_entry(&format!("s-{n}"), e.addr, "up")).collect();
@@ -25,7 +23,7 @@
 /// draining endpoint. Expected: after each failure, the complete list is fetched at once.
 #[test]
 fn fetches_the_pushed_list_at_once_after_any_failed_call() {
-    let (old, new) = (ScriptedServer::serving("old"), ScriptedServer::serving("new"));
+    let (old, new) = (StubServer::serving("old"), StubServer::serving("new"));
     let (gateway, discovery) = start_in_large_fleet_with_pushed_lists(&[&old]);
     let mut rev = 1;
     let call_ends: [fn(&DiscoveryCall); 6] = [
@@ -60,7 +58,7 @@
 /// endpoint.
 #[test]
 fn a_new_process_fetches_the_complete_list_before_it_watches() {
-    let (old, new) = (ScriptedServer::serving("old"), ScriptedServer::serving("new"));
+    let (old, new) = (StubServer::serving("old"), StubServer::serving("new"));
     let (gateway, discovery) = start_in_large_fleet_with_pushed_lists(&[&old]);
     // The JSON of a list may be indented.
     let list = complete_list(9, &[endpoint_entry("s-1", new.addr, "up")]);
@@ -78,7 +76,7 @@
 /// complete list is fetched; only a complete list may restart the revisions.
 #[test]
 fn ignores_an_older_revision_and_fetches_the_complete_list() {
-    let (old, new) = (ScriptedServer::serving("old"), ScriptedServer::serving("new"));
+    let (old, new) = (StubServer::serving("old"), StubServer::serving("new"));
     let (gateway, discovery) = start_in_large_fleet_with_pushed_lists(&[]);
     let known = complete_list(
         7,
--- a/crates/gateway/tests/it/list_lease.rs
+++ b/crates/gateway/tests/it/list_lease.rs
@@ -12,12 +12,12 @@
 const LEASE_EXPIRED_AFTER_RELOAD: Duration = Duration::from_millis(4500);
 
 /// Returns the list entry of a ready endpoint.
-fn ready_entry(endpoint: &ScriptedServer) -> Value {
+fn ready_entry(endpoint: &StubServer) -> Value {
     endpoint_entry("s-0", endpoint.addr, "up")
 }
 
 /// Asserts that a request is not served and that nothing is sent to the endpoint while the request waits.
-fn assert_serves_nothing(gateway: &GatewayProcess, endpoint: &ScriptedServer) {
+fn assert_serves_nothing(gateway: &GatewayProcess, endpoint: &StubServer) {
     let request = ClientRequest { budget: "3.000", ..ClientRequest::new("read") };
     assert_ne!(gateway.client().request(&request).status(), 200);
     while let Ok(received) = endpoint.received.try_recv() {
@@ -29,7 +29,7 @@
 /// expires and none after that, and that a waiting request is served once a list arrives, even one without
 /// changes.
 fn assert_stops_sending_when_calls_end_with(end_call: fn(DiscoveryCall)) {
-    let (endpoint, discovery) = (ScriptedServer::serving(""), ConcurrentDiscovery::start());
+    let (endpoint, discovery) = (StubServer::serving(""), ConcurrentDiscovery::start());
     let gateway = GatewayProcess::start(&config(discovery.addr, &[ready_entry(&endpoint)]));
     let start = Instant::now();
     end_call(discovery.next_call());
@@ -64,7 +64,7 @@
 /// that rejections do not renew it for ever.)
 #[test]
 fn keeps_sending_while_discovery_answers_503() {
-    let (endpoint, discovery) = (ScriptedServer::serving(""), ConcurrentDiscovery::start());
+    let (endpoint, discovery) = (StubServer::serving(""), ConcurrentDiscovery::start());
     let gateway = GatewayProcess::start(&config(discovery.addr, &[ready_entry(&endpoint)]));
     let start = Instant::now();
     while start.elapsed() < LEASE_EXPIRED_AFTER {
@@ -96,7 +96,7 @@
 /// without need. Expected: the cached list is used during the outage, and the new list at once after it.
 #[test]
 fn keeps_sending_while_discovery_is_unreachable() {
-    let endpoint = ScriptedServer::serving("");
+    let endpoint = StubServer::serving("");
     // The port is bound, so that no other process can listen on it, but nothing listens yet.
     let port = Socket::new(Domain::IPV4, Type::STREAM, None).expect("create a socket");
     port.bind(&SocketAddr::from((Ipv4Addr::LOCALHOST, 0)).into()).expect("bind a loopback port");
@@ -120,7 +120,7 @@
 /// responded.
 #[test]
 fn stops_sending_sooner_when_a_new_discovery_address_gives_no_list() {
-    let endpoint = ScriptedServer::serving("");
+    let endpoint = StubServer::serving("");
     let (old, new) = (ConcurrentDiscovery::start(), ConcurrentDiscovery::start());
     let mut config = config(old.addr, &[ready_entry(&endpoint)]);
     let gateway = GatewayProcess::start(&config);
@@ -144,7 +144,7 @@
 /// revision is lower.
 #[test]
 fn fetches_the_complete_list_after_a_truncated_response() {
-    let (old, new) = (ScriptedServer::serving("old"), ScriptedServer::serving("new"));
+    let (old, new) = (StubServer::serving("old"), StubServer::serving("new"));
     let discovery = ConcurrentDiscovery::start();
     let gateway = GatewayProcess::start(&config(discovery.addr, &[ready_entry(&old)]));
     let watch = discovery.answer_first_watch(&complete_list(7, &[ready_entry(&old)]));
--- a/crates/gateway/tests/it/peers.rs
+++ b/crates/gateway/tests/it/peers.rs
@@ -8,7 +8,7 @@
 /// datagrams are ignored, and the peer receives the gateway's messages.
 #[test]
 fn sends_messages_to_peers_and_ignores_invalid_datagrams() {
-    let endpoint = ScriptedServer::serving("");
+    let endpoint = StubServer::serving("");
     let discovery = SequentialDiscovery::start();
     let peer = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).expect("bind a loopback port");
     peer.set_read_timeout(Some(TEST_TIMEOUT)).expect("set the read timeout");
--- a/crates/gateway/tests/it/quota_counter.rs
+++ b/crates/gateway/tests/it/quota_counter.rs
@@ -7,8 +7,8 @@
 /// whose response could not be read.
 #[test]
 fn rejects_only_on_a_readable_total_of_the_quota_counter() {
-    let endpoint = ScriptedServer::serving("");
-    let counter = ScriptedServer::serving("1");
+    let endpoint = StubServer::serving("");
+    let counter = StubServer::serving("1");
     let request = || ClientRequest { metering: "units=2,spread=2,first=0", ..ClientRequest::new("read") };
     let (gateway, _discovery) = start_gateway_with_quota_counter(&endpoint, &counter);
     let mut client = gateway.client();
@@ -21,7 +21,7 @@
     assert_eq!(client.request(&request()).status(), 429);
     assert_eq!(counter.next_request().connection, call.connection, "the second call used another connection");
     for malformed in ["", "many", "NaN"] {
-        let counter = ScriptedServer::start(respond("200 OK", "", malformed));
+        let counter = StubServer::start(respond("200 OK", "", malformed));
         let (gateway, _discovery) = start_gateway_with_quota_counter(&endpoint, &counter);
         assert_eq!(gateway.client().request(&request()).status(), 200, "{malformed}");
         let connection = counter.next_request().connection;
@@ -29,7 +29,7 @@
     }
     let rejected = respond("503 Service Unavailable", "", "");
     for reply in [Reply::Close, Reply::Response("noise\r\n\r\n".into()), rejected] {
-        let counter = ScriptedServer::start(reply);
+        let counter = StubServer::start(reply);
         let (gateway, _discovery) = start_gateway_with_quota_counter(&endpoint, &counter);
         assert_eq!(gateway.client().request(&request()).status(), 200);
         counter.next_request();
--- a/crates/gateway/tests/it/reload.rs
+++ b/crates/gateway/tests/it/reload.rs
@@ -9,7 +9,7 @@
 /// the watch calls the new address at once, and the cached list is used until the new discovery responds.
 #[test]
 fn sighup_moves_the_watch_to_the_new_address_and_keeps_serving() {
-    let endpoint = ScriptedServer::serving("old");
+    let endpoint = StubServer::serving("old");
     let (gateway, first) = start_gateway(&[&endpoint]);
     first.next_call();
     let to = |addr| config(addr, &[]).to_string();
@@ -28,7 +28,7 @@
         .and_then(|l| l.local_addr())
         .expect("bind a loopback port");
     gateway.reload(&to(unused_addr));
-    let new = ScriptedServer::serving("new");
+    let new = StubServer::serving("new");
     let last = SequentialDiscovery::start();
     gateway.reload(&to(last.addr));
     assert_eq!(last.next_call(), "GET /v1/servers HTTP/1.1");
@@ -44,8 +44,8 @@
 /// request is served, further calls go to the new address, and the old connection closes.
 #[test]
 fn sighup_moves_the_quota_counter_and_finishes_the_call_in_progress() {
-    let endpoint = ScriptedServer::serving("");
-    let (old, new) = (ScriptedServer::silent(), ScriptedServer::serving("1"));
+    let endpoint = StubServer::serving("");
+    let (old, new) = (StubServer::silent(), StubServer::serving("1"));
     let discovery = SequentialDiscovery::start();
     let mut config = config(discovery.addr, &[endpoint_entry("s-0", endpoint.addr, "up")]);
     use_quota_counter(&mut config, old.addr);
--- a/crates/gateway/tests/it/requests.rs
+++ b/crates/gateway/tests/it/requests.rs
@@ -8,7 +8,7 @@
 #[test]
 fn forwards_a_request_unchanged_and_returns_its_response() {
     let endpoint =
-        ScriptedServer::start(respond("200 OK", "Content-Type: text/plain\r\nX-Settled: 2\r\n", "balance 7"));
+        StubServer::start(respond("200 OK", "Content-Type: text/plain\r\nX-Settled: 2\r\n", "balance 7"));
     let (gateway, _discovery) = start_gateway(&[&endpoint]);
     let mut client = gateway.client();
     let request = ClientRequest { body: "meter=12", ..ClientRequest::new("post") };
@@ -37,7 +37,7 @@
 /// its status, the gateway serves other requests as before, and the quota is not charged.
 #[test]
 fn rejects_malformed_requests_without_charging_the_quota() {
-    let endpoint = ScriptedServer::serving("");
+    let endpoint = StubServer::serving("");
     let (gateway, _discovery) = start_gateway(&[&endpoint]);
     let good = ClientRequest::new("read").text();
     let cases = [
@@ -75,7 +75,7 @@
 /// read, and the endpoint receives nothing.
 #[test]
 fn rejects_transfer_encoding_with_or_without_content_length() {
-    let endpoint = ScriptedServer::serving("");
+    let endpoint = StubServer::serving("");
     let (gateway, _discovery) = start_gateway(&[&endpoint]);
     let hidden = ClientRequest::new("post").text();
     for length in ["", "Content-Length: 5\r\n"] {
@@ -95,7 +95,7 @@
 /// endpoint receives nothing.
 #[test]
 fn rejects_duplicate_headers_and_metering_values() {
-    let endpoint = ScriptedServer::serving("");
+    let endpoint = StubServer::serving("");
     let (gateway, _discovery) = start_gateway(&[&endpoint]);
     for extra_headers in [
         "X-Call-Id: 00000000000000aa\r\n",
@@ -124,7 +124,7 @@
 /// were forwarded, the request would run twice. Expected: 409, and the endpoint receives one request.
 #[test]
 fn rejects_a_second_request_with_the_id_of_an_active_one() {
-    let endpoint = ScriptedServer::silent();
+    let endpoint = StubServer::silent();
     let (gateway, _discovery) = start_gateway(&[&endpoint]);
     let request = ClientRequest::new("once");
     let mut first = gateway.client();
@@ -138,7 +138,7 @@
 /// clients honour, and without one if the settings say that clients ignore it.
 #[test]
 fn rejections_carry_retry_after_only_if_clients_honour_it() {
-    let endpoint = ScriptedServer::serving("");
+    let endpoint = StubServer::serving("");
     for honoured in [false, true] {
         let discovery = SequentialDiscovery::start();
         let mut config = config(discovery.addr, &[endpoint_entry("s-0", endpoint.addr, "up")]);
--- a/crates/gateway/tests/it/shutdown.rs
+++ b/crates/gateway/tests/it/shutdown.rs
@@ -7,7 +7,7 @@
 /// exits with 0.
 #[test]
 fn sigterm_answers_active_requests_accepts_for_a_while_and_exits_with_0() {
-    let endpoint = ScriptedServer::silent();
+    let endpoint = StubServer::silent();
     let (mut gateway, _discovery) = start_gateway(&[&endpoint]);
     let (mut active, mut idle) = (gateway.client(), gateway.client());
     idle.health_status();
@@ -30,8 +30,8 @@
 /// is about to end. Expected: the first is served, the second is never read, and the process exits with 0.
 #[test]
 fn sigterm_finishes_a_request_that_waits_for_the_quota_counter() {
-    let endpoint = ScriptedServer::serving("mine");
-    let counter = ScriptedServer::silent();
+    let endpoint = StubServer::serving("mine");
+    let counter = StubServer::silent();
     let (mut gateway, _discovery) = start_gateway_with_quota_counter(&endpoint, &counter);
     let (mut waiting, mut idle) = (gateway.client(), gateway.client());
     idle.health_status();
--- a/crates/gateway/tests/it/upstream_connections.rs
+++ b/crates/gateway/tests/it/upstream_connections.rs
@@ -9,7 +9,7 @@
 #[test]
 fn never_reuses_a_connection_that_its_endpoint_closed() {
     let text = http_response("200 OK", "", "");
-    let endpoint = ScriptedServer::start(Reply::ResponseAndClose(text));
+    let endpoint = StubServer::start(Reply::ResponseAndClose(text));
     let (gateway, _discovery) = start_gateway(&[&endpoint]);
     let mut client = gateway.client();
     for expected in 0..3 {
@@ -28,7 +28,7 @@
 #[test]
 fn never_reuses_a_connection_after_surplus_bytes() {
     let text = http_response("200 OK", "", "mine");
-    let endpoint = ScriptedServer::start(Reply::Response(text.clone()));
+    let endpoint = StubServer::start(Reply::Response(text.clone()));
     let (gateway, _discovery) = start_gateway(&[&endpoint]);
     let mut client = gateway.client();
     let foreign = text.replace("mine", "last");
@@ -61,7 +61,7 @@
         format!("{head}Transfer-Encoding: chunked\r\n\r\nzz\r\n"),
         "HTTP/1.1 103 Early Hints\r\n\r\n".repeat(20),
     ];
-    let (bad, good) = (ScriptedServer::silent(), ScriptedServer::serving("good"));
+    let (bad, good) = (StubServer::silent(), StubServer::serving("good"));
     // With pushed lists there is no lease that could expire while a busy machine works through the cases.
     let push_list = |config: &mut Value| config["settings"]["discovery"] = json!("pushed");
     let (alone, _discovery) = start_gateway_with(&[bad.addr], push_list);
@@ -83,7 +83,7 @@
 /// if the invalid headers were absent.
 #[test]
 fn accepts_interim_responses_and_ignores_unreadable_reports() {
-    let endpoint = ScriptedServer::silent();
+    let endpoint = StubServer::silent();
     let (gateway, _discovery) = start_gateway(&[&endpoint]);
     let mut client = gateway.client();
     for headers in [
