--- a/crates/gateway/tests/it/common/scripted_server.rs
+++ b/crates/gateway/tests/it/common/stub_server.rs
@@ -30,7 +30,11 @@
 pub(crate) enum Received {
     Connection,
     Request(ReceivedRequest),
-    Close { connection: usize },
+    /// The gateway has closed a connection, or the server has closed it after [`Reply::ResponseAndClose`].
+    /// The close of [`Reply::Close`] is not reported.
+    Close {
+        connection: usize,
+    },
 }
 
 /// A request that the server has received.
@@ -41,20 +45,20 @@
     pub(crate) message: Message,
 }
 
-/// An HTTP server that replies to every request as the test has set last.
-pub(crate) struct ScriptedServer {
+/// An HTTP server that gives the same reply to every request until the test sets another.
+pub(crate) struct StubServer {
     pub(crate) addr: SocketAddr,
     /// Everything received that the test has not taken yet.
     pub(crate) received: Receiver<Received>,
-    /// The reply to the next request, on any connection.
+    /// The reply to all further requests, on any connection.
     reply: Arc<Mutex<Reply>>,
     /// All accepted connections, by number.
     streams: Arc<Mutex<Vec<TcpStream>>>,
 }
 
-impl ScriptedServer {
+impl StubServer {
     /// Starts a server that replies with `reply`.
-    pub(crate) fn start(reply: Reply) -> ScriptedServer {
+    pub(crate) fn start(reply: Reply) -> StubServer {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("bind a loopback port");
         let addr = listener.local_addr().expect("the socket is bound");
         let reply = Arc::new(Mutex::new(reply));
@@ -76,17 +80,17 @@
                 thread::spawn(move || serve(connection, stream, &sender, &reply));
             }
         });
-        ScriptedServer { addr, received, reply, streams }
+        StubServer { addr, received, reply, streams }
     }
 
     /// Starts a server that responds with 200 and this body.
-    pub(crate) fn serving(body: &str) -> ScriptedServer {
-        ScriptedServer::start(respond("200 OK", "", body))
+    pub(crate) fn serving(body: &str) -> StubServer {
+        StubServer::start(respond("200 OK", "", body))
     }
 
     /// Starts a server that does not respond.
-    pub(crate) fn silent() -> ScriptedServer {
-        ScriptedServer::start(Reply::Silence)
+    pub(crate) fn silent() -> StubServer {
+        StubServer::start(Reply::Silence)
     }
 
     /// Sets the reply to all further requests.
@@ -111,7 +115,7 @@
         }
     }
 
-    /// Waits until a connection is closed and returns its number.
+    /// Waits for the next [`Received::Close`] and returns the number of its connection.
     pub(crate) fn next_close(&self) -> usize {
         loop {
             if let Received::Close { connection } =
@@ -122,8 +126,9 @@
         }
     }
 
-    /// Returns whether nothing is received that the test has not taken yet, not even a connection.
-    pub(crate) fn has_received_nothing(&self) -> bool {
+    /// Returns whether nothing has been received by now that the test has not taken yet, not even a
+    /// connection. If something has, takes the first of it.
+    pub(crate) fn has_received_nothing_more(&self) -> bool {
         self.received.try_recv().is_err()
     }
 
