--- a/crates/gateway/src/dispatcher/active_request.rs
+++ b/crates/gateway/src/dispatcher/active_request.rs
@@ -44,7 +44,7 @@
     pub(super) upstream_request: Rc<UpstreamRequest>,
     /// When attempts time out at the latest.
     deadlines: RequestDeadlines,
-    /// Attempts in the order in which the decision library asked for them; `None` once an attempt has ended,
+    /// Attempts in the order in which the admission library asked for them; `None` once an attempt has ended,
     /// or if it was not started.
     attempts: Vec<Option<Attempt>>,
 }
--- a/crates/gateway/src/dispatcher/request_deadlines.rs
+++ b/crates/gateway/src/dispatcher/request_deadlines.rs
@@ -42,7 +42,7 @@
 
 /// Returns the response to a request that has none shortly before its deadline or when the process ends.
 ///
-/// The request is rejected only if the decision library never asked for an attempt. Otherwise it counts as
+/// The request is rejected only if the admission library never asked for an attempt. Otherwise it counts as
 /// possibly run, even if no attempt was written to a connection, and fails: a client that reads a rejection
 /// may send its request again, which could then run twice.
 pub(super) fn fallback_response(was_attempted: bool) -> FinalResponse {
