--- a/crates/admission/src/event.rs
+++ b/crates/admission/src/event.rs
@@ -133,8 +133,8 @@
         /// The entries of the update.
         entries: Vec<EndpointEntry>,
     },
-    /// The endpoint list is too old to be used: no attempt is sent until the next update, which may be one
-    /// without entries. The known entries stay.
+    /// The endpoint list is too old to be used: no attempt is sent until the next update that is not
+    /// [`ListUpdateKind::Failed`]. That update may have no entries. The known entries stay.
     EndpointListExpired,
     /// Only time has passed. As after every event, the gateway sends the queued requests that may be sent
     /// now.
