--- a/crates/admission/tests/it/admission.rs
+++ b/crates/admission/tests/it/admission.rs
@@ -11,19 +11,19 @@
     let Submitted { id, mut actions } = gateway.submit();
     actions.extend(gateway.advance(2990.0));
     assert!(sent_attempts(&actions).is_empty());
-    assert_eq!(final_response_count(&actions, id), 1);
+    assert_eq!(rejection_or_failure_count(&actions, id), 1);
 }
 
-/// The only endpoint hangs, so that the request's attempt never ends. Guards against a gateway that waits
-/// for the attempt and never responds to the client. The request gets one final response before its
-/// deadline.
+/// The only endpoint is unresponsive, so that the request's attempt never ends. Guards against a gateway
+/// that waits for the attempt and never responds to the client. The request gets one final response before
+/// its deadline.
 #[test]
 fn responds_before_the_deadline_when_an_attempt_never_ends() {
     let mut gateway = SingleGateway::new(broadcast_settings(Idempotency::Idempotent), 1);
     let submitted = gateway.submit();
     assert_eq!(submitted.sent_attempts().len(), 1);
     let actions = gateway.advance(2990.0);
-    assert_eq!(final_response_count(&actions, submitted.id), 1);
+    assert_eq!(rejection_or_failure_count(&actions, submitted.id), 1);
 }
 
 /// A request arrives with 300 ms left, and a new gateway expects a response to take 150 ms. While the
@@ -38,7 +38,7 @@
         assert_eq!(sent_attempts(&gateway.submit_as_new_customers(in_flight)).len(), in_flight);
         gateway.advance(20.0);
         let submitted = gateway.submit_with(|r| r.time_left_ms = 300.0);
-        let responses = final_response_count(&submitted.actions, submitted.id);
+        let responses = rejection_or_failure_count(&submitted.actions, submitted.id);
         assert_eq!((submitted.sent_attempts().len(), responses), (sent, 1 - sent), "{in_flight} in flight");
     }
 }
@@ -51,7 +51,7 @@
     let mut gateway = SingleGateway::new(broadcast_settings(Idempotency::Idempotent), 3);
     let submitted = gateway.submit_with(|r| r.time_left_ms = 4.0);
     assert!(submitted.sent_attempts().is_empty());
-    assert_eq!(final_response_count(&submitted.actions, submitted.id), 1);
+    assert_eq!(rejection_or_failure_count(&submitted.actions, submitted.id), 1);
 }
 
 /// In gossip mode every request is queued until the gateway knows its quota. Guards against a request
@@ -61,29 +61,34 @@
 fn gossip_gateway_rejects_only_requests_that_cannot_meet_their_deadline() {
     let mut fleet = gossip_fleet(40, plan(100.0, 400.0));
     let short = fleet.submit(3, |r| r.time_left_ms = 60.0);
-    assert!(fleet.rejected.contains(&short), "rejected while its arrival is handled");
+    assert!(fleet.rejected_or_failed.contains(&short), "rejected while its arrival is handled");
     let enough = fleet.submit(3, |r| r.time_left_ms = 400.0);
     fleet.advance(400.0);
-    assert!(!fleet.rejected.contains(&enough) && fleet.sent.len() == 1);
+    assert!(!fleet.rejected_or_failed.contains(&enough) && fleet.sent.len() == 1);
 }
 
-/// A client's own retry arrives with 1900 of 3000 ms left, so that the latency objective of 1000 ms has
-/// passed. A response has no value for it any more, and would take capacity from requests that can still
-/// be served in time. The gateway learns a class's full waiting time from the time that most of its
-/// requests have left. Before that it rejects no request for this reason. Afterwards it rejects the late
-/// retry at once, but not a request whose client has waited for 300 ms.
+/// A request that is not marked as a client's retry arrives with 1900 ms left, while other requests of its
+/// class have 3000 ms. It is a retry all the same: its client has waited since an earlier request, and the
+/// latency objective of 1000 ms has passed. A response has no value for it any more, and would take
+/// capacity from requests that can still be served in time. The gateway takes the time left that most
+/// requests of a class have as that of first requests. Before it has seen enough of them, it rejects no
+/// request for this reason. Afterwards it rejects the late retry at once, but not a request whose client
+/// has waited for 300 ms.
 #[test]
-fn rejects_client_retry_past_its_latency_objective_at_once() {
+fn rejects_unmarked_retry_past_its_latency_objective_at_once() {
     let mut fleet = gossip_fleet(40, plan(100.0, 400.0));
     let before_learning = fleet.submit(3, |r| r.time_left_ms = 1900.0);
     for _ in 0..8 {
         fleet.submit(3, |_| {});
     }
     let late_retry = fleet.submit(3, |r| r.time_left_ms = 1900.0);
-    assert!(fleet.rejected.contains(&late_retry) && !fleet.rejected.contains(&before_learning));
+    assert!(
+        fleet.rejected_or_failed.contains(&late_retry)
+            && !fleet.rejected_or_failed.contains(&before_learning)
+    );
     let early_retry = fleet.submit(3, |r| r.time_left_ms = 2700.0);
     fleet.advance(300.0);
-    assert!(!fleet.rejected.contains(&early_retry));
+    assert!(!fleet.rejected_or_failed.contains(&early_retry));
 }
 
 /// Returns the `Retry-After` of a rejected request, in ms.
@@ -95,17 +100,18 @@
     }
 }
 
-/// Guards against clients that are rejected because of overload, get no `Retry-After`, and add to the
-/// overload by retrying at once. A request that lacks time is rejected with the longest `Retry-After` that
-/// clients honour, whether it arrived too late or its time ran out in the queue. If clients honour none,
-/// the rejection has none.
+/// In an overload, requests are rejected because they cannot be answered in the time that they have left.
+/// Guards against clients that get no `Retry-After` then, and add to the overload by retrying at once. Such
+/// a request is rejected with the longest `Retry-After` that clients honour, whether it had too little time
+/// left when it arrived or its time ran out in the queue. If clients honour none, the rejection has none.
 #[test]
-fn overload_rejections_carry_retry_after_where_clients_honour_it() {
+fn rejections_for_lack_of_time_carry_retry_after_if_clients_honour_it() {
     // The request arrives with too little time left.
     let mut gateway = SingleGateway::new(broadcast_settings(Idempotency::Idempotent), 3);
     let submitted = gateway.submit_with(|r| r.time_left_ms = 4.0);
     assert_eq!(retry_after(&submitted.actions, submitted.id), Some(1000.0));
-    // The request is queued until no response can meet the objective of 1 s, long before its 3 s are over.
+    // No endpoint is known. The request is queued until no response can meet the objective of 1 s, long
+    // before its 3 s are over.
     let mut gateway = SingleGateway::new(broadcast_settings(Idempotency::Idempotent), 0);
     let Submitted { id, mut actions } = gateway.submit();
     actions.extend(gateway.advance(1000.0));
@@ -123,6 +129,8 @@
 #[test]
 fn survives_request_fields_out_of_range() {
     let mut settings = broadcast_settings(Idempotency::Idempotent);
+    // Only for a plan with a concurrency limit does the gateway compute its position among the request's
+    // gateways.
     settings.plans = vec![PlanSettings { concurrency_limit: 2, ..plan(0.0, 0.0) }];
     let mut gateway = SingleGateway::new(settings, 4);
     let submitted = gateway.submit_with(|r| (r.first_gateway, r.gateway_count) = (GatewayIndex(99), 0));
--- a/crates/admission/tests/it/broadcast.rs
+++ b/crates/admission/tests/it/broadcast.rs
@@ -12,6 +12,7 @@
     settings.plans = vec![plan(0.001, 40.0)];
     let mut sender = SingleGateway::new(Settings { this_gateway: GatewayIndex(1), ..settings.clone() }, 60);
     let mut receiver = SingleGateway::new(settings, 60);
+    // For its first second a gateway withholds a part of each burst.
     sender.advance(1100.0);
     receiver.advance(1100.0);
     let mut bodies = Vec::new();
@@ -28,12 +29,12 @@
             other => receiver.receive(other),
         }
     }
-    receiver.admitted_at_once()
+    receiver.submit_60_and_count_sent()
 }
 
 /// A peer has sent ten requests of a customer, and its counts arrive complete, with losses, twice, or in
-/// reverse order. Guards against a lost report that lets the customer spend the same ten units again here,
-/// and against a repeated report that takes units which the customer never used. Counts are totals with
+/// reverse order. Guards against a lost message that lets the customer spend the same ten units again here,
+/// and against a repeated message that takes units which the customer never used. Counts are totals with
 /// sequence numbers, so that ten of 40 units are gone in every case.
 #[test]
 fn peer_counts_apply_once_despite_loss_duplication_and_reordering() {
--- a/crates/admission/tests/it/ceiling.rs
+++ b/crates/admission/tests/it/ceiling.rs
@@ -15,7 +15,7 @@
 /// Both gateways of a fleet restart again and again, and each time forget what they have sent. Guards
 /// against a gateway that starts with a full bucket: each restart would let another burst pass, beyond the
 /// hard ceiling. The test counts with a bucket of its own, which no restart refills. It is never overdrawn
-/// by a unit, and the ceiling is still used.
+/// by a whole unit, and more than 15 requests are sent in the 8 s.
 #[test]
 fn ceiling_holds_when_every_gateway_of_a_broadcast_fleet_restarts() {
     // The bucket of the test starts with 8 units and gains 4 per second.
@@ -44,7 +44,7 @@
             for sent in sent_attempts(&actions) {
                 bucket -= 1.0;
                 spent += 1;
-                assert!(bucket > -1.0, "the ceiling is exceeded at {now_ms} ms");
+                assert!(bucket > -1.0, "the ceiling is exceeded by a unit or more at {now_ms} ms");
                 gateways[index].end_attempt(sent, 0, Outcome::Ok, 10.0);
             }
         }
@@ -52,10 +52,10 @@
     assert!(spent > 15, "the ceiling is used: {spent}");
 }
 
-/// One message in seven is lost, one gateway after another restarts, and the complete fleet restarts three
-/// times, so that no gateway remembers what a customer has used. An owner that starts with a full bucket,
-/// or that grants a request twice because its response was lost, would exceed the hard ceiling. In no
-/// period are more requests sent than the ceiling's burst and rate allow.
+/// About one message in seven is lost. Every 400 ms one of six gateways restarts, and the complete fleet
+/// restarts three times, so that no gateway remembers what a customer has used. An owner that starts with a
+/// full bucket, or that grants a request twice because its response was lost, would exceed the hard
+/// ceiling. In no period is more than one request sent beyond what the ceiling's burst and rate allow.
 #[test]
 fn ceiling_holds_in_a_gossip_fleet_with_lost_messages_and_restarts() {
     let limits =
@@ -71,6 +71,7 @@
             }
         }
         if step % 10 == 0 {
+            // As `step` is a multiple of 10, this is one of the gateways 0, 10, 20, 30, 40 and 50.
             fleet.start_gateway(step * 7 % 60);
         }
     }
@@ -78,6 +79,7 @@
     assert!(times.len() > 10, "{}", times.len());
     for (n, start) in times.iter().enumerate() {
         for (m, end) in times.iter().enumerate().skip(n) {
+            // The burst, the rate, and one request more.
             let limit = 12.0 + 4.0 * (end - start) / 1000.0 + 1.0;
             assert!((m - n + 1) as f64 <= limit, "{} from {start} to {end}", m - n + 1);
         }
@@ -85,8 +87,9 @@
 }
 
 /// Gateways may not send each other messages, so that none knows what the others sent. If each allowed the
-/// whole ceiling, twelve gateways would exceed it twelvefold. Each has an even fraction of it, with and
-/// without the quota counter: together they stay below the ceiling at all times, and still use it.
+/// whole ceiling, twelve gateways would exceed it twelvefold. Each has an equal share of it, in isolated mode
+/// and in counter mode: from the start on, together they never send more than the ceiling's burst and rate
+/// allow, and more than 100 requests in 5 s, in which 260 are allowed.
 #[test]
 fn ceiling_holds_without_messages_between_gateways() {
     for counter_allowed in [false, true] {
--- a/crates/admission/tests/it/common/builders.rs
+++ b/crates/admission/tests/it/common/builders.rs
@@ -80,7 +80,8 @@
     (0..count).map(endpoint).collect()
 }
 
-/// Returns a request of one unit by a customer whose requests come through the first gateway only.
+/// Returns a request of one unit by a customer whose requests come through the first gateway only, and with
+/// no mark of a client's retry.
 pub(crate) fn request(id: RequestId, customer: CustomerId) -> Request {
     Request {
         id,
@@ -95,7 +96,8 @@
     }
 }
 
-/// Returns the end of an attempt whose response carries no true units.
+/// Returns the end of an attempt whose response carries no true units. The request is closed if the outcome
+/// is `Ok`, because its client then has the response.
 pub(crate) fn attempt_end(
     request: RequestId,
     attempt: u32,
@@ -131,13 +133,14 @@
     actions.iter().filter_map(sent_attempt).collect()
 }
 
-/// Returns the number of final responses that these actions give a request.
-pub(crate) fn final_response_count(actions: &[Action], id: RequestId) -> usize {
-    let is_final_response = |action: &&Action| match action {
+/// Returns how often these actions reject or fail a request. These are the final responses that a gateway
+/// decides on; the host program passes on a successful response without an action.
+pub(crate) fn rejection_or_failure_count(actions: &[Action], id: RequestId) -> usize {
+    let is_rejection_or_failure = |action: &&Action| match action {
         Action::Reject { request, .. } | Action::Fail { request } => *request == id,
         _ => false,
     };
-    actions.iter().filter(is_final_response).count()
+    actions.iter().filter(is_rejection_or_failure).count()
 }
 
 /// Returns the bodies of the messages to peers among these actions.
--- a/crates/admission/tests/it/common/fleet.rs
+++ b/crates/admission/tests/it/common/fleet.rs
@@ -1,6 +1,10 @@
 //! A simulated fleet: many gateways that exchange messages, and endpoints that respond after 100 ms unless
 //! a test says otherwise. It makes no decisions of its own: it only carries out the actions of the
 //! gateways.
+//!
+//! Not simulated are cancellations, the time-outs that gateways give attempts, and clients that stop waiting:
+//! each attempt ends with its outcome, `TimedOut` after 2000 ms and any other, such as `ConnectFailed`, after
+//! 100 ms.
 use super::builders::*;
 use super::event_queue::EventQueue;
 use super::fleet_counter::FleetCounter;
@@ -16,8 +20,8 @@
 /// Time until a message between gateways arrives, in ms.
 const MESSAGE_DELAY_MS: f64 = 8.0;
 
-/// Time for which the gateways run before a test begins, in ms. A gateway limits bursts for a shorter time
-/// after its start.
+/// Time for which the gateways run before a test begins, in ms. A gateway limits bursts only for a shorter
+/// time after its start.
 const STARTUP_MS: f64 = 1100.0;
 
 /// An attempt that a gateway of the fleet sent.
@@ -55,13 +59,15 @@
     /// All attempts so far, in the order in which they were sent.
     pub(crate) sent: Vec<FleetAttempt>,
     /// Requests that a gateway rejected or failed.
-    pub(crate) rejected: BTreeSet<RequestId>,
+    pub(crate) rejected_or_failed: BTreeSet<RequestId>,
     seed: u64,
     /// Total bytes of all messages between gateways.
     pub(crate) message_bytes: usize,
     /// Receiver of the last message.
     pub(crate) last_message_receiver: Option<usize>,
-    /// One in this many messages is lost; 0 means that none is lost.
+    /// A message is lost if its number is a multiple of this, which is about one in this many; 0 means that
+    /// none is lost. Messages are numbered along with events and requests, so that the exact fraction depends
+    /// on the traffic.
     pub(crate) lose_one_in: u64,
     submitted: BTreeMap<RequestId, SubmittedRequest>,
     /// Outcome of an attempt, by the class and plan of its request and by its endpoint.
@@ -107,7 +113,7 @@
             now_ms: 0.0,
             events: EventQueue::new(),
             sent: Vec::new(),
-            rejected: BTreeSet::new(),
+            rejected_or_failed: BTreeSet::new(),
             seed,
             message_bytes: 0,
             last_message_receiver: None,
@@ -165,7 +171,7 @@
             Action::SendPeerMessage { to, body } => self.send_message(gateway, to, body),
             Action::Send { request, endpoint, .. } => self.start_attempt(gateway, request, endpoint),
             Action::Reject { request, .. } | Action::Fail { request } => {
-                assert!(self.rejected.insert(request), "{request:?} got two final responses");
+                assert!(self.rejected_or_failed.insert(request), "{request:?} rejected or failed twice");
             }
             _ => {}
         }
@@ -173,6 +179,7 @@
 
     fn call_counter(&mut self, gateway: usize, name: u64, amount: f64, ttl_ms: f64) {
         assert!(self.settings.counter_allowed, "the settings allow no counter");
+        // A count lives for at most its epoch of 60 s, and its name has 63 bits.
         assert!(amount.abs() < 1e9 && (1.0..=60_000.0).contains(&ttl_ms) && name < 1 << 63);
         let reply = self.counter.add(self.now_ms, name, amount);
         let event = Event::CounterReply { name, outcome: reply.outcome };
@@ -203,7 +210,8 @@
         self.schedule(took_ms, gateway, Event::AttemptEnded(end));
     }
 
-    /// Submits a request at a gateway after `change` has modified it.
+    /// Submits a request at a gateway after `change` has modified it. Unless `change` says otherwise, the
+    /// customer's requests come through all gateways of the fleet.
     pub(crate) fn submit(&mut self, gateway: usize, change: impl FnOnce(&mut Request)) -> RequestId {
         let id = RequestId(self.events.next_number());
         let mut request =
--- a/crates/admission/tests/it/common/single_gateway.rs
+++ b/crates/admission/tests/it/common/single_gateway.rs
@@ -56,7 +56,8 @@
         self.handle_event(Event::EndpointList { kind: ListUpdateKind::Changes, entries })
     }
 
-    /// Submits a request of the current customer after `change` has modified it.
+    /// Submits a request of the current customer after `change` has modified it. Unless `change` says
+    /// otherwise, the customer's requests come through the first two gateways.
     pub(crate) fn submit_with(&mut self, change: impl FnOnce(&mut Request)) -> Submitted {
         self.last_request += 1;
         let id = RequestId(self.last_request);
@@ -110,7 +111,7 @@
 
     /// Submits 60 requests of one unit by the current customer and returns how many of them are sent at
     /// once.
-    pub(crate) fn admitted_at_once(&mut self) -> usize {
+    pub(crate) fn submit_60_and_count_sent(&mut self) -> usize {
         (0..60).map(|_| self.submit().sent_attempts().len()).sum()
     }
 }
--- a/crates/admission/tests/it/concurrency_limit.rs
+++ b/crates/admission/tests/it/concurrency_limit.rs
@@ -19,10 +19,12 @@
     assert_eq!(sent_attempts(&gateway.end_attempt(sent[0][0], 0, Outcome::Ok, 50.0)).len(), 1);
 }
 
-/// Eight gateways serve a customer with three slots, and each has recent reports of all others. Reports
-/// arrive late. If every gateway sent while the reports show a free slot, all eight could send at once; if
-/// none did, the slots would stay unused. Four gateways may use a slot at any time, a third more than
-/// there are slots, because few gateways are busy at the same time. The others wait.
+/// Eight gateways serve a customer whose plan allows three attempts in flight, its slots, and each has
+/// recent counts messages of all others. These arrive late. If every gateway sent while the messages show a
+/// free slot, all eight could send at once; if none did, the slots would stay unused. The four gateways that
+/// are first in the customer's order may each send one attempt while the messages show a free slot. These
+/// are a third more than there are slots, because few gateways are busy at the same time. The other four
+/// assume one attempt more in flight at each peer than its message says, and wait.
 #[test]
 fn four_of_eight_gateways_may_use_a_slot_if_the_limit_is_three() {
     let mut gateways_with_slot = 0;
@@ -70,10 +72,10 @@
     }
 }
 
-/// If gateways exchange no counts, a customer is known by its whole id. A gateway's position among the
-/// customer's gateways is computed from a sum with the id's low 32 bits, which overflows if all of them
-/// are set. Guards against a sum that does not wrap, which panics in a debug build. The limit of two slots
-/// applies to this customer as to others.
+/// In isolated mode a customer is known by its whole id. A gateway's position among the customer's gateways
+/// is computed from a sum with the id's low 32 bits, which overflows if all of them are set. Guards against a
+/// sum that does not wrap, which panics in a debug build. The limit of two slots applies to this customer as
+/// to others.
 #[test]
 fn limit_holds_for_a_customer_id_whose_low_bits_are_all_set() {
     let limits = PlanSettings { concurrency_limit: 2, ..plan(0.0, 0.0) };
--- a/crates/admission/tests/it/determinism.rs
+++ b/crates/admission/tests/it/determinism.rs
@@ -1,12 +1,13 @@
-//! Equal events lead to equal actions, and no order of events gives a request two final responses.
+//! Equal events lead to equal actions, and in random orders of events no request is rejected or failed twice,
+//! or sent after it was rejected or failed.
 use crate::common::*;
 use irishinge_admission::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A linear congruential generator, so that a seed determines a run.
-struct RandomNumbers(u64);
+/// The state of a linear congruential generator, at first the seed, which determines a run.
+struct LinearCongruentialGenerator(u64);
 
-impl RandomNumbers {
+impl LinearCongruentialGenerator {
     /// Returns a random number from 0 to `limit` - 1.
     fn below(&mut self, limit: u64) -> u64 {
         self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
@@ -34,10 +35,10 @@
 }
 
 /// Sends the gateway a random event and returns its actions: a new request, the end of an attempt, a
-/// change of the endpoint list, a message from a peer, or a timer.
+/// change of the endpoint list, a counts message, or a timer.
 fn random_event(
     gateway: &mut SingleGateway,
-    random: &mut RandomNumbers,
+    random: &mut LinearCongruentialGenerator,
     in_flight: &mut Vec<InFlight>,
 ) -> Vec<Action> {
     match random.below(10) {
@@ -58,6 +59,7 @@
             gateway.update_endpoints(vec![entry])
         }
         8 => gateway.handle_event(Event::PeerMessage {
+            // The gateway itself, its peer, or one of two gateways that the fleet does not have.
             from: GatewayIndex(random.below(4) as usize),
             // A counts message with a random incarnation and sequence number, no attempts in flight and a
             // watermark of 2.
@@ -69,7 +71,7 @@
 
 /// Sends a gateway 6000 random events and returns all its actions.
 fn actions_of_random_events(seed: u64) -> Vec<Action> {
-    let mut random = RandomNumbers(seed);
+    let mut random = LinearCongruentialGenerator(seed);
     let idempotency = Idempotency::IdempotencyKey { group: DedupGroup::Zone, window_ms: 2000.0 };
     let mut gateway = SingleGateway::new(broadcast_settings(idempotency), 6);
     let mut all = Vec::new();
@@ -93,26 +95,30 @@
 /// anything but the events and the seed, such as the order of a hash table, a decision seen in production
 /// could not be reproduced. If some order of events led to two final responses, or to an attempt after the
 /// final response, a client would get two responses or an endpoint would work for nobody. Two runs give
-/// equal actions, each request gets at most one final response, and nothing is sent after it.
+/// equal actions, each request is rejected or failed at most once, and nothing is sent for it afterwards.
+/// Successful responses, which the host program passes on, are not counted.
 #[test]
-fn random_events_give_equal_actions_and_at_most_one_final_response() {
+fn random_events_give_equal_actions_and_one_rejection_or_failure_at_most() {
     for seed in 0..4 {
         let actions = actions_of_random_events(seed);
         assert_eq!(actions, actions_of_random_events(seed));
-        let mut finished = BTreeSet::new();
+        let mut rejected_or_failed = BTreeSet::new();
         for action in &actions {
             match action {
                 Action::Reject { request, .. } | Action::Fail { request } => {
-                    assert!(finished.insert(*request), "{request:?} got two final responses");
+                    assert!(rejected_or_failed.insert(*request), "{request:?} rejected or failed twice");
                 }
                 Action::Send { request, timeout_ms, .. } => {
-                    assert!(!finished.contains(request), "{request:?} sent after its final response");
+                    assert!(
+                        !rejected_or_failed.contains(request),
+                        "{request:?} sent after it was rejected or failed"
+                    );
                     assert!(*timeout_ms > 0.0);
                 }
                 Action::SendPeerMessage { body, .. } => assert!(body.len() <= 256),
                 _ => {}
             }
         }
-        assert!(finished.len() > 100);
+        assert!(rejected_or_failed.len() > 100);
     }
 }
--- a/crates/admission/tests/it/dispatch.rs
+++ b/crates/admission/tests/it/dispatch.rs
@@ -9,18 +9,21 @@
 #[test]
 fn dispatches_by_virtual_finish_time_and_in_order_within_a_customer() {
     let mut gateway = SingleGateway::new(broadcast_settings(Idempotency::Idempotent), 10);
-    let first = sent_attempts(&gateway.submit_as_new_customers(22));
+    // 22 attempts in flight fill the band: two for each of the ten endpoints, and a tenth more.
+    let in_flight = sent_attempts(&gateway.submit_as_new_customers(22));
     gateway.customer = 1000;
-    let heavy: Vec<RequestId> = (0..3).map(|_| gateway.submit().id).collect();
+    let first_customer: Vec<RequestId> = (0..3).map(|_| gateway.submit().id).collect();
     gateway.customer = 2000;
-    let light = gateway.submit_with(|r| r.units = 1.5).id;
+    // The virtual finish times of the first customer's requests are those of 1, 2 and 3 units. With 1.5 units
+    // this request's lies between two of them.
+    let second_customer = gateway.submit_with(|r| r.units = 1.5).id;
     gateway.now_ms += 100.0;
     let mut order = Vec::new();
-    for sent in first {
+    for sent in in_flight {
         let dispatched = sent_attempts(&gateway.end_attempt(sent, 0, Outcome::Ok, 100.0));
         order.extend(dispatched.iter().map(|attempt| attempt.request));
     }
-    assert_eq!(order, vec![heavy[0], light, heavy[1], heavy[2]]);
+    assert_eq!(order, vec![first_customer[0], second_customer, first_customer[1], first_customer[2]]);
 }
 
 /// The band is overfull, and requests of two classes arrive faster than dispatch credit is earned. If both
@@ -47,10 +50,13 @@
         gateway.now_ms = 20.0 * round as f64;
         actions.extend(
             gateway
+                // The senders, 4 to 93, are other gateways than this one, 3.
                 .handle_event(Event::PeerMessage { from: GatewayIndex(4 + round % 90), body: body.clone() }),
         );
         actions.extend(gateway.handle_event(Event::Timer { token: 0 }));
-        // Each class has 5 requests per second; credit for one request is earned every third of a second.
+        // The first 50 rounds only deliver messages with means. Then each class has 5 requests per second.
+        // The band's middle is 4 * 40 / 100 = 1.6 attempts in flight per gateway. While the band is overfull,
+        // a gateway earns 0.3 of that in a mean response time of 150 ms: credit for 3.2 requests per second.
         if round > 50 && round % 5 == 0 {
             let class = round / 5 % 2;
             submitted[class] += 1;
--- a/crates/admission/tests/it/endpoint_list.rs
+++ b/crates/admission/tests/it/endpoint_list.rs
@@ -3,8 +3,7 @@
 use irishinge_admission::*;
 
 /// Of three endpoints one is draining and one is removed. Requests sent to them would be rejected, or lost
-/// when they stop, and an attempt after the drain grace breaks a rule of the specification. All requests
-/// go to the third endpoint.
+/// when they stop; a draining endpoint must be sent no new requests. All attempts go to the third endpoint.
 #[test]
 fn sends_nothing_to_draining_or_removed_endpoints() {
     let mut gateway = SingleGateway::new(broadcast_settings(Idempotency::Idempotent), 3);
@@ -18,8 +17,8 @@
 }
 
 /// A complete list has no entry for two of the known endpoints, because the changes that removed them were
-/// missed. If the list were merged like a list of changes, the two would stay in use for good. All
-/// requests go to the endpoint that the list names.
+/// missed. If the list were merged like a list of changes, the two would stay in use for good. No attempt
+/// goes to another endpoint than the one that the list names.
 #[test]
 fn drops_endpoints_that_a_complete_list_does_not_name() {
     let mut gateway = SingleGateway::new(broadcast_settings(Idempotency::Idempotent), 3);
@@ -30,14 +29,16 @@
 }
 
 /// Discovery has not confirmed the list in time, so any endpoint may be draining or gone. A gateway that
-/// still sends by this list breaks the drain rule. One that keeps requests queued until discovery is back
-/// lets their deadlines pass. One that resumes only with a complete list prolongs the outage, although no
-/// entry need have changed. While the list has expired nothing is sent, and queued requests are rejected
+/// still sends by this list may send new requests to a draining endpoint, which must get none. One that
+/// keeps requests queued until discovery is back lets their deadlines pass. One that resumes only with a
+/// complete list prolongs the outage, although no entry need have changed. While the list has expired
+/// nothing is sent, not even after an update that says that a poll failed, and a queued request is rejected
 /// in time. The next list of changes, even an empty one, makes the known endpoints usable again.
 #[test]
-fn expired_list_stops_sending_until_the_next_update() {
+fn expired_list_stops_sending_until_an_update_other_than_failed() {
     let class =
         ClassSettings { latency_objective_ms: 500.0, deadline_ms: 2000.0, ..class(Idempotency::Idempotent) };
+    // One gateway is in broadcast mode; 300 without messages and without the counter are in isolated mode.
     for gateways in [1, 300] {
         let settings = Settings {
             gateways,
--- a/crates/admission/tests/it/endpoint_selection.rs
+++ b/crates/admission/tests/it/endpoint_selection.rs
@@ -24,7 +24,7 @@
     assert_first_attempts_are_spread(Fleet::new(settings, warm_endpoints(40)));
 }
 
-/// Gateways that may not send each other messages, with and without the quota counter, spread their first
+/// In isolated mode and in counter mode, gateways may not send each other messages. They spread their first
 /// attempts too. They would not even learn from each other that a few endpoints are overloaded.
 #[test]
 fn gateways_without_messages_spread_their_first_attempts() {
@@ -40,7 +40,8 @@
 
 /// The spread of the attempts of 60 gateways in three zones over 30 endpoints in the same zones.
 struct ZoneSpread {
-    /// Fraction of the attempts that stayed in the zone of their gateway.
+    /// Attempts that were sent at once to an endpoint in the zone of their gateway, as a fraction of the
+    /// requests at the gateways of all three zones.
     local_fraction: f64,
     /// Attempts per warm endpoint, by zone.
     per_warm_endpoint: Vec<f64>,
@@ -91,19 +92,25 @@
 /// A gateway of a large fleet that sends to all zones alike seldom finds an open connection to an
 /// endpoint, and has to open new ones. One that sends only to its own zone overloads it when most of the
 /// zone's endpoints are warming up. While all endpoints are warm, more than four fifths of the attempts
-/// are local, and all endpoints get about as many. With eight of ten local endpoints warming up, many
-/// attempts go to other zones, and the two warm local endpoints are not overloaded.
+/// are local, and all endpoints get about as many. While eight of the ten endpoints of one zone are warming
+/// up, less than four fifths of the attempts of all gateways are local, but more than two fifths. Per
+/// endpoint, the zone's warming endpoints get less than 0.4 times and its warm ones less than 1.7 times as
+/// many attempts as the endpoints of another zone.
 #[test]
 fn prefers_the_local_zone_as_far_as_its_endpoints_have_capacity() {
     let spread = zone_spread(0);
     let (local, warm) = (spread.local_fraction, spread.per_warm_endpoint);
     assert!(local > 0.8, "{local} in the local zone while all zones have the same capacity");
     assert!(warm.iter().all(|n| (30.0..75.0).contains(n)), "{warm:?} attempts per endpoint, by zone");
-    // Eight of a zone's ten endpoints have just started: most attempts of its gateways go to other zones.
+    // Eight of the ten endpoints of zone 0 have just started. If the gateways of zone 0 sent everything to
+    // other zones, and the other gateways everything to their own, the fraction would be 2/3.
     let spread = zone_spread(8);
     let (local, warm, warming) =
         (spread.local_fraction, spread.per_warm_endpoint, spread.per_warming_endpoint);
-    assert!(local < 0.8 && local > 0.4, "{local}");
+    assert!(
+        local < 0.8 && local > 0.4,
+        "{local} in the local zone while eight of ten endpoints of one zone warm up"
+    );
     assert!(warming < 0.4 * warm[1], "{warming} per warming endpoint, {warm:?} per warm endpoint by zone");
     assert!(warm[0] < 1.7 * warm[1], "{warm:?} attempts per warm endpoint, by zone");
 }
--- a/crates/admission/tests/it/gossip.rs
+++ b/crates/admission/tests/it/gossip.rs
@@ -22,8 +22,9 @@
 
 /// Every gateway receives messages that are cut short, of another kind, from senders that do not exist,
 /// with impossible values, or repeated. If they were accepted as grants or releases, a customer could
-/// exceed its hard ceiling; if they were decoded without checks, they would end processes. The ceiling of
-/// 12 units holds as before.
+/// exceed its hard ceiling; if they were decoded without checks, they would end processes. The bucket of the
+/// ceiling starts empty and gains far less than a unit during the test. Of 200 requests of one unit at most
+/// 13 are sent, one more than the ceiling's burst of 12.
 #[test]
 fn invalid_and_repeated_messages_do_not_raise_the_ceiling() {
     let limits =
--- a/crates/admission/tests/it/in_flight_band.rs
+++ b/crates/admission/tests/it/in_flight_band.rs
@@ -1,10 +1,10 @@
-//! How many attempts may be in flight: the watermark, the bounds around it, and the attempts that peers
-//! report.
+//! How many attempts may be in flight: the watermark, the bounds around it, and the attempts in flight that
+//! peers' messages state.
 use crate::common::*;
 use irishinge_admission::*;
 
 /// A counts message: version `h`, incarnation 1, sequence number 1, 63 attempts in flight, watermark 2.
-const HIGH_IN_FLIGHT_REPORT: &str = "h001010_0W";
+const HIGH_IN_FLIGHT_COUNTS: &str = "h001010_0W";
 
 /// Sixty requests arrive at once for ten endpoints. If all were sent, they would queue at the endpoints,
 /// where the gateway can neither order nor reject them. It sends two for each endpoint and a tenth more,
@@ -17,34 +17,35 @@
     assert_eq!(sent, 22);
 }
 
-/// A peer reports so many attempts in flight that these alone fill the band. If that stopped this gateway,
-/// a peer with a higher watermark could keep it from sending for good. It still sends its even fraction of
-/// the lower bound.
+/// A peer's counts message states so many attempts in flight that these alone fill the band. If that stopped
+/// this gateway, a peer with a higher watermark could keep it from sending for good. It still sends its equal
+/// share of the lower bound.
 #[test]
-fn sends_its_fraction_of_the_lower_bound_when_a_peer_fills_the_band() {
+fn sends_its_equal_share_of_the_lower_bound_when_a_peer_fills_the_band() {
     let mut gateway = SingleGateway::new(broadcast_settings(Idempotency::Idempotent), 10);
-    gateway.receive(HIGH_IN_FLIGHT_REPORT);
+    gateway.receive(HIGH_IN_FLIGHT_COUNTS);
     let sent = sent_attempts(&gateway.submit_as_new_customers(40)).len();
-    assert_eq!(sent, 9, "its even fraction of the lower bound, 18 / 2");
+    assert_eq!(sent, 9, "its equal share of the lower bound, 18 / 2");
 }
 
-/// A peer reports many attempts in flight and then crashes. If its last report counted for good, these
-/// attempts would take up capacity that nobody uses. Two seconds later the report no longer counts, and
+/// A peer sends a counts message with many attempts in flight and then crashes. If this message counted for
+/// good, these attempts would take up capacity that nobody uses. Two seconds later it no longer counts, and
 /// this gateway sends up to the upper bound by its own attempts in flight.
 #[test]
-fn ignores_attempts_in_flight_of_an_unresponsive_peer() {
+fn ignores_attempts_in_flight_of_a_crashed_peer() {
     let mut gateway = SingleGateway::new(broadcast_settings(Idempotency::Idempotent), 10);
-    gateway.receive(HIGH_IN_FLIGHT_REPORT);
+    gateway.receive(HIGH_IN_FLIGHT_COUNTS);
     gateway.now_ms += 2100.0;
     assert_eq!(sent_attempts(&gateway.submit_as_new_customers(60)).len(), 22);
 }
 
 /// In gossip mode attempts are placed at random, so that some endpoints have more than the mean, and the
-/// watermark starts higher than in broadcast mode. Peers report three attempts in flight for each
-/// endpoint, fast responses and a watermark of 2. If the gateway adopted that watermark, its requests
-/// would wait while endpoints have capacity. It sends at least four of five within 300 ms.
+/// watermark starts at 4 and never falls below, instead of 2 as in broadcast mode. Peers' messages carry
+/// means over the fleet: a watermark of 2, fast responses, and 1.2 attempts in flight per gateway, which are
+/// three for each endpoint. If the gateway adopted that watermark, its requests would wait while endpoints
+/// have capacity. It sends at least four of five requests within 300 ms.
 #[test]
-fn gossip_gateway_ignores_peer_watermarks_below_its_own_floor() {
+fn gossip_gateway_sends_despite_peer_watermarks_below_its_own_floor() {
     let settings = Settings { this_gateway: GatewayIndex(3), ..fleet_settings(100, plan(100.0, 400.0)) };
     let mut gateway = SingleGateway::new_without_endpoints(settings, SEED, 0.0);
     let entries = warm_endpoints(40);
@@ -66,6 +67,7 @@
         sent += sent_attempts(&actions).len();
         actions.clear();
         gateway.now_ms += 20.0;
+        // The five requests came in round 50, 300 ms ago; the rounds after this one check nothing.
         if round == 65 {
             assert!(sent >= 4, "{sent} of 5 sent within 300 ms");
         }
--- a/crates/admission/tests/it/limits.rs
+++ b/crates/admission/tests/it/limits.rs
@@ -7,9 +7,9 @@
 /// Number of customers above which idle customers are evicted early.
 const MAX_CUSTOMERS: u64 = 50_000;
 
-/// Returns whether a request got its final response when it was submitted.
+/// Returns whether a request was rejected, or failed, when it was submitted.
 fn is_rejected(submitted: &Submitted) -> bool {
-    final_response_count(&submitted.actions, submitted.id) == 1
+    rejection_or_failure_count(&submitted.actions, submitted.id) == 1
 }
 
 /// Submits requests of different customers to a gateway that knows no endpoint, and asserts that it
@@ -41,8 +41,8 @@
 }
 
 /// Returns whether the first of this many customers has a full bucket again after all have been idle for 3
-/// s. The gateway has neither messages nor the counter and enforces each customer's quota alone. The quota
-/// is one request, and its bucket takes 1000 s to refill.
+/// s. In isolated mode the gateway enforces each customer's quota alone. The quota is one request, and its
+/// bucket takes 1000 s to refill.
 fn evicts_first_customer_of(customers: u64) -> bool {
     let settings = Settings { peer_messages_allowed: false, ..fleet_settings(2, plan(0.001, 1.0)) };
     let mut gateway = SingleGateway::new_without_endpoints(settings, SEED, 0.0);
--- a/crates/admission/tests/it/outlier_detection.rs
+++ b/crates/admission/tests/it/outlier_detection.rs
@@ -3,10 +3,10 @@
 use crate::common::*;
 use irishinge_admission::*;
 
-/// An endpoint that has not responded for 3 s refuses a connection. If it stayed in the selection, it
-/// would get its usual fraction of the requests, and each of them would need a retry. If it were left out
-/// for good, it would not be used again after its recovery. It is ejected, and after its backoff it gets
-/// one request at a time until it responds.
+/// An endpoint that has not responded for 3 s, because it got no request, refuses a connection. If it stayed
+/// in the selection, it would get its usual fraction of the requests, and each of them would need a retry.
+/// If it were left out for good, it would not be used again after its recovery. It is ejected, and after its
+/// backoff it gets one request at a time until it responds.
 #[test]
 fn ejected_endpoint_gets_one_request_at_a_time_after_its_backoff() {
     let mut gateway = SingleGateway::new(broadcast_settings(Idempotency::Idempotent), 4);
@@ -25,18 +25,18 @@
 
 /// A connection may break for reasons of its own, also at a healthy endpoint. If one break ejected the
 /// endpoint and hedged everything in flight there, that would cost far more work than the break did. After
-/// one or three breaks an endpoint that has just responded is still used; after twelve in a row it is
-/// ejected.
+/// one or three breaks an endpoint that has just responded is still used. It is ejected after at most twelve
+/// in a row: the loop ends as soon as an attempt goes to the other endpoint.
 #[test]
-fn responsive_endpoint_is_ejected_for_twelve_broken_connections_not_three() {
-    for (broken, ejected) in [(1, false), (3, false), (12, true)] {
+fn endpoint_is_ejected_after_more_than_three_and_at_most_twelve_breaks() {
+    for (max_breaks, ejected) in [(1, false), (3, false), (12, true)] {
         let mut gateway = SingleGateway::new(broadcast_settings(Idempotency::NonIdempotent), 2);
         gateway.advance(3000.0);
         let first = gateway.submit().sent_attempts()[0];
         gateway.end_attempt(first, 0, Outcome::Ok, 50.0);
         let is_at_first_endpoint = |sent: &&SentAttempt| sent.endpoint == first.endpoint;
         let mut breaks = 0;
-        while breaks < broken {
+        while breaks < max_breaks {
             let Some(sent) = sent_attempts(&gateway.submit_as_new_customers(1)).pop() else { break };
             if !is_at_first_endpoint(&&sent) && ejected {
                 break;
@@ -51,7 +51,7 @@
         assert_eq!(
             later_attempts == 0,
             ejected,
-            "{later_attempts} attempts after {broken} broken connections"
+            "{later_attempts} attempts after {breaks} of at most {max_breaks} breaks"
         );
     }
 }
@@ -75,16 +75,16 @@
 
 /// Returns the fraction of these attempts that went to the first 16 endpoints.
 fn fraction_for_first_16<'a>(attempts: impl Iterator<Item = &'a FleetAttempt>) -> f64 {
-    let (failing, all) = attempts.fold((0.0, 0.0), |(failing, all), sent| {
-        (failing + f64::from(u8::from(sent.endpoint.0 < 16)), all + 1.0)
+    let (at_first_16, all) = attempts.fold((0.0, 0.0), |(at_first_16, all), sent| {
+        (at_first_16 + f64::from(u8::from(sent.endpoint.0 < 16)), all + 1.0)
     });
-    failing / all
+    at_first_16 / all
 }
 
 /// 16 of 40 endpoints reject the requests of one plan as overloaded and serve those of the other. If they
 /// were ejected for both, the plan that they serve would lose them; if they were not ejected, they would
-/// get requests of the first plan in vain. They get few requests of the first plan, and their usual
-/// fraction of the other's.
+/// get requests of the first plan in vain. They get less than 0.3 of the first plan's attempts and more than
+/// 0.3 of the other's.
 #[test]
 fn ejects_endpoints_overloaded_for_one_plan_only_for_that_plan() {
     let mut fleet = gossip_fleet(60, plan(1000.0, 4000.0));
@@ -98,11 +98,12 @@
     }
     let fraction =
         |plan: usize| fraction_for_first_16(fleet.sent.iter().filter(|s| s.plan == plan && s.at_ms > 4000.0));
+    // The fraction is 16 / 40 = 0.4 if no endpoint is ejected.
     assert!(fraction(0) < 0.3 && fraction(1) > 0.3, "{} {}", fraction(0), fraction(1));
 }
 
 /// 16 of 40 endpoints let the requests of one class time out. They are ejected for this class as for a
-/// plan: they get few of its requests, and their usual fraction of those of the other class.
+/// plan: they get less than 0.3 of its attempts, and more than 0.3 of those of the other class.
 #[test]
 fn ejects_endpoints_that_fail_one_class_only_for_that_class() {
     let mut fleet = gossip_fleet(60, plan(1000.0, 4000.0));
@@ -117,6 +118,7 @@
     let fraction = |class: usize| {
         fraction_for_first_16(fleet.sent.iter().filter(|s| s.class == class && s.at_ms > 4500.0))
     };
+    // The fraction is 16 / 40 = 0.4 if no endpoint is ejected.
     assert!(fraction(0) < 0.3 && fraction(1) > 0.3, "{} {}", fraction(0), fraction(1));
 }
 
@@ -161,21 +163,22 @@
 fn avoids_a_failed_zone_and_returns_to_it_once_it_recovers() {
     let in_zones = |id| EndpointEntry { zone: ZoneIndex((id % 3) as usize), ..endpoint(id) };
     let mut fleet = Fleet::new(fleet_settings(100, plan(50.0, 400.0)), (0..6).map(in_zones).collect());
-    // All gateways are in zone 0. Returns the fraction of the attempts that go to this zone.
-    let local_fraction = |fleet: &mut Fleet, steps: usize| {
+    // Lets the fleet run for 2 ms per step, with one request in each. Returns the fraction of the attempts
+    // that went to zone 0, in which all gateways are.
+    let run_and_get_local_fraction = |fleet: &mut Fleet, steps: usize| {
         let before = fleet.sent.len();
         submit_through_three_gateways_each(fleet, steps);
         let sent = &fleet.sent[before..];
         sent.iter().filter(|s| s.endpoint.0 % 3 == 0).count() as f64 / sent.len() as f64
     };
-    local_fraction(&mut fleet, 1500);
-    let healthy = local_fraction(&mut fleet, 400);
+    run_and_get_local_fraction(&mut fleet, 1500);
+    let healthy = run_and_get_local_fraction(&mut fleet, 400);
     fleet.outcome = |_, _, s| if s.0 % 3 == 0 { Outcome::ConnectFailed } else { Outcome::Ok };
-    local_fraction(&mut fleet, 4000);
-    let failed = local_fraction(&mut fleet, 1000);
+    run_and_get_local_fraction(&mut fleet, 4000);
+    let failed = run_and_get_local_fraction(&mut fleet, 1000);
     fleet.outcome = |_, _, _| Outcome::Ok;
-    local_fraction(&mut fleet, 4000);
-    let recovered = local_fraction(&mut fleet, 1000);
+    run_and_get_local_fraction(&mut fleet, 4000);
+    let recovered = run_and_get_local_fraction(&mut fleet, 1000);
     assert!(healthy > 0.8, "{healthy} before the failure");
     assert!(failed < 0.25 && failed > 0.0, "{failed} during the failure: fewer, but never none");
     assert!(recovered > 0.6, "{recovered} after the recovery");
--- a/crates/admission/tests/it/quota.rs
+++ b/crates/admission/tests/it/quota.rs
@@ -11,6 +11,7 @@
     let mut settings = broadcast_settings(Idempotency::Idempotent);
     settings.plans = vec![plan(2.0, 4.0)];
     let mut gateway = SingleGateway::new(settings, 10);
+    // For its first second a gateway withholds a part of each burst.
     gateway.advance(1100.0);
     for _ in 0..4 {
         assert_eq!(gateway.submit().sent_attempts().len(), 1);
@@ -29,6 +30,7 @@
     let pays_over_quota = PlanSettings { over_quota_value: 0.3, over_quota_cost: 0.0, ..plan(0.001, 2.0) };
     settings.plans = vec![pays_over_quota, plan(10.0, 40.0)];
     let mut gateway = SingleGateway::new(settings, 10);
+    // For its first second a gateway withholds a part of each burst.
     gateway.advance(1100.0);
     let sent: usize = (0..5).map(|_| gateway.submit().sent_attempts().len()).sum();
     assert_eq!(sent, 5, "three of them over the quota");
@@ -50,6 +52,7 @@
         let mut settings = broadcast_settings(Idempotency::Idempotent);
         settings.plans = vec![plan(0.001, 10.0)];
         let mut gateway = SingleGateway::new(settings, 10);
+        // For its first second a gateway withholds a part of each burst.
         gateway.advance(1100.0);
         let submitted = gateway.submit_with(|r| r.units = 2.0);
         let endpoint = submitted.sent_attempts()[0].endpoint;
@@ -57,6 +60,6 @@
             true_units: Some(true_units),
             ..attempt_end(submitted.id, 0, endpoint, Outcome::Ok, 50.0)
         }));
-        assert_eq!(gateway.admitted_at_once(), left);
+        assert_eq!(gateway.submit_60_and_count_sent(), left);
     }
 }
--- a/crates/admission/tests/it/quota_counter.rs
+++ b/crates/admission/tests/it/quota_counter.rs
@@ -1,11 +1,16 @@
 //! Quotas in counter mode, in which gateways may not send each other messages and count at a shared
 //! counter.
+//!
+//! A count is the total of the units that gateways added for a customer since its epoch began. The customer's
+//! tokens are the burst and what the rate has added in the epoch, minus the total. While a customer is idle
+//! its total stays, so that its tokens rise beyond the burst: the count lags. The gateway that sees a lagging
+//! count adds the excess tokens to the total, which is called a catch-up.
 use crate::common::*;
 use irishinge_admission::*;
 
 /// Requests of one customer arrive at 120 gateways at five times its rate, and the gateways may not send
 /// each other messages. If each applied the quota to its own requests alone, all would be sent. Counted at
-/// the shared counter, no more are sent than the rate and one burst allow, and the units by which the
+/// the shared counter, at most 51 are sent: what the rate and one burst allow, and the units by which the
 /// count may lag.
 #[test]
 fn counter_holds_the_quota_across_a_fleet() {
@@ -20,10 +25,11 @@
     assert!((40..=51).contains(&sent), "{sent}");
 }
 
-/// A customer returns after a while, at thirty gateways within 100 ms. Without a catch-up its count would
-/// have saved what the rate added in all that time, and the customer would have many bursts. If two
-/// gateways that catch up the count at once both left their units in it, the count would run ahead and the
-/// customer would be rejected. The customer has one burst, and its rate afterwards.
+/// A customer returns after a while, at thirty gateways within 100 ms. Without a catch-up of its count, its
+/// tokens would include what the rate added in all that time, and the customer would have many bursts. If two
+/// gateways caught up the count at the same time and both left their units in the total, the total would be
+/// too high and the customer's requests would be rejected. The customer has about one burst, and about its
+/// rate afterwards.
 #[test]
 fn idle_customer_has_one_burst_at_thirty_gateways() {
     let mut fleet = counter_fleet(120, plan(2.0, 8.0));
@@ -65,7 +71,7 @@
     // One request of 2 units every 4 s is sent, below the rate of 2 per second. The others' units are
     // given back.
     assert_eq!(fleet.sent_for(CUSTOMER), 10);
-    assert!(fleet.rejected.is_empty(), "{:?}", fleet.rejected);
+    assert!(fleet.rejected_or_failed.is_empty(), "{:?}", fleet.rejected_or_failed);
 }
 
 /// The counter fails: it rejects all calls, or does not reply. If requests were rejected until it is back,
@@ -98,14 +104,14 @@
     }
 }
 
-/// A slow counter still works through calls that nobody waits for any more. If it were called for all
-/// requests of all gateways, it would reply to no call in time, and no quota would be enforced. The
-/// gateways call it for a fraction of the requests, and each call also adds the units of the requests that
-/// it represents. There are fewer calls than requests, and the customer over its quota is still sent less
-/// than it requests. What a few gateways send for one customer depends on chance, so the mean of twelve
-/// fleets is bounded too.
+/// An overloaded counter replies to few calls and still works through those that nobody waits for any more.
+/// If it were called for all requests of all gateways, it would reply to no call in time, and no quota would
+/// be enforced. The gateways call it for a fraction of the requests, and each call also adds the units of the
+/// requests that it represents. There are fewer calls than requests, and for the customer over its quota
+/// fewer requests are sent than arrive. What a few gateways send for one customer depends on chance, so the
+/// mean of twelve fleets is bounded too.
 #[test]
-fn samples_fewer_requests_at_a_slow_counter_and_still_holds_the_quota() {
+fn samples_fewer_requests_at_an_overloaded_counter_and_still_limits_use() {
     let mut total_sent = 0;
     for seed in 0..12 {
         let mut fleet = counter_fleet_with_seed(20, plan(10.0, 20.0), seed);
@@ -119,10 +125,11 @@
             (fleet.counter.calls - calls, fleet.sent_for(CUSTOMER) - sent)
         };
         let (calls, _) = count_calls_and_attempts(&mut fleet, 200);
+        // While the counter replies to all calls, it is called for every request whose customer is not
+        // certainly over its quota, and again to correct the count of a rejected request. The 200 requests
+        // of other customers are one for each, so that each needs a call.
         assert!(calls > 200, "{calls}");
-        // While the counter replies to all calls, every request is counted, and as many calls again
-        // correct the counts for rejected requests. From here on it replies only to the first three calls
-        // of each 100 ms.
+        // From here on the counter replies only to the first three calls of each 100 ms.
         fleet.counter.behaviour =
             |call| if call <= 3 { CounterBehaviour::Replies } else { CounterBehaviour::Silent };
         count_calls_and_attempts(&mut fleet, 400);
@@ -131,8 +138,8 @@
         assert!((150..=360).contains(&sent), "{sent}");
         total_sent += sent;
     }
-    // 20 s at 20 requests per second against a rate of 10; without the counter all 400 would have been
-    // sent.
+    // 20 s at 20 requests per second against a rate of 10, which allows 200; without the counter all 400
+    // would have been sent.
     let mean = total_sent as f64 / 12.0;
     println!("{mean:.1} attempts on average");
     assert!(mean < 310.0, "{mean}");
@@ -176,14 +183,14 @@
 }
 
 /// Lets a gateway catch up a count that lags, while other gateways add `other_gateways_fraction` of the
-/// same units to it. Returns the amounts of the calls that follow, as fractions of the catch-up.
+/// catch-up's units to it. Returns the amounts of the calls that follow, as fractions of the catch-up.
 fn calls_after_concurrent_catch_up(other_gateways_fraction: f64) -> Vec<f64> {
     let mut counting = CountingGateway::new(plan(2.0, 8.0));
     counting.gateway.now_ms = 45_000.0;
     let first = counter_calls(&counting.gateway.submit().actions);
     assert_eq!(first.iter().map(|call| call.amount).collect::<Vec<_>>(), [1.0]);
     let catch_up_calls = counter_calls(&counting.reply(first[0], CounterOutcome::Total(1.0)));
-    assert_eq!(catch_up_calls.len(), 1, "the count lags far behind the rate");
+    assert_eq!(catch_up_calls.len(), 1, "the customer's tokens exceed the burst by far");
     let catch_up_units = catch_up_calls[0].amount;
     assert!(catch_up_units > 8.0, "more than a burst: {catch_up_units}");
     let total = 1.0 + catch_up_units + other_gateways_fraction * catch_up_units;
@@ -191,10 +198,10 @@
     following.iter().map(|call| call.amount / catch_up_units).collect()
 }
 
-/// Two gateways that see a count lag at the same time both catch it up. If neither took its units back,
-/// the count would run ahead of the rate, and the customer would be rejected until the rate has made up
-/// for it. What other gateways add for requests meanwhile is far less than a catch-up, so half a catch-up
-/// tells the two cases apart.
+/// Two gateways that see a count lag at the same time both catch it up. If neither took its units back, the
+/// total would be too high, and the customer's requests would be rejected until the rate has made up for it.
+/// What other gateways add for requests meanwhile is far less than a catch-up, so half a catch-up tells the
+/// two cases apart: a gateway takes its units back if the others added more than that.
 #[test]
 fn catch_up_is_reverted_if_another_gateway_made_it_too() {
     for other_gateways_fraction in [0.0, 0.45, 0.49] {
--- a/crates/admission/tests/it/quota_owner.rs
+++ b/crates/admission/tests/it/quota_owner.rs
@@ -46,11 +46,11 @@
     assert!((15..=30).contains(&after), "{after}");
 }
 
-/// Of 2^13 customers of one plan some pairs have the same 24-bit tag. If the tag were the key of a
-/// customer's record, the second customer of a pair would be rejected for what the first has sent. Each
-/// customer has its own burst.
+/// Of 2^13 customers of one plan some pairs have the same short tag, of 24 bits. In broadcast mode the short
+/// tag is the key of a customer's record. If it were in gossip mode too, the second customer of a pair would
+/// be rejected for what the first has sent. Each customer has its own burst.
 #[test]
-fn customers_whose_tags_collide_have_separate_buckets() {
+fn customers_with_the_same_short_tag_have_separate_buckets() {
     let mut fleet = gossip_fleet(40, plan(0.001, 1.0));
     for n in 0..8192u64 {
         // The odd factor spreads the ids over all 64 bits, without repetition.
@@ -81,13 +81,15 @@
         fleet.advance(10.0);
     }
     fleet.advance(1000.0);
-    let served = others.iter().filter(|id| !fleet.rejected.contains(id)).count();
+    // A request that is still queued after its latency objective of 1 s is rejected, so that the others have
+    // been sent.
+    let served = others.iter().filter(|id| !fleet.rejected_or_failed.contains(id)).count();
     assert!(served * 10 >= others.len() * 9, "{served} of {}", others.len());
 }
 
-/// A customer's requests came through the same five gateways, and now come through twenty others. If the
-/// quota were divided by past use, the others would reject requests within the quota until they have
-/// learned of it. All 16 requests are sent.
+/// A customer's requests may come through any of 100 gateways. Until now they came through the same five, and
+/// now sixteen others get one request each. If the quota were divided by past use, the others would reject
+/// requests within the quota until they have learned of it. All 16 requests are sent.
 #[test]
 fn customer_is_served_at_once_by_gateways_new_to_it() {
     let mut fleet = gossip_fleet(100, plan(10.0, 20.0));
@@ -140,6 +142,6 @@
         fleet.advance(20.0);
     }
     fleet.advance(1000.0);
-    let rejected = own.iter().filter(|id| fleet.rejected.contains(id)).count();
+    let rejected = own.iter().filter(|id| fleet.rejected_or_failed.contains(id)).count();
     assert!(rejected <= 2, "{rejected} of {} rejected", own.len());
 }
--- a/crates/admission/tests/it/retry.rs
+++ b/crates/admission/tests/it/retry.rs
@@ -13,7 +13,7 @@
     gateway.now_ms += 10.0;
     let after = gateway.end_attempt(sent, 0, Outcome::ConnectFailed, 10.0);
     assert!(sent_attempts(&after).is_empty());
-    assert_eq!(final_response_count(&after, submitted.id), 0);
+    assert_eq!(rejection_or_failure_count(&after, submitted.id), 0);
 }
 
 /// A connection breaks while a request that must not run twice is in flight, so that it may have run. A
@@ -104,11 +104,11 @@
     assert!(stalled.iter().any(|a| matches!(a, Action::Cancel { .. })), "a stalled attempt is cancelled");
 }
 
-/// One of six endpoints stops responding while it has an attempt. Without a hedged attempt the client
+/// One of six endpoints becomes unresponsive while it has an attempt. Without a hedged attempt the client
 /// would wait for the time-out, long past the latency objective. The request is sent to another endpoint
 /// as well.
 #[test]
-fn hedges_an_attempt_stalled_on_a_silent_endpoint() {
+fn hedges_an_attempt_stalled_at_an_unresponsive_endpoint() {
     let mut gateway = SingleGateway::new(broadcast_settings(Idempotency::Idempotent), 6);
     let sent = sent_attempts(&gateway.submit_as_new_customers(6));
     gateway.now_ms += 100.0;
--- a/crates/admission/tests/it/settings_validation.rs
+++ b/crates/admission/tests/it/settings_validation.rs
@@ -4,7 +4,8 @@
 
 /// Settings have no class or no plan, a gateway index outside the fleet, or a value that is negative or
 /// not a number. A gateway that started with them would fail at its first request, or make wrong decisions
-/// without any sign of it. It does not start, and the error names what is wrong.
+/// without any sign of it. It does not start, and the error says what is missing or names the setting that
+/// is out of range. Of the values, `tick_ms` and `rate_per_second` are tested.
 #[test]
 fn invalid_settings_are_rejected_with_a_typed_error() {
     let error_of = |change: fn(&mut Settings)| {
--- a/crates/admission/tests/it/slow_start.rs
+++ b/crates/admission/tests/it/slow_start.rs
@@ -1,4 +1,5 @@
-//! Endpoints that are warming up are sent no more than they have capacity for.
+//! Endpoints that are warming up are not overloaded. An endpoint is overloaded if it is sent more than the
+//! overload multiple of the capacity that it has at the time.
 use crate::common::*;
 use irishinge_admission::*;
 
@@ -24,9 +25,10 @@
             times.extend(sent_attempts(&again).iter().map(|_| gateway.now_ms));
         }
     }
-    // A response is taken to need 150 ms, so that a warm endpoint of one core handles 1000 / 150 attempts
-    // per second. In its first two seconds this endpoint has at most 0.36 of that, and this gateway's
-    // fraction of the overload multiple is one half.
+    // A response is taken to need 150 ms, so that a warm endpoint of one core handles 1000 / 150 = 6.67
+    // attempts per second. This endpoint has at most 0.28 of that in its first second, and 0.36 in its
+    // first two. The overload multiple is 2, and this gateway's equal share of it one half. In the first
+    // second that allows 6.67 * 0.28 * 2 / 2 = 1.9 attempts.
     let early = times.iter().filter(|t| **t < 1000.0).count();
     assert!(early <= 3, "{early} attempts in the first second");
     assert!(times.len() > 5, "the endpoint is used as it warms up: {}", times.len());
@@ -58,10 +60,10 @@
 
 /// Two endpoints of forty have just started, and 500 gateways each send little, without knowing what the
 /// others send. If each sent a warming endpoint a little more than its fraction, all together would
-/// overload it. In no second is it sent more than its budget allows, nor more than a warm endpoint, and it
-/// is used.
+/// overload it. In no second is it sent more than the overload multiple of its present capacity, nor more
+/// than a warm endpoint gets on average, and it is used.
 #[test]
-fn five_hundred_gateways_together_keep_to_the_budget_of_warming_endpoints() {
+fn five_hundred_gateways_together_do_not_overload_warming_endpoints() {
     let mut entries = warm_endpoints(38);
     entries.extend([38, 39].map(|id| EndpointEntry { started_at_ms: Some(0.0), ..endpoint(id) }));
     let mut fleet = Fleet::new(fleet_settings(500, plan(100.0, 400.0)), entries);
@@ -82,7 +84,7 @@
             let capacity = 0.2 + 0.8 * start / 10_000.0;
             let window = times.iter().filter(|t| **t >= *start && **t < start + 1000.0).count() as f64;
             // An attempt takes 100 ms, and four at once are taken as an endpoint's capacity: 40 per
-            // second. The budget is twice the present capacity.
+            // second. The overload multiple is 2.
             assert!(window <= 2.0 * 40.0 * capacity, "{window} at {start}");
             assert!(window <= 10.0, "more than a warm endpoint gets: {window}");
         }
--- a/crates/admission/tests/it/slow_start_fleet/measurements.rs
+++ b/crates/admission/tests/it/slow_start_fleet/measurements.rs
@@ -1,6 +1,9 @@
 //! Measurements of simulated runs: the fullest window of a warming endpoint, and how much warming
 //! endpoints are used.
-use super::simulation::{Simulation, JOIN_MS, WARM_UP_MS};
+//!
+//! A warming endpoint is overloaded if it is sent more than the overload multiple of its present capacity in
+//! an overload window. The limit of a window is this overload threshold and a margin for chance.
+use super::simulation::{Simulation, FIRST_START_MS, WARM_UP_MS};
 
 /// Attempts as fractions of the capacity that endpoints have at the time, summed over the runs.
 #[derive(Debug, Default, Clone, Copy)]
@@ -89,8 +92,8 @@
 }
 
 /// Returns the most attempts that a warming endpoint was sent in any window, as a fraction of the limit.
-/// The limit is the budget and what chance may add to it: twice the budget's square root, as the standard
-/// deviation of a Poisson count, and two attempts.
+/// The limit is the overload threshold and what chance may add to it: twice the threshold's square root, as
+/// the standard deviation of a Poisson count, and two attempts.
 fn fullest_window_fraction(simulation: &Simulation) -> f64 {
     let mut fullest_window = 0.0f64;
     let window_ms = simulation.settings.overload_window_ms;
@@ -103,8 +106,9 @@
                 last += 1;
             }
             let capacity = endpoint.capacity * simulation.capacity_fraction(n, *at);
-            let budget = simulation.settings.overload_multiple * capacity * window_ms / 1000.0;
-            fullest_window = fullest_window.max((last - first) as f64 / (budget + 2.0 * budget.sqrt() + 2.0));
+            let threshold = simulation.settings.overload_multiple * capacity * window_ms / 1000.0;
+            fullest_window =
+                fullest_window.max((last - first) as f64 / (threshold + 2.0 * threshold.sqrt() + 2.0));
         }
     }
     fullest_window
@@ -122,7 +126,7 @@
 fn utilization(simulation: &Simulation, from: f64, to: f64) -> Utilization {
     let (mut warming, mut warm) = (SentAndCapacity::default(), SentAndCapacity::default());
     for (n, endpoint) in simulation.endpoints.iter().enumerate() {
-        let start = endpoint.started_at_ms.unwrap_or(JOIN_MS + 250.0);
+        let start = endpoint.started_at_ms.unwrap_or(FIRST_START_MS + 250.0);
         let (from_ms, to_ms) = (start + from * WARM_UP_MS, start + to * WARM_UP_MS);
         let mid_ms = (from_ms + to_ms) / 2.0;
         let group = if endpoint.started_at_ms.is_some() { &mut warming } else { &mut warm };
--- a/crates/admission/tests/it/slow_start_fleet/random.rs
+++ b/crates/admission/tests/it/slow_start_fleet/random.rs
@@ -1,9 +1,9 @@
 //! Seeded random numbers.
 
 /// The state of a splitmix64 generator, at first the seed.
-pub(super) struct RandomNumbers(pub(super) u64);
+pub(super) struct SplitMix64(pub(super) u64);
 
-impl RandomNumbers {
+impl SplitMix64 {
     /// Returns a number of at least 0 and below 1.
     pub(super) fn fraction(&mut self) -> f64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
--- a/crates/admission/tests/it/slow_start_fleet/simulation.rs
+++ b/crates/admission/tests/it/slow_start_fleet/simulation.rs
@@ -1,5 +1,5 @@
 //! The simulation of one run: a fleet with its endpoints and clients.
-use super::random::RandomNumbers;
+use super::random::SplitMix64;
 use crate::common::*;
 use irishinge_admission::*;
 use std::collections::{BTreeMap, VecDeque};
@@ -16,10 +16,10 @@
 
 /// Time at which the first warming endpoint may start, in ms. Until then gateways learn what warm
 /// endpoints can do.
-pub(super) const JOIN_MS: f64 = 1000.0;
+pub(super) const FIRST_START_MS: f64 = 1000.0;
 
 /// Time within which all warming endpoints start, in ms.
-const JOIN_SPAN_MS: f64 = 500.0;
+const START_SPAN_MS: f64 = 500.0;
 
 /// Latency objective of the class, in ms.
 const LATENCY_OBJECTIVE_MS: f64 = 800.0;
@@ -104,7 +104,7 @@
 pub(super) struct Simulation {
     scenario: Scenario,
     pub(super) settings: Settings,
-    random: RandomNumbers,
+    random: SplitMix64,
     gateways: Vec<Gateway>,
     pub(super) endpoints: Vec<SimulatedEndpoint>,
     now_ms: f64,
@@ -117,7 +117,7 @@
 }
 
 /// Returns settings whose overload limits and initial capacity are random.
-fn random_settings(gateways: usize, random: &mut RandomNumbers) -> Settings {
+fn random_settings(gateways: usize, random: &mut SplitMix64) -> Settings {
     let (overload_multiple, overload_window_ms) =
         random.one_of(&[(2.0, 2000.0), (4.0, 1500.0), (2.0, 1000.0)]);
     let class = ClassSettings {
@@ -139,10 +139,11 @@
 }
 
 /// Returns endpoints with random cores and capacity; the first ones warm up, from random times.
-fn random_endpoints(scenario: Scenario, random: &mut RandomNumbers) -> Vec<SimulatedEndpoint> {
+fn random_endpoints(scenario: Scenario, random: &mut SplitMix64) -> Vec<SimulatedEndpoint> {
     let cores = random.one_of(&[1, 1, 2]);
     let endpoints = (0..scenario.endpoints).map(|n| SimulatedEndpoint {
-        started_at_ms: (n < scenario.warming).then(|| random.between(JOIN_MS, JOIN_MS + JOIN_SPAN_MS)),
+        started_at_ms: (n < scenario.warming)
+            .then(|| random.between(FIRST_START_MS, FIRST_START_MS + START_SPAN_MS)),
         cores,
         // An attempt takes a core 160 ms on average, and machines differ a little.
         capacity: 6.25 * cores as f64 * random.between(0.85, 1.15),
@@ -156,7 +157,7 @@
 impl Simulation {
     /// Creates the fleet of a scenario; the seed determines every random value.
     pub(super) fn new(scenario: Scenario, seed: u64) -> Self {
-        let mut random = RandomNumbers(seed);
+        let mut random = SplitMix64(seed);
         let settings = random_settings(scenario.gateways, &mut random);
         let endpoints = random_endpoints(scenario, &mut random);
         let gateways = (0..scenario.gateways)
@@ -227,11 +228,11 @@
     /// Returns the present rate of requests as a fraction of the highest. Before the warming endpoints
     /// start, the load is reduced to that of the other endpoints.
     fn request_rate_fraction(&self) -> f64 {
-        let has_joined = |e: &&SimulatedEndpoint| e.started_at_ms.is_none_or(|s| s <= self.now_ms);
-        let joined = self.endpoints.iter().filter(has_joined).count();
+        let has_started = |e: &&SimulatedEndpoint| e.started_at_ms.is_none_or(|s| s <= self.now_ms);
+        let started = self.endpoints.iter().filter(has_started).count();
         let low = self.scenario.traffic == Traffic::Waves && (self.now_ms / WAVE_MS) as u64 % 2 == 0;
         let wave = if low { (2.0 - WAVE_PEAK) / WAVE_PEAK } else { 1.0 };
-        joined as f64 / self.scenario.endpoints as f64 * wave
+        started as f64 / self.scenario.endpoints as f64 * wave
     }
 
     /// Submits a request at a gateway.
@@ -242,7 +243,7 @@
             gateway_count: self.scenario.gateways,
             ..request(RequestId(number), CustomerId(number % 16 + (9 << 40)))
         };
-        self.submitted += f64::from(u8::from(self.now_ms > JOIN_MS));
+        self.submitted += f64::from(u8::from(self.now_ms > FIRST_START_MS));
         self.requests.insert(request.id, SubmittedRequest { at_ms: self.now_ms, attempts: 0 });
         self.handle_event(gateway, Event::Request(request));
     }
@@ -256,6 +257,8 @@
         }
     }
 
+    /// Carries out an action. Cancellations are ignored, so that each attempt runs to its end, and so are
+    /// rejections and failures.
     fn carry_out(&mut self, gateway: usize, action: Action) {
         match action {
             Action::SetTimer { at_ms, token } => {
@@ -304,7 +307,7 @@
         self.endpoints[endpoint].busy_cores -= 1;
         self.start_work(endpoint);
         let submitted_ms = self.requests[&attempt.request].at_ms;
-        let is_in_time = submitted_ms > JOIN_MS && self.now_ms - submitted_ms < LATENCY_OBJECTIVE_MS;
+        let is_in_time = submitted_ms > FIRST_START_MS && self.now_ms - submitted_ms < LATENCY_OBJECTIVE_MS;
         self.within_objective += f64::from(u8::from(is_in_time));
         let took_ms = self.now_ms - attempt.sent_ms;
         let id = EndpointId(endpoint as u64);
@@ -314,7 +317,7 @@
 
     /// Runs the simulation to its end.
     pub(super) fn run(&mut self) {
-        let end_ms = JOIN_MS + JOIN_SPAN_MS + WARM_UP_MS + AFTER_WARM_UP_MS;
+        let end_ms = FIRST_START_MS + START_SPAN_MS + WARM_UP_MS + AFTER_WARM_UP_MS;
         while let Some((at_ms, event)) = self.events.pop_until(end_ms) {
             self.now_ms = self.now_ms.max(at_ms);
             match event {
