--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -3,7 +3,7 @@
 use crate::discovery::EndpointListUpdate;
 use irishinge_admission::{Settings, SettingsError};
 use irishinge_settings::{
-    Names, SettingsDocument, SettingsDocumentError, SocketSettings, TranslatedSettings,
+    DeploymentSettings, Names, SettingsDocument, SettingsDocumentError, TranslatedSettings,
 };
 use serde::Deserialize;
 use std::env;
@@ -35,7 +35,7 @@
     /// The names of the classes, plans, zones and machine kinds that the settings refer to by index.
     pub names: Names,
     /// The settings of the network code.
-    pub socket_settings: SocketSettings,
+    pub deployment_settings: DeploymentSettings,
 }
 
 /// The configuration file's content. The fields that [`Config`] has too are documented there.
@@ -139,7 +139,7 @@
     fn parse(text: &[u8]) -> Result<Self, InvalidConfig> {
         let file: ConfigFile = serde_json::from_slice(text)?;
         let seed = u64::from_str_radix(&file.seed, 16).map_err(InvalidConfig::InvalidSeed)?;
-        let socket_settings = file.settings.socket_settings()?;
+        let deployment_settings = file.settings.deployment_settings()?;
         let TranslatedSettings { settings, names } = file.settings.translate()?;
         settings.check()?;
         if file.limits.descriptors < MIN_DESCRIPTORS {
@@ -160,7 +160,7 @@
             cached_list: file.cached_list,
             settings,
             names,
-            socket_settings,
+            deployment_settings,
         })
     }
 }
--- a/crates/gateway/src/discovery/refresh_policy.rs
+++ b/crates/gateway/src/discovery/refresh_policy.rs
@@ -3,7 +3,7 @@
 //! gateway calls that agent. If lists are polled, all gateways of the fleet call one service.
 use super::list_lease::LEASE_DURATION;
 use crate::clock::duration_from_ms;
-use irishinge_settings::{DiscoveryMode, SocketSettings};
+use irishinge_settings::{DeploymentSettings, DiscoveryMode};
 use std::time::Duration;
 
 /// The longest wait of a long poll for pushed lists, as a fraction of the drain grace.
@@ -69,7 +69,7 @@
 
 impl RefreshPolicy {
     /// Returns the policy for the discovery mode of the settings and a fleet of `gateways`.
-    pub(crate) fn new(settings: &SocketSettings, gateways: usize) -> Self {
+    pub(crate) fn new(settings: &DeploymentSettings, gateways: usize) -> Self {
         match settings.discovery_mode {
             DiscoveryMode::Pushed => Self::for_pushed_lists(duration_from_ms(settings.drain_grace_ms)),
             DiscoveryMode::Polled => Self::for_polled_lists(gateways),
--- a/crates/gateway/src/discovery/tests/mod.rs
+++ b/crates/gateway/src/discovery/tests/mod.rs
@@ -13,7 +13,7 @@
 use super::refresh_policy::RefreshPolicy;
 use super::refresh_schedule::RefreshSchedule;
 use crate::http_connection::ExchangeError;
-use irishinge_settings::{DiscoveryMode, SocketSettings};
+use irishinge_settings::{DeploymentSettings, DiscoveryMode};
 use std::io;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -24,7 +24,7 @@
 
 /// Returns the policy for a discovery mode, with settings that only the drain grace changes.
 fn policy(mode: DiscoveryMode, gateways: usize, drain_grace_ms: f64) -> RefreshPolicy {
-    let settings = SocketSettings {
+    let settings = DeploymentSettings {
         idle_connection_timeout_ms: 1000.0,
         connect_timeout_ms: 250.0,
         retry_after_enabled: true,
--- a/crates/gateway/src/startup.rs
+++ b/crates/gateway/src/startup.rs
@@ -70,26 +70,26 @@
 /// Fails if the admission library rejects the settings or an address cannot be bound.
 pub(crate) async fn start(config: Config) -> Result<RunningGateway, StartupError> {
     let settings = config.settings;
-    let socket_settings = config.socket_settings;
+    let deployment_settings = config.deployment_settings;
     let budget = DescriptorBudget::new(config.descriptor_limit);
     let clock = Clock::start();
     let gateway = Gateway::new(settings.clone(), config.seed, clock.now_ms())?;
-    let upstream = UpstreamPool::new(&socket_settings, budget.upstream);
+    let upstream = UpstreamPool::new(&deployment_settings, budget.upstream);
     let accepted_per_second = settings.peer_messages_per_second;
     let peers = Rc::new(
         Peers::bind(config.peer_listen, config.peers, settings.this_gateway, accepted_per_second).await?,
     );
-    let quota_counter = QuotaCounter::new(config.counter, socket_settings.counter_timeout_ms);
+    let quota_counter = QuotaCounter::new(config.counter, deployment_settings.counter_timeout_ms);
     let dispatcher = Dispatcher::new(gateway, clock, config.names, upstream, peers.clone(), quota_counter);
     let cached_revision = restore_cached_list(&dispatcher, config.cached_list);
 
     let listener = listen(config.listen, &peers).await?;
     let shutdown_times = ShutdownTimes::new(&settings);
-    let refresh_policy = RefreshPolicy::new(&socket_settings, settings.gateways);
+    let refresh_policy = RefreshPolicy::new(&deployment_settings, settings.gateways);
     let (discovery_addr_sender, watched_addr) = watch::channel(config.discovery);
     let downstream_settings = DownstreamSettings {
         admission: settings,
-        sends_retry_after: socket_settings.retry_after_enabled,
+        sends_retry_after: deployment_settings.retry_after_enabled,
         max_connections: budget.downstream,
     };
     let downstream = DownstreamServer::new(dispatcher.clone(), downstream_settings);
--- a/crates/gateway/src/upstream/pool.rs
+++ b/crates/gateway/src/upstream/pool.rs
@@ -6,7 +6,7 @@
 use crate::http_connection::{HttpConnection, IdleCheck};
 use crate::idle_connections::IdleConnections;
 use irishinge_admission::{EndpointId, EndpointState, ListUpdateKind};
-use irishinge_settings::SocketSettings;
+use irishinge_settings::DeploymentSettings;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -51,7 +51,7 @@
 
 impl UpstreamPool {
     /// Creates a pool without endpoints. `max_connections` limits the connections to all endpoints together.
-    pub(crate) fn new(settings: &SocketSettings, max_connections: usize) -> Self {
+    pub(crate) fn new(settings: &DeploymentSettings, max_connections: usize) -> Self {
         UpstreamPool {
             endpoints: RefCell::default(),
             lease_expires_at: Cell::default(),
--- a/crates/gateway/src/upstream/tests/connections.rs
+++ b/crates/gateway/src/upstream/tests/connections.rs
@@ -9,14 +9,14 @@
 use irishinge_admission::{
     EndpointEntry, EndpointId, EndpointState, ListUpdateKind, MachineKindIndex, Outcome, ZoneIndex,
 };
-use irishinge_settings::SocketSettings;
+use irishinge_settings::DeploymentSettings;
 use std::io::{Read, Write};
 use std::time::Duration;
 use tokio::net::TcpListener;
 use tokio::time::Instant;
 
 fn pool() -> UpstreamPool {
-    let settings = SocketSettings {
+    let settings = DeploymentSettings {
         idle_connection_timeout_ms: 60_000.0,
         connect_timeout_ms: 60_000.0,
         retry_after_enabled: false,
--- a/crates/settings/src/socket_settings.rs
+++ b/crates/settings/src/deployment_settings.rs
@@ -5,7 +5,7 @@
 
 /// The settings of connections, discovery and responses. Times are in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct SocketSettings {
+pub struct DeploymentSettings {
     /// How long a connection may be idle before the endpoint closes it (`connIdleMs`).
     pub idle_connection_timeout_ms: f64,
     /// How long establishing a connection may take (`connectTimeoutMs`).
@@ -50,9 +50,9 @@
     /// # Errors
     ///
     /// Fails if a value is absent or out of range, or if the discovery mode is unknown.
-    pub fn socket_settings(&self) -> Result<SocketSettings, SettingsDocumentError> {
+    pub fn deployment_settings(&self) -> Result<DeploymentSettings, SettingsDocumentError> {
         let limits = &self.deployment_limits;
-        Ok(SocketSettings {
+        Ok(DeploymentSettings {
             idle_connection_timeout_ms: require_positive("connIdleMs", limits.idle_connection_timeout_ms)?,
             connect_timeout_ms: require_positive("connectTimeoutMs", limits.connect_timeout_ms)?,
             retry_after_enabled: limits.retry_after_enabled,
--- a/crates/settings/tests/settings_document.rs
+++ b/crates/settings/tests/settings_document.rs
@@ -4,7 +4,7 @@
     ClassIndex, DedupGroup, GatewayIndex, Idempotency, MachineKindIndex, PlanIndex, ZoneIndex,
 };
 use irishinge_settings::{
-    DiscoveryMode, SettingsDocument, SettingsDocumentError, SocketSettings, TranslatedSettings,
+    DeploymentSettings, DiscoveryMode, SettingsDocument, SettingsDocumentError, TranslatedSettings,
 };
 use serde_json::{json, Value};
 
@@ -86,9 +86,9 @@
 }
 
 #[test]
-fn socket_settings_are_read_from_the_document() {
-    let settings = parse(complete()).socket_settings().expect("a valid document");
-    let expected = SocketSettings {
+fn deployment_settings_are_read_from_the_document() {
+    let settings = parse(complete()).deployment_settings().expect("a valid document");
+    let expected = DeploymentSettings {
         idle_connection_timeout_ms: 15000.0,
         connect_timeout_ms: 250.0,
         retry_after_enabled: true,
@@ -100,7 +100,7 @@
     let mut without_counter = complete();
     without_counter["discovery"] = "pushed".into();
     without_counter["familyInfo"] = json!({"mostUnits": 6, "peerInPerS": 60.0});
-    let settings = parse(without_counter).socket_settings().expect("a valid document");
+    let settings = parse(without_counter).deployment_settings().expect("a valid document");
     assert_eq!((settings.counter_timeout_ms, settings.discovery_mode), (0.0, DiscoveryMode::Pushed));
 }
 
@@ -146,7 +146,7 @@
         for (invalid, value) in [(Value::Null, None), (json!(0.0), Some("0")), (json!(-1.0), Some("-1"))] {
             let mut document = complete();
             document[section][key] = invalid;
-            let error = parse(document).socket_settings().expect_err("an invalid timeout");
+            let error = parse(document).deployment_settings().expect_err("an invalid timeout");
             let expected = SettingsDocumentError::NotPositive { key, value: value.map(str::to_owned) };
             assert_eq!(error, expected);
             let value = value.unwrap_or("missing");
@@ -160,10 +160,10 @@
 fn a_negative_drain_grace_is_rejected() {
     let mut document = complete();
     document["rules"]["stopSendingWithinMs"] = json!(-1.0);
-    let error = parse(document.clone()).socket_settings().expect_err("an invalid drain grace");
+    let error = parse(document.clone()).deployment_settings().expect_err("an invalid drain grace");
     assert_eq!(error.to_string(), "stopSendingWithinMs is -1, expected 0 or more");
     document["rules"]["stopSendingWithinMs"] = json!(0.0);
-    assert!(parse(document).socket_settings().is_ok());
+    assert!(parse(document).deployment_settings().is_ok());
 }
 
 #[test]
@@ -174,7 +174,7 @@
     ] {
         let mut document = complete();
         document["discovery"] = value;
-        let error = parse(document).socket_settings().expect_err("an unknown mode");
+        let error = parse(document).deployment_settings().expect_err("an unknown mode");
         assert_eq!(error.to_string(), message);
     }
 }
@@ -184,7 +184,7 @@
     let example: Value =
         serde_json::from_str(include_str!("../../../docs/example-config.json")).expect("JSON");
     let document = parse(example["settings"].clone());
-    let sockets = document.socket_settings().expect("valid timeouts and discovery mode");
+    let sockets = document.deployment_settings().expect("valid timeouts and discovery mode");
     assert_eq!(sockets.discovery_mode, DiscoveryMode::Pushed);
     let settings = document.translate().expect("known names and keywords").settings;
     assert_eq!(settings.check(), Ok(()));
