--- a/crates/gateway/src/dispatcher/mod.rs
+++ b/crates/gateway/src/dispatcher/mod.rs
@@ -16,7 +16,7 @@
 use crate::clock::Clock;
 use crate::discovery::{EndpointListObserver, EndpointListUpdate};
 use crate::peers::{PeerMessageHandler, Peers};
-use crate::quota_counter::QuotaCounter;
+use crate::quota_counter::QuotaCounterClient;
 use crate::upstream::{AttemptResult, UpstreamPool, UpstreamRequest};
 use irishinge_admission::{Event, Gateway, GatewayIndex, ListUpdateKind, Outcome, Request, RequestId};
 use irishinge_settings::Names;
@@ -54,7 +54,7 @@
     /// Sends messages to the other gateways.
     peers: Rc<Peers>,
     /// The client of the quota counter.
-    quota_counter: QuotaCounter,
+    quota_counter: QuotaCounterClient,
 }
 
 impl Dispatcher {
@@ -65,7 +65,7 @@
         names: Names,
         upstream: UpstreamPool,
         peers: Rc<Peers>,
-        quota_counter: QuotaCounter,
+        quota_counter: QuotaCounterClient,
     ) -> Rc<Self> {
         let state = State {
             gateway,
--- a/crates/gateway/src/quota_counter.rs
+++ b/crates/gateway/src/quota_counter.rs
@@ -24,7 +24,7 @@
 const MAX_BODY_BYTES: usize = 256;
 
 /// The client of the quota counter. Without an address, it rejects all calls.
-pub(crate) struct QuotaCounter {
+pub(crate) struct QuotaCounterClient {
     /// The quota counter's address, or `None` if the fleet has no quota counter.
     addr: Cell<Option<SocketAddr>>,
     /// The timeout of a call, including the time to establish a connection.
@@ -35,10 +35,10 @@
     idle: RefCell<IdleConnections>,
 }
 
-impl QuotaCounter {
+impl QuotaCounterClient {
     /// Creates a client that has no connections yet, and whose calls time out after `timeout_ms`.
     pub(crate) fn new(addr: Option<SocketAddr>, timeout_ms: f64) -> Self {
-        QuotaCounter {
+        QuotaCounterClient {
             addr: Cell::new(addr),
             call_timeout: duration_from_ms(timeout_ms),
             budget: ConnectionBudget::new(MAX_CONNECTIONS),
--- a/crates/gateway/src/startup.rs
+++ b/crates/gateway/src/startup.rs
@@ -8,7 +8,7 @@
 use crate::downstream::{DownstreamServer, DownstreamSettings};
 use crate::logging::target;
 use crate::peers::{BindError, Peers};
-use crate::quota_counter::QuotaCounter;
+use crate::quota_counter::QuotaCounterClient;
 use crate::shutdown::{Shutdown, ShutdownTimes};
 use crate::upstream::{UpstreamPool, IDLE_CHECK_INTERVAL};
 use irishinge_admission::{Gateway, ListUpdateKind, SettingsError};
@@ -79,7 +79,7 @@
     let peers = Rc::new(
         Peers::bind(config.peer_listen, config.peers, settings.this_gateway, accepted_per_second).await?,
     );
-    let quota_counter = QuotaCounter::new(config.counter, deployment_settings.counter_timeout_ms);
+    let quota_counter = QuotaCounterClient::new(config.counter, deployment_settings.counter_timeout_ms);
     let dispatcher = Dispatcher::new(gateway, clock, config.names, upstream, peers.clone(), quota_counter);
     let cached_revision = restore_cached_list(&dispatcher, config.cached_list);
 
