--- a/crates/gateway/src/dispatcher/mod.rs
+++ b/crates/gateway/src/dispatcher/mod.rs
@@ -15,7 +15,7 @@
 use self::timers::{TimerKind, TimerQueue, WakeUp};
 use crate::clock::Clock;
 use crate::discovery::{EndpointListObserver, EndpointListUpdate};
-use crate::peers::{PeerMessageHandler, Peers};
+use crate::peers::{PeerMessageHandler, PeerSocket};
 use crate::quota_counter::QuotaCounterClient;
 use crate::upstream::{AttemptResult, UpstreamPool, UpstreamRequest};
 use irishinge_admission::{Event, Gateway, GatewayIndex, ListUpdateKind, Outcome, Request, RequestId};
@@ -52,7 +52,7 @@
     /// The endpoints and the connections to them.
     upstream: UpstreamPool,
     /// Sends messages to the other gateways.
-    peers: Rc<Peers>,
+    peers: Rc<PeerSocket>,
     /// The client of the quota counter.
     quota_counter: QuotaCounterClient,
 }
@@ -64,7 +64,7 @@
         clock: Clock,
         names: Names,
         upstream: UpstreamPool,
-        peers: Rc<Peers>,
+        peers: Rc<PeerSocket>,
         quota_counter: QuotaCounterClient,
     ) -> Rc<Self> {
         let state = State {
--- a/crates/gateway/src/logging/tests.rs
+++ b/crates/gateway/src/logging/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of the log: the form of a line, the limit on lines, and the documentation of each line.
 use super::*;
 use crate::discovery::EndpointListUpdate;
-use crate::peers::Peers;
+use crate::peers::PeerSocket;
 use irishinge_admission::GatewayIndex;
 use irishinge_settings::Names;
 use std::cell::Cell;
@@ -143,9 +143,9 @@
     let recorded = RecordingWriter::default();
     let writer = recorded.clone();
     let loopback = SocketAddr::from(([127, 0, 0, 1], 0));
-    let silent = Peers::bind(None, vec![loopback; 4], GatewayIndex(0), 40.0).await.expect("no socket");
+    let silent = PeerSocket::bind(None, vec![loopback; 4], GatewayIndex(0), 40.0).await.expect("no socket");
     let bound =
-        Peers::bind(Some(loopback), vec![loopback; 4], GatewayIndex(0), 40.0).await.expect("a socket");
+        PeerSocket::bind(Some(loopback), vec![loopback; 4], GatewayIndex(0), 40.0).await.expect("a socket");
     tracing::subscriber::with_default(limited_subscriber(move || writer.clone()), || {
         silent.send(GatewayIndex(2), "text");
         bound.send(GatewayIndex(3), &"x".repeat(257));
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -64,7 +64,7 @@
 }
 
 /// The socket for the messages between this gateway and the others of the fleet.
-pub(crate) struct Peers {
+pub(crate) struct PeerSocket {
     /// The socket, or `None` if this gateway exchanges no messages.
     socket: Option<UdpSocket>,
     /// The address of each gateway of the fleet, indexed by the gateway's number.
@@ -75,7 +75,7 @@
     send_rate_limit: RefCell<SendRateLimit>,
 }
 
-impl Peers {
+impl PeerSocket {
     /// Binds the socket to `listen` if that is an address. `addrs` has the address of each gateway, and
     /// `accepted_per_second` is the number of messages that a gateway accepts per second.
     ///
@@ -93,7 +93,7 @@
             None => None,
         };
         let send_rate_limit = RefCell::new(SendRateLimit::full(accepted_per_second, Instant::now()));
-        Ok(Peers { socket, addrs, this_gateway, send_rate_limit })
+        Ok(PeerSocket { socket, addrs, this_gateway, send_rate_limit })
     }
 
     /// Returns the address on which messages are received, or `None` if there is no socket.
--- a/crates/gateway/src/peers/tests.rs
+++ b/crates/gateway/src/peers/tests.rs
@@ -28,7 +28,7 @@
     let receiver = std::net::UdpSocket::bind(loopback).expect("a socket");
     receiver.set_read_timeout(Some(Duration::from_secs(10))).expect("a timeout");
     let addrs = vec![receiver.local_addr().expect("an address"); 100];
-    let peers = Peers::bind(Some(loopback), addrs, GatewayIndex(0), 40.0).await.expect("a socket");
+    let peers = PeerSocket::bind(Some(loopback), addrs, GatewayIndex(0), 40.0).await.expect("a socket");
     // `try_send_to` works only after the runtime has polled the new socket.
     peers.socket.as_ref().expect("a socket").writable().await.expect("a writable socket");
     for number in 0..10 {
--- a/crates/gateway/src/startup.rs
+++ b/crates/gateway/src/startup.rs
@@ -7,7 +7,7 @@
 use crate::dispatcher::Dispatcher;
 use crate::downstream::{DownstreamServer, DownstreamSettings};
 use crate::logging::target;
-use crate::peers::{BindError, Peers};
+use crate::peers::{BindError, PeerSocket};
 use crate::quota_counter::QuotaCounterClient;
 use crate::shutdown::{Shutdown, ShutdownTimes};
 use crate::upstream::{UpstreamPool, IDLE_CHECK_INTERVAL};
@@ -77,7 +77,8 @@
     let upstream = UpstreamPool::new(&deployment_settings, budget.upstream);
     let accepted_per_second = settings.peer_messages_per_second;
     let peers = Rc::new(
-        Peers::bind(config.peer_listen, config.peers, settings.this_gateway, accepted_per_second).await?,
+        PeerSocket::bind(config.peer_listen, config.peers, settings.this_gateway, accepted_per_second)
+            .await?,
     );
     let quota_counter = QuotaCounterClient::new(config.counter, deployment_settings.counter_timeout_ms);
     let dispatcher = Dispatcher::new(gateway, clock, config.names, upstream, peers.clone(), quota_counter);
@@ -119,7 +120,7 @@
 }
 
 /// Binds the address on which clients connect, and logs the addresses that the gateway listens on.
-async fn listen(addr: SocketAddr, peers: &Peers) -> Result<Rc<TcpListener>, StartupError> {
+async fn listen(addr: SocketAddr, peers: &PeerSocket) -> Result<Rc<TcpListener>, StartupError> {
     let error = |source| StartupError::Listen { addr, source };
     let listener = TcpListener::bind(addr).await.map_err(error)?;
     let bound = listener.local_addr().map_err(error)?;
@@ -132,7 +133,7 @@
 }
 
 /// Passes peers' messages to the dispatcher. Returns only if the gateway has no socket for peers.
-async fn receive_from_peers(peers: Rc<Peers>, dispatcher: Rc<Dispatcher>) {
+async fn receive_from_peers(peers: Rc<PeerSocket>, dispatcher: Rc<Dispatcher>) {
     peers.receive(dispatcher).await;
 }
 
