--- a/crates/gateway/src/logging.rs
+++ b/crates/gateway/src/logging.rs
@@ -1,6 +1,7 @@
-//! Writes log lines to standard error, at most [`MAX_LINES_PER_SECOND`], so that a fault that recurs with
-//! every request cannot fill the disk. A line over the limit is dropped before it is formatted. The next line
-//! that is written is preceded by a line with the number of dropped ones. `docs/LOGS.md` lists every line.
+//! Writes log lines to standard error, at most [`MAX_LINES_PER_SECOND`] in each [`PERIOD`], so that a fault
+//! that recurs with every request cannot fill the disk. A line over the limit is dropped before it is
+//! formatted. The next line that is written is preceded by a line with the number of dropped ones, which does
+//! not count towards the limit. `docs/LOGS.md` lists every line.
 //!
 //! A line has the form `irishinge: LEVEL TARGET: MESSAGE FIELD=VALUE...`. It contains no colour codes, and no
 //! time, because the process supervisor adds the time.
@@ -29,7 +30,8 @@
     pub(crate) const DISPATCHER: &str = "dispatcher";
 }
 
-/// The maximum number of lines that are written in one [`PERIOD`]. Further lines are dropped and counted.
+/// The maximum number of lines that are written in one [`PERIOD`], not counting the line on dropped ones.
+/// Further lines are dropped and counted.
 const MAX_LINES_PER_SECOND: u32 = 10;
 /// The period to which the limit on lines applies.
 const PERIOD: Duration = Duration::from_secs(1);
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -150,7 +150,6 @@
             match socket.recv_from(&mut buffer).await {
                 Ok((length, sender)) => self.on_datagram(&buffer[..length], sender, &handler),
                 Err(error) => {
-                    // If a peer is down, the kernel reports a message to it as an error of the next receive.
                     // Without the pause, a persistent error would be retried in a busy loop.
                     tracing::warn!(target: target::PEERS, %error, "cannot receive from peers");
                     sleep(RECEIVE_RETRY_DELAY).await;
--- a/crates/gateway/src/reload.rs
+++ b/crates/gateway/src/reload.rs
@@ -26,7 +26,7 @@
                 tracing::info!(
                     target: target::LIFECYCLE,
                     discovery = %config.discovery,
-                    "configuration reloaded; only addresses take effect; quota counter: {counter}"
+                    "configuration reloaded for discovery and quota counter only; quota counter: {counter}"
                 );
                 dispatcher.set_quota_counter_addr(config.counter);
                 discovery_addr_sender
