--- a/crates/settings/src/deployment_settings.rs
+++ b/crates/settings/src/deployment_settings.rs
@@ -3,7 +3,8 @@
 use crate::document::SettingsDocument;
 use crate::error::SettingsDocumentError;
 
-/// The settings of connections, discovery and responses. Times are in milliseconds.
+/// The settings of connections, discovery and responses, which the simulator does not need. Times are in
+/// milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct DeploymentSettings {
     /// How long a connection may be idle before the endpoint closes it (`connIdleMs`).
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -1,6 +1,6 @@
 //! The error for a settings object that cannot be used.
 
-/// Why a settings object cannot be used although each key has a value of the right type.
+/// Why a settings object cannot be used although it could be parsed.
 ///
 /// Operators see the message. It names the key with its value and, if the key belongs to a request class,
 /// that class.
@@ -22,7 +22,7 @@
         /// The value as read, or `None` if the key is absent or null.
         value: Option<String>,
     },
-    /// `discovery` is neither `pushed` nor `on_request`. The message says `none` if the key is missing.
+    /// `discovery` is neither `pushed` nor `on_request`. The message says `none` if the key is absent.
     #[error("discovery is {}, expected pushed or on_request", .value.as_deref().unwrap_or("none"))]
     UnknownDiscoveryMode {
         /// The value as written, if there is one.
@@ -45,7 +45,7 @@
         value: String,
     },
     /// `dedupScope` of a `by_key` class is none of `all`, `zone` and `cell`. The message says `none` if the
-    /// key is missing.
+    /// key is absent.
     #[error(
         "class {class}: dedupScope is {}, expected all, zone or cell",
         .value.as_deref().unwrap_or("none")
--- a/crates/settings/tests/settings_document.rs
+++ b/crates/settings/tests/settings_document.rs
@@ -8,7 +8,9 @@
 };
 use serde_json::{json, Value};
 
-/// A valid settings object with every key, each with a different value so that a mix-up of two keys shows.
+/// A valid settings object with every key. Most numbers occur only once, so that a mix-up of two keys shows.
+/// A mix-up of keys with equal values does not show: of `me` and `refill`; of `balancers` and the second
+/// `worth`; of `tickMs`, `maxAttempts` and `peakUnits`; of the booleans other than `peerMessages`.
 fn complete() -> Value {
     json!({
         "balancers": 3, "me": 1, "tickMs": 4.0, "zone": "south", "zones": ["north", "south"], "shapes": ["small", "big"],
@@ -184,8 +186,8 @@
     let example: Value =
         serde_json::from_str(include_str!("../../../docs/example-config.json")).expect("JSON");
     let document = parse(example["settings"].clone());
-    let sockets = document.deployment_settings().expect("valid timeouts and discovery mode");
-    assert_eq!(sockets.discovery_mode, DiscoveryMode::Pushed);
+    let deployment = document.deployment_settings().expect("valid timeouts and discovery mode");
+    assert_eq!(deployment.discovery_mode, DiscoveryMode::Pushed);
     let settings = document.translate().expect("known names and keywords").settings;
     assert_eq!(settings.check(), Ok(()));
 }
