--- a/crates/simulator-adapter/src/wire/action.rs
+++ b/crates/simulator-adapter/src/wire/action.rs
@@ -17,9 +17,7 @@
             Action::Cancel { request, attempt } => Self::Cancel { request: request.into(), attempt },
             Action::SendPeerMessage { to, body } => Self::SendPeerMessage { to: recipient(to), body },
             Action::SetTimer { at_ms, token } => Self::SetTimer { at_ms, token },
-            Action::AddToCounter { name, amount, ttl_ms } => {
-                Self::AddToCounter { name, amount, time_to_live_ms: ttl_ms }
-            }
+            Action::AddToCounter { name, amount, ttl_ms } => Self::AddToCounter { name, amount, ttl_ms },
         }
     }
 }
--- a/crates/simulator-adapter/src/wire/event.rs
+++ b/crates/simulator-adapter/src/wire/event.rs
@@ -146,7 +146,7 @@
             WireOutcome::ConnectFailed => Outcome::ConnectFailed,
             WireOutcome::Reset => Outcome::Reset,
             WireOutcome::Cancelled => Outcome::Cancelled,
-            WireOutcome::TooLate => Outcome::NotSent,
+            WireOutcome::NotSent => Outcome::NotSent,
         }
     }
 }
--- a/crates/simulator-adapter/src/wire/event_messages.rs
+++ b/crates/simulator-adapter/src/wire/event_messages.rs
@@ -181,7 +181,7 @@
     Cancelled,
     /// The attempt was never sent, and the endpoint is not at fault.
     #[serde(rename = "TOO_LATE")]
-    TooLate,
+    NotSent,
 }
 
 /// A message that reports the beginning of a streamed response. Its fields are parsed only to reject
--- a/crates/simulator-adapter/src/wire/output.rs
+++ b/crates/simulator-adapter/src/wire/output.rs
@@ -97,6 +97,6 @@
         amount: f64,
         /// The time to live of the count if this call creates it, in milliseconds.
         #[serde(rename = "ttlMs")]
-        time_to_live_ms: f64,
+        ttl_ms: f64,
     },
 }
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -61,10 +61,10 @@
         "resent": false, "write": false})
 }
 
-/// A gateway receives every kind of message and is killed in the same batch. Ids must be written as they
-/// were read, and a killed gateway must write nothing.
+/// A gateway receives every kind of message, the last of them a kill. The id in its `Route` must be written
+/// as it was read, and in the batch with the kill the gateway must write nothing.
 #[test]
-fn reads_every_event_and_returns_ids_unchanged() {
+fn reads_every_message_and_writes_nothing_after_a_kill() {
     let result = serde_json::json!({"msg": "Result", "job": "0000000000000abc", "verdict": "OK", "charged": 1,
         "closed": true, "timeTakenMs": 18.5, "host": "10.18.74.7:7003", "metered": 86, "sendNo": 0, "load": null});
     let output = run(&[
