--- a/crates/admission/src/event.rs
+++ b/crates/admission/src/event.rs
@@ -81,15 +81,18 @@
     Overloaded,
     /// No response came in time. The request may have run or may still be running.
     TimedOut,
-    /// Nothing was written, because no connection was established or the request was no longer wanted by
-    /// then. The request never ran.
+    /// Nothing was written: there was no connection, the endpoint no longer accepted requests or had a new
+    /// address, the request no longer waited for a response, or the attempt timed out or lost its connection
+    /// first. The request never ran.
     ConnectFailed,
     /// The connection broke. The request may have run.
     Reset,
     /// The attempt was cancelled. The request may have run.
     Cancelled,
-    /// The attempt was never sent, through no fault of the endpoint: either no time was left for it, or the
-    /// endpoint list had expired.
+    /// The attempt was never sent, through no fault of the endpoint: no time was left for it, the endpoint
+    /// list had expired, or the request no longer waited for a response when the attempt was to start. If the
+    /// last is noticed only once a connection is acquired, the outcome is
+    /// [`ConnectFailed`](Self::ConnectFailed).
     NotSent,
 }
 
