--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -26,7 +26,8 @@
     pub descriptor_limit: usize,
     /// The address on which the gateway receives peers' messages, or `None` if it exchanges none.
     pub peer_listen: Option<SocketAddr>,
-    /// The address for messages of each gateway of the fleet, indexed by the gateway's number.
+    /// The address for messages of each gateway of the fleet, indexed by the gateway's number. May be empty;
+    /// the number of addresses is checked only if `peer_listen` is set.
     pub peers: Vec<SocketAddr>,
     /// The endpoint list that was cached before a restart, if there is one.
     pub cached_list: Option<EndpointListUpdate>,
@@ -34,7 +35,7 @@
     pub settings: Settings,
     /// The names of the classes, plans, zones and machine kinds that the settings refer to by index.
     pub names: Names,
-    /// The settings of the network code.
+    /// The settings that only the deployed gateway needs.
     pub deployment_settings: DeploymentSettings,
 }
 
@@ -53,7 +54,7 @@
     peers: Vec<SocketAddr>,
     #[serde(rename = "known")]
     cached_list: Option<EndpointListUpdate>,
-    /// The settings of the admission library and of the network code.
+    /// The settings of the admission library, and those that only the deployed gateway needs.
     settings: SettingsDocument,
 }
 
@@ -111,7 +112,8 @@
     /// `limits.sockets` is below [`MIN_DESCRIPTORS`].
     #[error("limits.sockets is {0}, but must be at least {MIN_DESCRIPTORS}")]
     TooFewDescriptors(usize),
-    /// The number of addresses in `peers` differs from the number of gateways in the settings.
+    /// `peer_listen` is set, and `peers` is not empty but has another number of addresses than the settings
+    /// have gateways.
     #[error("peers has {peers} addresses, but settings.balancers is {gateways}")]
     PeerCount {
         /// The number of addresses in `peers`.
--- a/crates/gateway/src/descriptor_budget.rs
+++ b/crates/gateway/src/descriptor_budget.rs
@@ -11,8 +11,8 @@
 struct Reserved {
     /// Standard input, output and error.
     standard_streams: usize,
-    /// The runtime: two for epoll, one for its waker, and three for the ends of the signal handler's socket
-    /// pair.
+    /// The runtime: two for epoll, one for its waker, and three for the signal handler's socket pair, one end
+    /// of which the runtime duplicates.
     runtime: usize,
     /// The listener for clients and the socket for peers.
     listeners: usize,
@@ -26,8 +26,8 @@
     connections_being_closed: usize,
     /// The connections to the quota counter.
     quota_counter: usize,
-    /// The connections from clients beyond their limit, which are accepted only to reject the requests on
-    /// them.
+    /// The connections from clients beyond their limit, whose requests are rejected, or which are served
+    /// while evicted connections still close.
     rejecting_connections: usize,
 }
 
--- a/crates/gateway/src/discovery/list_lease.rs
+++ b/crates/gateway/src/discovery/list_lease.rs
@@ -9,11 +9,13 @@
 /// The time within which every change that the new discovery has must be known, counted from when SIGHUP has
 /// changed discovery's address.
 pub(super) const MAX_DELAY_AFTER_ADDRESS_CHANGE: Duration = Duration::from_millis(4000);
-/// How long before the end of [`MAX_PROPAGATION_DELAY`] a lease expires if it is not renewed.
+/// How long before the end of [`MAX_PROPAGATION_DELAY`] or of [`MAX_DELAY_AFTER_ADDRESS_CHANGE`] a lease
+/// expires if it is not renewed.
 pub(super) const LEASE_MARGIN: Duration = Duration::from_millis(500);
 /// The time for which a list may be used after it was last known to be current.
 pub(super) const LEASE_DURATION: Duration = MAX_PROPAGATION_DELAY.saturating_sub(LEASE_MARGIN);
-/// The maximum time for which a list may be used after discovery's address has changed.
+/// The time to which a change of discovery's address shortens the lease. Rejections cannot renew it beyond
+/// that; failed attempts to connect can.
 const LEASE_DURATION_AFTER_ADDRESS_CHANGE: Duration =
     MAX_DELAY_AFTER_ADDRESS_CHANGE.saturating_sub(LEASE_MARGIN);
 /// The time for which a rejected call renews the lease: enough for the longest pause and for a next rejection
@@ -73,14 +75,17 @@
         *self = ListLease::new(self.duration, now);
     }
 
-    /// Shortens the lease after discovery's address has changed at `now`.
+    /// Shortens the lease after discovery's address has changed at `now`. Until the next list, rejections no
+    /// longer renew it.
     pub(super) fn shorten_after_address_change(&mut self, now: Instant) {
         self.expires_at = self.expires_at.min(now + LEASE_DURATION_AFTER_ADDRESS_CHANGE);
         self.latest_expiry_with_rejections = self.expires_at;
     }
 
     /// Renews the lease after an attempt to connect, which began at `attempted_at`, has failed. The time
-    /// within which a change must be known does not run while discovery cannot be reached.
+    /// within which a change must be known does not run while discovery cannot be reached. Does nothing if
+    /// the lease has expired, or if a call since the last list reached discovery without getting one, as
+    /// [`record_reached_without_list`](Self::record_reached_without_list) records.
     pub(super) fn renew_in_outage(&mut self, attempted_at: Instant, now: Instant) {
         if !self.reached_without_list && self.is_valid(now) {
             self.expires_at = self.expires_at.max(attempted_at + self.duration);
--- a/crates/gateway/src/discovery/list_revision.rs
+++ b/crates/gateway/src/discovery/list_revision.rs
@@ -39,7 +39,8 @@
     /// Fails if the received revision is older than the cached one, because the response was overtaken
     /// by a newer one or discovery has restarted its revision numbers. If such a response were applied, it
     /// could make a draining endpoint ready again, and its changes may not be relative to the cached list.
-    /// After the error, the next call requests the complete list.
+    /// The revision is then unchanged; the caller must call [`reset_after`](Self::reset_after), so that the
+    /// next call requests the complete list.
     pub(super) fn advance(&mut self, received: u64) -> Result<(), DiscoveryError> {
         if let Some(cached) = self.0.filter(|cached| received < *cached) {
             return Err(DiscoveryError::Inconclusive(CallError::StaleRevision { received, cached }));
--- a/crates/gateway/src/discovery/observer.rs
+++ b/crates/gateway/src/discovery/observer.rs
@@ -5,7 +5,8 @@
 
 /// Receives the endpoint list and the changes of its lease.
 pub(crate) trait EndpointListObserver {
-    /// Called when discovery has returned the complete list or the changes to it.
+    /// Called with each update of the list: with the complete list or the changes that discovery returned,
+    /// and at startup with the list that was cached before a restart, if there is one.
     fn list_received(&self, kind: ListUpdateKind, list: EndpointListUpdate);
 
     /// Called with the time at which the lease expires: at the start, at each renewal, and when the lease is
--- a/crates/gateway/src/discovery/refresh_schedule.rs
+++ b/crates/gateway/src/discovery/refresh_schedule.rs
@@ -7,8 +7,10 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The part of the time reserved before the list expires, while discovery is not overloaded, that is for a
-/// new connection and the response on it. [`RefreshSchedule::call_times`] has the other parts.
+/// The time allowed for a new connection and the first response on it. Unless discovery is overloaded,
+/// [`RefreshSchedule::call_times`] reserves it before the list expires, besides the time for a call to time
+/// out and for a pause. While the list is valid, the window of pauses after an inconclusive call is narrowed
+/// to leave this time, down to [`MIN_INCONCLUSIVE_WINDOW`].
 pub(super) const RESPONSE_ALLOWANCE: Duration = Duration::from_millis(1250);
 /// The whole time reserved before the list expires while discovery is overloaded. It is shorter than the sum
 /// that is reserved otherwise, so that long polls wait longer and the gateway makes fewer calls, and it
@@ -17,9 +19,9 @@
 /// The delay of a response above which discovery counts as overloaded, because the call must have been
 /// queued.
 const OVERLOADED_DELAY: Duration = Duration::from_millis(250);
-/// The narrowest window of pauses after an inconclusive call. The window is narrowed so that a response can
-/// arrive before the list expires. It has this minimum because the long polls of all gateways may have
-/// failed at once.
+/// The minimum to which the window of pauses after an inconclusive call is narrowed. While the list is valid,
+/// the window is narrowed so that a response can arrive before the list expires. The pauses must still be
+/// spread over this minimum, because the long polls of all gateways may have failed at once.
 pub(super) const MIN_INCONCLUSIVE_WINDOW: Duration = Duration::from_millis(250);
 /// The widest window of pauses after a rejected call while the list may be used. If a call is rejected just
 /// before discovery recovers, this pause and the next response end before the drain grace of a change is
--- a/crates/gateway/src/discovery/tests/fleet_recovery.rs
+++ b/crates/gateway/src/discovery/tests/fleet_recovery.rs
@@ -302,8 +302,8 @@
 }
 
 /// Simulates a fleet whose gateways all start at once, and returns when each has its first response, in
-/// seconds, or `None` if it has none within 30 s. Discovery serves a call in `service_s`. Calls are abandoned
-/// after 2 s, but are still served.
+/// seconds, or `None` if it has none within 30 s. Discovery serves a call in `service_s`. Calls are rejected
+/// after 2 s in the queue, but their work is still done.
 fn simulate_fleet_start(gateways: usize, service_s: f64) -> Vec<Option<f64>> {
     let start = Instant::now();
     let mut schedules: Vec<RefreshSchedule> =
@@ -330,7 +330,7 @@
     responses
 }
 
-/// A hundred gateways start at once and call a discovery that serves 20 calls a second, including abandoned
+/// A hundred gateways start at once and call a discovery that serves 20 calls a second, including rejected
 /// ones. With equal pauses, the same gateways would be too late each time. Expected: every gateway has a list
 /// within 20 s.
 #[test]
--- a/crates/gateway/src/discovery/tests/list_revision.rs
+++ b/crates/gateway/src/discovery/tests/list_revision.rs
@@ -17,8 +17,8 @@
 }
 
 /// A response that was overtaken by a newer one, or that comes from a restarted discovery, has an older
-/// revision. If it were applied, a draining endpoint could become ready again. Expected: an error, after
-/// which the complete list is fetched.
+/// revision. If it were applied, a draining endpoint could become ready again. Expected: an error, and the
+/// cached revision stays.
 #[test]
 fn revision_older_than_cached_is_an_error() {
     for (cached, received, is_applied) in
--- a/crates/gateway/src/discovery/tests/refresh_schedule.rs
+++ b/crates/gateway/src/discovery/tests/refresh_schedule.rs
@@ -76,11 +76,11 @@
     assert!(pauses[0] <= INITIAL_BACKOFF_WINDOW);
     assert!(pauses.iter().all(|p| *p <= max_pause));
     assert!(pauses.iter().any(|p| *p > max_pause / 2), "the window has grown");
-    let pause_without_response =
+    let pause_after_no_response =
         |schedule: &mut RefreshSchedule| schedule.on_error(&unanswered_first_call(), now);
     assert!(
-        (0..200).all(|_| pause_without_response(&mut schedule) <= INITIAL_BACKOFF_WINDOW),
-        "pauses without a response stay short, so that the end of an outage is noticed"
+        (0..200).all(|_| pause_after_no_response(&mut schedule) <= INITIAL_BACKOFF_WINDOW),
+        "pauses after calls without a response stay short, so that the end of an outage is noticed"
     );
     (0..20).for_each(|_| schedule.on_list(Duration::ZERO, now));
     assert!(schedule.on_error(&DiscoveryError::Rejected, now) <= INITIAL_BACKOFF_WINDOW);
--- a/crates/gateway/src/discovery/watch.rs
+++ b/crates/gateway/src/discovery/watch.rs
@@ -29,9 +29,9 @@
 /// change.
 ///
 /// If lists are polled, the watch starts from `cached_revision`, so that discovery writes only the changes.
-/// It requests the complete list after an outage, at a new address and, if lists are pushed, on each new
-/// connection. A polled list has a lease: when the lease expires, nothing may be sent to the endpoints until
-/// discovery has returned a list.
+/// It requests the complete list after any failed call other than a rejection, at a new address and, if lists
+/// are pushed, on each new connection. A polled list has a lease: when the lease expires, nothing may be sent
+/// to the endpoints until discovery has returned a list.
 pub(crate) async fn watch_endpoint_list<O: EndpointListObserver + Clone + 'static>(
     observer: O,
     mut addr: watch::Receiver<SocketAddr>,
--- a/crates/gateway/src/dispatcher/actions.rs
+++ b/crates/gateway/src/dispatcher/actions.rs
@@ -37,13 +37,13 @@
                 "attempt not sent: its request is no longer active"
             );
         };
-        let index = active.next_attempt_index();
+        let number = active.next_attempt_number();
         // The request may have its response, or its client may have disconnected, in an event that the
         // library has not handled yet. Without this check, the endpoint would process a request whose
-        // response nobody reads. The attempt still takes its index, because the library counts it.
+        // response nobody reads. The attempt still takes its number, because the library counts it.
         if !active.awaits_response() {
             active.push_attempt(None);
-            let ended = EndedAttempt { request, index, endpoint, took_ms: 0.0, request_closed: true };
+            let ended = EndedAttempt { request, number, endpoint, took_ms: 0.0, request_closed: true };
             return state.events.push_back(ended.into_event_without_response(Outcome::NotSent));
         }
         let started_at = Instant::now();
@@ -51,12 +51,12 @@
         let (dispatcher, upstream_request) = (self.clone(), active.upstream_request.clone());
         // The task runs until its attempt ends or `cancel` aborts it: `Attempt` holds only an abort handle,
         // and dropping that or the join handle does not end the task. The library cancels an attempt by its
-        // index, and an active request is removed only once all its attempts have ended.
+        // number, and an active request is removed only once all its attempts have ended.
         let task = spawn_local(async move {
             let awaits_response = || dispatcher.awaits_response(request);
             let result =
                 dispatcher.upstream.attempt(endpoint, &upstream_request, deadline, awaits_response).await;
-            dispatcher.on_attempt_end(request, index, result);
+            dispatcher.on_attempt_end(request, number, result);
         });
         active.push_attempt(Some(Attempt { endpoint, started_at, task: task.abort_handle() }));
     }
@@ -85,15 +85,15 @@
 }
 
 /// Cancels an attempt in flight.
-fn cancel(state: &mut State, request: RequestId, index: usize) {
+fn cancel(state: &mut State, request: RequestId, number: usize) {
     let Some(active) = state.active_requests.get_mut(&request) else { return };
-    let Some(attempt) = active.take_attempt(index) else { return };
+    let Some(attempt) = active.take_attempt(number) else { return };
     // The task can no longer report a result, because the attempt was taken out above. So each attempt is
     // reported by exactly one event.
     attempt.task.abort();
     let ended = EndedAttempt {
         request,
-        index,
+        number,
         endpoint: attempt.endpoint,
         took_ms: attempt.elapsed_ms(),
         request_closed: !active.awaits_response(),
--- a/crates/gateway/src/dispatcher/active_request.rs
+++ b/crates/gateway/src/dispatcher/active_request.rs
@@ -85,8 +85,8 @@
         !self.attempts.is_empty()
     }
 
-    /// Returns the index that the next attempt gets.
-    pub(super) fn next_attempt_index(&self) -> usize {
+    /// Returns the number that the next attempt gets, from 0.
+    pub(super) fn next_attempt_number(&self) -> usize {
         self.attempts.len()
     }
 
@@ -97,8 +97,8 @@
 
     /// Takes an attempt that ends now. Returns `None` if the attempt has ended before, so that each attempt
     /// is reported once, whether its response or its cancellation comes first.
-    pub(super) fn take_attempt(&mut self, index: usize) -> Option<Attempt> {
-        self.attempts.get_mut(index)?.take()
+    pub(super) fn take_attempt(&mut self, number: usize) -> Option<Attempt> {
+        self.attempts.get_mut(number)?.take()
     }
 
     /// Returns when an attempt that is started at `started_at` times out, as
@@ -112,8 +112,8 @@
 pub(super) struct EndedAttempt {
     /// The request that the attempt was made for.
     pub(super) request: RequestId,
-    /// The attempt's index among the request's attempts, from 0.
-    pub(super) index: usize,
+    /// The attempt's number among those of its request, from 0.
+    pub(super) number: usize,
     /// The endpoint that the attempt was for.
     pub(super) endpoint: EndpointId,
     /// The time from the attempt's start to its end, in milliseconds. It includes the time to establish a
@@ -130,7 +130,7 @@
     pub(super) fn into_event(self, result: &AttemptResult) -> Event {
         Event::AttemptEnded(AttemptEnd {
             request: self.request,
-            attempt: self.index as u32,
+            attempt: self.number as u32,
             endpoint: self.endpoint,
             outcome: result.outcome,
             took_ms: self.took_ms,
--- a/crates/gateway/src/dispatcher/mod.rs
+++ b/crates/gateway/src/dispatcher/mod.rs
@@ -89,7 +89,7 @@
         &self.names
     }
 
-    /// Returns whether any endpoint accepts requests.
+    /// Returns whether the endpoint list has a ready endpoint, whether or not the list has expired.
     pub(crate) fn has_ready_endpoint(&self) -> bool {
         self.upstream.has_ready_endpoint()
     }
@@ -174,15 +174,15 @@
 
     /// Reports an attempt's end to the admission library, and sends the client the endpoint's response if the
     /// attempt succeeded.
-    fn on_attempt_end(self: &Rc<Self>, request: RequestId, index: usize, result: AttemptResult) {
+    fn on_attempt_end(self: &Rc<Self>, request: RequestId, number: usize, result: AttemptResult) {
         let event = {
             let mut state = self.state.borrow_mut();
             // A cancelled attempt has been reported already.
             let Some(active) = state.active_requests.get_mut(&request) else { return };
-            let Some(attempt) = active.take_attempt(index) else { return };
+            let Some(attempt) = active.take_attempt(number) else { return };
             let ended = EndedAttempt {
                 request,
-                index,
+                number,
                 endpoint: attempt.endpoint,
                 took_ms: attempt.elapsed_ms(),
                 request_closed: result.outcome == Outcome::Ok || !active.awaits_response(),
--- a/crates/gateway/src/dispatcher/timers.rs
+++ b/crates/gateway/src/dispatcher/timers.rs
@@ -20,9 +20,9 @@
 pub(super) struct TimerQueue {
     /// Each timer's expiry and kind; the one that expires first is on top.
     entries: BinaryHeap<Reverse<(Instant, TimerKind)>>,
-    /// When the timer task's sleep ends; `None` if the task waits for a timer to be added. After a wake-up,
-    /// this is when the task's next sleep ends. While the task handles expired timers, the time is in the
-    /// past.
+    /// When the timer task wakes up next; `None` if it waits for a timer to be added. A timer that needs an
+    /// earlier wake-up changes this at once, before the task runs. While the task handles expired timers, the
+    /// time is in the past.
     sleeps_until: Option<Instant>,
 }
 
--- a/crates/gateway/src/downstream/connection.rs
+++ b/crates/gateway/src/downstream/connection.rs
@@ -24,7 +24,9 @@
 /// behind full buffers at both ends, and long enough for other connections to be served.
 const DISCARD_INTERVAL: Duration = Duration::from_millis(5);
 
-/// The stage of a connection. The variants are in the order in which connections are evicted.
+/// The stage of a connection. Of two connections that are equally recent, the one in the earlier stage is
+/// evicted first ([`EvictionRank`](super::eviction_order::EvictionRank)). Connections in the last two stages
+/// are not evicted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum ConnectionStage {
     /// No complete request has arrived yet.
@@ -92,7 +94,7 @@
         self.stage.get()
     }
 
-    /// Returns when the connection entered its stage.
+    /// Returns when [`enter_stage`](Self::enter_stage) was last called, or when the connection was accepted.
     pub(super) fn stage_since(&self) -> Instant {
         self.stage_since.get()
     }
@@ -174,8 +176,9 @@
         matches!(ready, Poll::Ready(Ok(ready)) if ready.is_read_closed())
     }
 
-    /// Waits until the client disconnects while its request is in progress. hyper notices a disconnect only
-    /// if no bytes follow the request, because it reads no further than that request.
+    /// Waits until the client disconnects while its request is in progress. Meanwhile, it detects a flood of
+    /// pipelined bytes and discards it, so that a close behind the bytes can arrive. hyper notices a
+    /// disconnect only if no bytes follow the request, because it reads no further than that request.
     ///
     /// This method is cancel safe: bytes that it has discarded are not needed, because the connection then
     /// closes after its response.
--- a/crates/gateway/src/downstream/connection_limit.rs
+++ b/crates/gateway/src/downstream/connection_limit.rs
@@ -1,17 +1,18 @@
 //! The decision whether a new connection is served, rejected or closed, by the number of open connections.
 use super::connection_table::Eviction;
 
-/// The maximum number of connections that are accepted beyond the limit, only to reject the requests on
-/// them, so that their clients receive a response.
+/// The maximum number of connections that are accepted beyond the limit: those whose requests are rejected,
+/// so that their clients receive a response, and those that are served while evicted ones still close.
 pub(crate) const MAX_REJECTING_CONNECTIONS: usize = 8;
 
 /// The limits on open connections.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct ConnectionLimit {
-    /// The maximum number of connections whose requests are served.
+    /// The number of open connections from which one must be evicted before another is served.
     pub(super) max_serving: usize,
-    /// The maximum number of further connections, which are accepted only to reject the requests on them.
-    pub(super) max_rejecting: usize,
+    /// The maximum number of connections beyond that: new ones whose requests are rejected, or served while
+    /// evicted ones still close.
+    pub(super) max_beyond_limit: usize,
 }
 
 /// Whether a new connection is served, rejected or closed.
@@ -37,7 +38,7 @@
     /// Returns whether `open` connections are fewer than the limit on served and rejecting connections
     /// together. At that limit, a new connection may not even be accepted to reject its requests.
     pub(super) fn is_below_total_limit(&self, open: usize) -> bool {
-        open < self.max_serving + self.max_rejecting
+        open < self.max_serving + self.max_beyond_limit
     }
 
     /// Decides on a new connection while `open` others are open. `eviction` is the result of the eviction, or
--- a/crates/gateway/src/downstream/handler.rs
+++ b/crates/gateway/src/downstream/handler.rs
@@ -69,7 +69,9 @@
         Ok(response)
     }
 
-    /// Parses the head of a request, reads its body, dispatches it and waits for its response.
+    /// Parses the head of a request, reads its body, dispatches it and waits for its response. A health check
+    /// is answered at once, and a request on a connection beyond the limit is rejected once its head is
+    /// parsed.
     async fn handle(
         &self,
         request: hyper::Request<Incoming>,
@@ -117,16 +119,16 @@
         response: oneshot::Receiver<FinalResponse>,
         connection: &Connection,
     ) -> FinalResponse {
-        // hyper drops this future when the client closes the connection. Without the notification on drop,
-        // the dispatcher would start further attempts although no client waits for the response.
-        let mut cancellation = CancelOnDrop { dispatcher: &self.dispatcher, request: Some(id) };
+        // This future is dropped when the client disconnects. Without the notification on drop, the
+        // dispatcher would start further attempts although no client waits for the response.
+        let mut disconnect_guard = NotifyDisconnectOnDrop { dispatcher: &self.dispatcher, request: Some(id) };
         // A response that arrives at the same moment as a disconnect may be dropped: the client can no
         // longer receive it.
         let response = tokio::select! {
             response = response => response,
             () = connection.client_disconnected() => connection.abort().await,
         };
-        cancellation.disarm();
+        disconnect_guard.disarm();
         // The dispatcher drops the channel without a response only if it is dropped itself: at the latest, it
         // sends the fallback response.
         response.unwrap_or(FinalResponse::Failed)
@@ -134,22 +136,23 @@
 }
 
 /// A guard that notifies the dispatcher of a client's disconnect if it is dropped before there is a response.
-/// hyper drops the future of a request when the client closes the connection, and nothing else reports that.
-struct CancelOnDrop<'a> {
+/// The future of a request is dropped when its client disconnects, whether hyper or
+/// [`Connection::client_disconnected`] notices it, and nothing else notifies the dispatcher.
+struct NotifyDisconnectOnDrop<'a> {
     /// The dispatcher to notify.
     dispatcher: &'a Rc<Dispatcher>,
     /// The request in progress; `None` once it has a response.
     request: Option<RequestId>,
 }
 
-impl CancelOnDrop<'_> {
+impl NotifyDisconnectOnDrop<'_> {
     /// Prevents the notification, because the request has its response.
     fn disarm(&mut self) {
         self.request = None;
     }
 }
 
-impl Drop for CancelOnDrop<'_> {
+impl Drop for NotifyDisconnectOnDrop<'_> {
     fn drop(&mut self) {
         if let Some(request) = self.request {
             self.dispatcher.on_client_disconnected(request);
--- a/crates/gateway/src/downstream/server.rs
+++ b/crates/gateway/src/downstream/server.rs
@@ -37,7 +37,7 @@
     pub(crate) fn new(dispatcher: Rc<Dispatcher>, settings: DownstreamSettings) -> Rc<Self> {
         let connection_limit = ConnectionLimit {
             max_serving: settings.max_connections,
-            max_rejecting: MAX_REJECTING_CONNECTIONS,
+            max_beyond_limit: MAX_REJECTING_CONNECTIONS,
         };
         Rc::new(DownstreamServer {
             handler: RequestHandler::new(dispatcher, settings),
--- a/crates/gateway/src/downstream/tests/connection_limit.rs
+++ b/crates/gateway/src/downstream/tests/connection_limit.rs
@@ -2,7 +2,7 @@
 use crate::downstream::connection_limit::{AcceptDecision, ConnectionLimit};
 use crate::downstream::connection_table::Eviction;
 
-const LIMIT: ConnectionLimit = ConnectionLimit { max_serving: 10, max_rejecting: 2 };
+const LIMIT: ConnectionLimit = ConnectionLimit { max_serving: 10, max_beyond_limit: 2 };
 
 #[test]
 fn eviction_is_needed_from_the_limit_on() {
--- a/crates/gateway/src/downstream/tests/request_parsing.rs
+++ b/crates/gateway/src/downstream/tests/request_parsing.rs
@@ -84,10 +84,10 @@
 }
 
 /// The admission library cannot decide on a request whose class, plan, units or key are unknown, and its
-/// units cannot be billed. Expected: each missing or malformed header is reported by its own error, before
-/// any state changes.
+/// units cannot be billed. Expected: each missing, malformed or forbidden header is reported by the error for
+/// that header.
 #[test]
-fn missing_or_malformed_headers_are_errors() {
+fn missing_malformed_or_forbidden_headers_are_errors() {
     for (name, value, error) in [
         ("x-call-id", None, RequestError::InvalidCallId),
         ("x-call-id", Some("af"), RequestError::InvalidCallId),
--- a/crates/gateway/src/header_names.rs
+++ b/crates/gateway/src/header_names.rs
@@ -12,7 +12,7 @@
 pub(crate) const CONTRACT: HeaderName = HeaderName::from_static("x-contract");
 
 /// How long the sender waits for the response, in seconds as a decimal number. Sent by the client, and by the
-/// gateway to the endpoint with the time that is left.
+/// gateway to the endpoint with the time that is left until the attempt times out.
 pub(crate) const BUDGET: HeaderName = HeaderName::from_static("x-budget");
 
 /// The units that a request takes from its customer's quota, and the gateways that the customer's requests
--- a/crates/gateway/src/http_connection/mod.rs
+++ b/crates/gateway/src/http_connection/mod.rs
@@ -76,7 +76,7 @@
 impl WriteStatus {
     /// Returns whether any byte of the request has been written.
     pub(crate) fn any_written(&self) -> bool {
-        self.0.request_begun.get()
+        self.0.any_bytes_written.get()
     }
 }
 
@@ -113,12 +113,12 @@
     /// method also inspects the socket itself.
     pub(crate) fn check_idle(&mut self) -> IdleCheck {
         let mut cx = Context::from_waker(Waker::noop());
-        self.state.response_begun.set(false);
+        self.state.any_bytes_read.set(false);
         let is_ready = self.driver.as_mut().poll(&mut cx).is_pending() && self.sender.is_ready();
         let unread = SockRef::from(&*self.stream.borrow()).peek(&mut [MaybeUninit::uninit()]);
         // hyper may have read surplus bytes during this poll, and would report them as an error only
         // during the next one.
-        IdleCheck::new(is_ready, self.state.response_begun.get(), &unread)
+        IdleCheck::new(is_ready, self.state.any_bytes_read.get(), &unread)
     }
 
     /// Sends a request and waits for the complete response.
@@ -191,7 +191,8 @@
 struct ResponseWatchdog {
     /// The number of interim responses at the last poll.
     interim_seen: u32,
-    /// The end of [`RESPONSE_COMPLETION_TIMEOUT`]; `None` until its first byte has arrived.
+    /// The sleep until [`RESPONSE_COMPLETION_TIMEOUT`] after the first byte of the response; `None` before
+    /// that byte and after an interim response.
     timeout: Option<Pin<Box<Sleep>>>,
 }
 
@@ -203,12 +204,12 @@
             // The bytes that have arrived belong to an interim response; the final one has not begun.
             self.interim_seen = interim;
             self.timeout = None;
-            state.response_begun.set(false);
+            state.any_bytes_read.set(false);
         }
         if interim > MAX_INTERIM_RESPONSES {
             return Poll::Ready(ExchangeError::InvalidResponse);
         }
-        if !state.response_begun.get() {
+        if !state.any_bytes_read.get() {
             return Poll::Pending;
         }
         let timeout = self.timeout.get_or_insert_with(|| Box::pin(sleep(RESPONSE_COMPLETION_TIMEOUT)));
--- a/crates/gateway/src/http_connection/observed_stream.rs
+++ b/crates/gateway/src/http_connection/observed_stream.rs
@@ -13,9 +13,10 @@
 #[derive(Default)]
 pub(super) struct ExchangeState {
     /// Whether any byte of the request has been written.
-    pub(super) request_begun: Cell<bool>,
-    /// Whether any byte of the response has arrived.
-    pub(super) response_begun: Cell<bool>,
+    pub(super) any_bytes_written: Cell<bool>,
+    /// Whether any byte has been read since this was last reset. It is reset when an exchange begins, after
+    /// an interim response, and when an idle connection is checked.
+    pub(super) any_bytes_read: Cell<bool>,
     /// Whether the server has closed the connection, or it failed.
     pub(super) connection_lost: Cell<bool>,
     /// The number of interim responses that have arrived. It is in an `Arc` because hyper's callback must be
@@ -26,8 +27,8 @@
 impl ExchangeState {
     /// Resets the progress for a new exchange.
     pub(super) fn reset(&self) {
-        self.request_begun.set(false);
-        self.response_begun.set(false);
+        self.any_bytes_written.set(false);
+        self.any_bytes_read.set(false);
         self.interim_responses.store(0, Relaxed);
     }
 }
@@ -55,7 +56,7 @@
     /// Records the result of a write.
     fn record_write(&self, result: &Poll<io::Result<usize>>) {
         match result {
-            Poll::Ready(Ok(written)) if *written > 0 => self.state.request_begun.set(true),
+            Poll::Ready(Ok(written)) if *written > 0 => self.state.any_bytes_written.set(true),
             Poll::Ready(Err(_)) => self.state.connection_lost.set(true),
             _ => {}
         }
@@ -67,7 +68,7 @@
         let before = buf.filled().len();
         let result = self.with_stream(|s| s.poll_read(cx, buf));
         match &result {
-            Poll::Ready(Ok(())) if buf.filled().len() > before => self.state.response_begun.set(true),
+            Poll::Ready(Ok(())) if buf.filled().len() > before => self.state.any_bytes_read.set(true),
             Poll::Ready(_) => self.state.connection_lost.set(true),
             Poll::Pending => {}
         }
--- a/crates/gateway/src/upstream/attempt.rs
+++ b/crates/gateway/src/upstream/attempt.rs
@@ -1,6 +1,8 @@
 //! A single attempt to serve a request: acquires a connection, writes the request and classifies the
 //! outcome.
-use super::outcomes::{failure_outcome, reason_not_to_send, response_outcome, timeout_outcome, SendCheck};
+use super::outcomes::{
+    failure_outcome, outcome_if_not_sendable, response_outcome, timeout_outcome, SendCheck,
+};
 use super::pool::UpstreamPool;
 use super::upstream_request::UpstreamRequest;
 use super::MAX_BODY_BYTES;
@@ -110,7 +112,7 @@
         addr: SocketAddr,
         awaits_response: impl Fn() -> bool,
     ) -> Option<Outcome> {
-        reason_not_to_send(&SendCheck {
+        outcome_if_not_sendable(&SendCheck {
             is_lease_expired: self.is_lease_expired(),
             is_endpoint_ready: self.ready_addr(endpoint) == Some(addr),
             awaits_response: awaits_response(),
--- a/crates/gateway/src/upstream/outcomes.rs
+++ b/crates/gateway/src/upstream/outcomes.rs
@@ -1,4 +1,5 @@
-//! The outcome of an attempt, derived from what was written and received, and the reasons not to send one.
+//! The outcome of an attempt, derived from what was written and received, and the outcome of an attempt whose
+//! request must no longer be sent.
 use crate::http_connection::ExchangeError;
 use hyper::StatusCode;
 use irishinge_admission::Outcome;
@@ -19,7 +20,7 @@
 ///
 /// With `ConnectFailed`, the admission library counts a failure of the endpoint. That includes a request
 /// which no longer waits for its response, although its endpoint may be healthy.
-pub(super) fn reason_not_to_send(check: &SendCheck) -> Option<Outcome> {
+pub(super) fn outcome_if_not_sendable(check: &SendCheck) -> Option<Outcome> {
     if check.is_lease_expired {
         // An expired list says nothing about the endpoint, so the outcome must not count as the endpoint's
         // failure.
--- a/crates/gateway/src/upstream/pool.rs
+++ b/crates/gateway/src/upstream/pool.rs
@@ -62,14 +62,14 @@
         }
     }
 
-    /// Returns whether any endpoint accepts requests.
+    /// Returns whether the endpoint list has a ready endpoint, whether or not the list has expired.
     pub(crate) fn has_ready_endpoint(&self) -> bool {
         self.endpoints.borrow().values().any(|endpoint| endpoint.state == EndpointState::Ready)
     }
 
-    /// Applies an endpoint list that discovery returned. Unless `kind` is `Changes`, endpoints that the list
-    /// does not name are removed; `kind` is never `Failed`, because failed calls are not reported to the
-    /// pool.
+    /// Applies an endpoint list that discovery returned or that was cached before a restart. Unless `kind` is
+    /// `Changes`, endpoints that the list does not name are removed; `kind` is never `Failed`, because failed
+    /// calls are not reported to the pool.
     ///
     /// Closes idle connections to endpoints that no longer accept requests or that have another address.
     pub(crate) fn apply_list(&self, kind: ListUpdateKind, discovered: &[DiscoveredEndpoint]) {
--- a/crates/gateway/src/upstream/tests/connections.rs
+++ b/crates/gateway/src/upstream/tests/connections.rs
@@ -90,7 +90,7 @@
 
 /// The endpoint list may expire while a connection is being established, or just before one from the pool is
 /// used. If the request were written, it could go to an endpoint that is draining. Here the list expires just
-/// before each attempt. Expected: nothing is written, the outcome is `TooLate`, which does not count as the
+/// before each attempt. Expected: nothing is written, the outcome is `NotSent`, which does not count as the
 /// endpoint's failure, and the request is written while the list is valid.
 #[tokio::test]
 async fn request_is_not_written_once_the_list_has_expired() {
--- a/crates/gateway/src/upstream/tests/outcomes.rs
+++ b/crates/gateway/src/upstream/tests/outcomes.rs
@@ -1,7 +1,7 @@
-//! Tests of attempt outcomes and of the reasons not to send an attempt.
+//! Tests of attempt outcomes, also of attempts whose request must no longer be sent.
 use crate::http_connection::ExchangeError::{ConnectionLost, InvalidResponse};
 use crate::upstream::outcomes::{
-    failure_outcome, reason_not_to_send, response_outcome, timeout_outcome, SendCheck,
+    failure_outcome, outcome_if_not_sendable, response_outcome, timeout_outcome, SendCheck,
 };
 use hyper::StatusCode;
 use irishinge_admission::Outcome;
@@ -17,7 +17,7 @@
         (SendCheck { is_lease_expired: true, is_endpoint_ready: false, ..sendable }, Some(Outcome::NotSent)),
     ];
     for (check, outcome) in cases {
-        assert_eq!(reason_not_to_send(&check), outcome, "{check:?}");
+        assert_eq!(outcome_if_not_sendable(&check), outcome, "{check:?}");
     }
 }
 
