--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -3,7 +3,7 @@
 use crate::discovery::EndpointListUpdate;
 use irishinge_admission::{Settings, SettingsError};
 use irishinge_settings::{
-    Names, SettingsDocument, SettingsDocumentError, SocketSettings, TranslatedSettings,
+    DeploymentSettings, Names, SettingsDocument, SettingsDocumentError, TranslatedSettings,
 };
 use serde::Deserialize;
 use std::env;
@@ -26,7 +26,8 @@
     pub descriptor_limit: usize,
     /// The address on which the gateway receives peers' messages, or `None` if it exchanges none.
     pub peer_listen: Option<SocketAddr>,
-    /// The address for messages of each gateway of the fleet, indexed by the gateway's number.
+    /// The address for messages of each gateway of the fleet, indexed by the gateway's number. May be empty;
+    /// the number of addresses is checked only if `peer_listen` is set.
     pub peers: Vec<SocketAddr>,
     /// The endpoint list that was cached before a restart, if there is one.
     pub cached_list: Option<EndpointListUpdate>,
@@ -34,8 +35,8 @@
     pub settings: Settings,
     /// The names of the classes, plans, zones and machine kinds that the settings refer to by index.
     pub names: Names,
-    /// The settings of the network code.
-    pub socket_settings: SocketSettings,
+    /// The settings that only the deployed gateway needs.
+    pub deployment_settings: DeploymentSettings,
 }
 
 /// The configuration file's content. The fields that [`Config`] has too are documented there.
@@ -53,7 +54,7 @@
     peers: Vec<SocketAddr>,
     #[serde(rename = "known")]
     cached_list: Option<EndpointListUpdate>,
-    /// The settings of the admission library and of the network code.
+    /// The settings of the admission library, and those that only the deployed gateway needs.
     settings: SettingsDocument,
 }
 
@@ -111,7 +112,8 @@
     /// `limits.sockets` is below [`MIN_DESCRIPTORS`].
     #[error("limits.sockets is {0}, but must be at least {MIN_DESCRIPTORS}")]
     TooFewDescriptors(usize),
-    /// The number of addresses in `peers` differs from the number of gateways in the settings.
+    /// `peer_listen` is set, and `peers` is not empty but has another number of addresses than the settings
+    /// have gateways.
     #[error("peers has {peers} addresses, but settings.balancers is {gateways}")]
     PeerCount {
         /// The number of addresses in `peers`.
@@ -139,7 +141,7 @@
     fn parse(text: &[u8]) -> Result<Self, InvalidConfig> {
         let file: ConfigFile = serde_json::from_slice(text)?;
         let seed = u64::from_str_radix(&file.seed, 16).map_err(InvalidConfig::InvalidSeed)?;
-        let socket_settings = file.settings.socket_settings()?;
+        let deployment_settings = file.settings.deployment_settings()?;
         let TranslatedSettings { settings, names } = file.settings.translate()?;
         settings.check()?;
         if file.limits.descriptors < MIN_DESCRIPTORS {
@@ -160,7 +162,7 @@
             cached_list: file.cached_list,
             settings,
             names,
-            socket_settings,
+            deployment_settings,
         })
     }
 }
--- a/crates/gateway/src/dispatcher/mod.rs
+++ b/crates/gateway/src/dispatcher/mod.rs
@@ -15,8 +15,8 @@
 use self::timers::{TimerKind, TimerQueue, WakeUp};
 use crate::clock::Clock;
 use crate::discovery::{EndpointListObserver, EndpointListUpdate};
-use crate::peers::{PeerMessageHandler, Peers};
-use crate::quota_counter::QuotaCounter;
+use crate::peers::{PeerMessageHandler, PeerSocket};
+use crate::quota_counter::QuotaCounterClient;
 use crate::upstream::{AttemptResult, UpstreamPool, UpstreamRequest};
 use irishinge_admission::{Event, Gateway, GatewayIndex, ListUpdateKind, Outcome, Request, RequestId};
 use irishinge_settings::Names;
@@ -52,9 +52,9 @@
     /// The endpoints and the connections to them.
     upstream: UpstreamPool,
     /// Sends messages to the other gateways.
-    peers: Rc<Peers>,
+    peers: Rc<PeerSocket>,
     /// The client of the quota counter.
-    quota_counter: QuotaCounter,
+    quota_counter: QuotaCounterClient,
 }
 
 impl Dispatcher {
@@ -64,8 +64,8 @@
         clock: Clock,
         names: Names,
         upstream: UpstreamPool,
-        peers: Rc<Peers>,
-        quota_counter: QuotaCounter,
+        peers: Rc<PeerSocket>,
+        quota_counter: QuotaCounterClient,
     ) -> Rc<Self> {
         let state = State {
             gateway,
@@ -89,7 +89,7 @@
         &self.names
     }
 
-    /// Returns whether any endpoint accepts requests.
+    /// Returns whether the endpoint list has a ready endpoint, whether or not the list has expired.
     pub(crate) fn has_ready_endpoint(&self) -> bool {
         self.upstream.has_ready_endpoint()
     }
@@ -174,15 +174,15 @@
 
     /// Reports an attempt's end to the admission library, and sends the client the endpoint's response if the
     /// attempt succeeded.
-    fn on_attempt_end(self: &Rc<Self>, request: RequestId, index: usize, result: AttemptResult) {
+    fn on_attempt_end(self: &Rc<Self>, request: RequestId, number: usize, result: AttemptResult) {
         let event = {
             let mut state = self.state.borrow_mut();
             // A cancelled attempt has been reported already.
             let Some(active) = state.active_requests.get_mut(&request) else { return };
-            let Some(attempt) = active.take_attempt(index) else { return };
+            let Some(attempt) = active.take_attempt(number) else { return };
             let ended = EndedAttempt {
                 request,
-                index,
+                number,
                 endpoint: attempt.endpoint,
                 took_ms: attempt.elapsed_ms(),
                 request_closed: result.outcome == Outcome::Ok || !active.awaits_response(),
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -64,7 +64,7 @@
 }
 
 /// The socket for the messages between this gateway and the others of the fleet.
-pub(crate) struct Peers {
+pub(crate) struct PeerSocket {
     /// The socket, or `None` if this gateway exchanges no messages.
     socket: Option<UdpSocket>,
     /// The address of each gateway of the fleet, indexed by the gateway's number.
@@ -75,7 +75,7 @@
     send_rate_limit: RefCell<SendRateLimit>,
 }
 
-impl Peers {
+impl PeerSocket {
     /// Binds the socket to `listen` if that is an address. `addrs` has the address of each gateway, and
     /// `accepted_per_second` is the number of messages that a gateway accepts per second.
     ///
@@ -93,7 +93,7 @@
             None => None,
         };
         let send_rate_limit = RefCell::new(SendRateLimit::full(accepted_per_second, Instant::now()));
-        Ok(Peers { socket, addrs, this_gateway, send_rate_limit })
+        Ok(PeerSocket { socket, addrs, this_gateway, send_rate_limit })
     }
 
     /// Returns the address on which messages are received, or `None` if there is no socket.
@@ -150,7 +150,6 @@
             match socket.recv_from(&mut buffer).await {
                 Ok((length, sender)) => self.on_datagram(&buffer[..length], sender, &handler),
                 Err(error) => {
-                    // If a peer is down, the kernel reports a message to it as an error of the next receive.
                     // Without the pause, a persistent error would be retried in a busy loop.
                     tracing::warn!(target: target::PEERS, %error, "cannot receive from peers");
                     sleep(RECEIVE_RETRY_DELAY).await;
--- a/crates/gateway/src/upstream/pool.rs
+++ b/crates/gateway/src/upstream/pool.rs
@@ -6,7 +6,7 @@
 use crate::http_connection::{HttpConnection, IdleCheck};
 use crate::idle_connections::IdleConnections;
 use irishinge_admission::{EndpointId, EndpointState, ListUpdateKind};
-use irishinge_settings::SocketSettings;
+use irishinge_settings::DeploymentSettings;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -51,7 +51,7 @@
 
 impl UpstreamPool {
     /// Creates a pool without endpoints. `max_connections` limits the connections to all endpoints together.
-    pub(crate) fn new(settings: &SocketSettings, max_connections: usize) -> Self {
+    pub(crate) fn new(settings: &DeploymentSettings, max_connections: usize) -> Self {
         UpstreamPool {
             endpoints: RefCell::default(),
             lease_expires_at: Cell::default(),
@@ -62,14 +62,14 @@
         }
     }
 
-    /// Returns whether any endpoint accepts requests.
+    /// Returns whether the endpoint list has a ready endpoint, whether or not the list has expired.
     pub(crate) fn has_ready_endpoint(&self) -> bool {
         self.endpoints.borrow().values().any(|endpoint| endpoint.state == EndpointState::Ready)
     }
 
-    /// Applies an endpoint list that discovery returned. Unless `kind` is `Changes`, endpoints that the list
-    /// does not name are removed; `kind` is never `Failed`, because failed calls are not reported to the
-    /// pool.
+    /// Applies an endpoint list that discovery returned or that was cached before a restart. Unless `kind` is
+    /// `Changes`, endpoints that the list does not name are removed; `kind` is never `Failed`, because failed
+    /// calls are not reported to the pool.
     ///
     /// Closes idle connections to endpoints that no longer accept requests or that have another address.
     pub(crate) fn apply_list(&self, kind: ListUpdateKind, discovered: &[DiscoveredEndpoint]) {
