--- a/crates/admission/src/coordination/observations.rs
+++ b/crates/admission/src/coordination/observations.rs
@@ -28,7 +28,7 @@
 
     /// Records an observation of kind `Failed` for each attempt in flight of this gateway that has become
     /// slow since the last round of upkeep.
-    pub(crate) fn report_slow_attempts(&mut self) {
+    pub(crate) fn observe_slow_attempts(&mut self) {
         let slow = self.requests.attempts_in_flight().filter(|attempt| self.has_become_slow(attempt));
         for InFlightAttemptWithClass { endpoint, class, .. } in slow.collect::<Vec<_>>() {
             self.record_observation(endpoint, ObservationKind::Failed { class });
--- a/crates/admission/src/lifecycle/retries.rs
+++ b/crates/admission/src/lifecycle/retries.rs
@@ -54,7 +54,7 @@
             FleetMode::Broadcast => self.attempts_at_outliers(),
             FleetMode::LargeFleet => {
                 let stalled = self.stalled_attempts();
-                self.report_slow_attempts();
+                self.observe_slow_attempts();
                 stalled
             }
         };
