--- a/crates/admission/src/lifecycle/endpoints.rs
+++ b/crates/admission/src/lifecycle/endpoints.rs
@@ -24,9 +24,9 @@
         endpoint.remove_in_flight(AttemptId { request: end.request, attempt: end.attempt });
         record_health(&mut endpoint.health, health_evidence(end.outcome), now_ms);
         let Some(endpoint) = self.endpoints.get(end.endpoint) else { return };
-        let verdict = self.health_verdict(endpoint, end, class);
+        let decision = self.ejection_decision(endpoint, end, class);
         if let Some(endpoint) = self.endpoints.get_mut(end.endpoint) {
-            match verdict {
+            match decision {
                 EjectionDecision::Unchanged => {}
                 EjectionDecision::Pause { duration_ms } => {
                     endpoint.health.pause_until(now_ms + duration_ms * jitter);
--- a/crates/admission/src/lifecycle/outlier_checks.rs
+++ b/crates/admission/src/lifecycle/outlier_checks.rs
@@ -62,7 +62,7 @@
 
     /// Returns what the end of an attempt means for its endpoint. The endpoint's health must have recorded
     /// that end already.
-    pub(crate) fn health_verdict(
+    pub(crate) fn ejection_decision(
         &self,
         endpoint: &Endpoint,
         end: &AttemptEnd,
