--- a/crates/admission/src/coordination/quota_requests.rs
+++ b/crates/admission/src/coordination/quota_requests.rs
@@ -41,7 +41,7 @@
                 active.set_quota_state(QuotaState::LocalBucket { within_quota: true });
                 let (key, plan) = (active.customer_key, active.request.plan);
                 let gateways = GatewaySet::of_request(&active.request, self.settings.gateways);
-                self.customer_entry(key, plan, gateways);
+                self.record_customer_request(key, plan, gateways);
             }
         }
     }
@@ -56,7 +56,7 @@
         let (key, previous) = (active.customer_key, active.quota_state());
         let (plan, units) = (active.request.plan, active.request.units);
         let gateways = GatewaySet::of_request(&active.request, self.settings.gateways);
-        let customer = self.customer_entry(key, plan, gateways);
+        let customer = self.record_customer_request(key, plan, gateways);
         let sampling =
             sampling_fraction_at_age(customer.sampling_fraction(), customer.sampling_age_ms(now_ms));
         let sampling_fraction = SamplingFraction::nearest_above_zero(sampling);
--- a/crates/admission/src/lifecycle/customers.rs
+++ b/crates/admission/src/lifecycle/customers.rs
@@ -20,7 +20,7 @@
     /// Records that a request of a customer was received, by this gateway or by a peer that sent a quota
     /// request for it. Creates the customer's record if there is none, refills it up to now and returns it.
     /// `gateways` are those that the customer's requests come through.
-    pub(crate) fn customer_entry(
+    pub(crate) fn record_customer_request(
         &mut self,
         key: CustomerKey,
         plan: PlanIndex,
@@ -29,7 +29,7 @@
         self.customer_with_plan(key, plan, gateways).0
     }
 
-    /// Does the same as `customer_entry`, and returns the record together with the customer's plan.
+    /// Does the same as `record_customer_request`, and returns the record together with the customer's plan.
     pub(crate) fn customer_with_plan(
         &mut self,
         key: CustomerKey,
--- a/crates/admission/src/lifecycle/request_admission.rs
+++ b/crates/admission/src/lifecycle/request_admission.rs
@@ -96,7 +96,7 @@
         let active = self.requests.get(id)?;
         let (key, plan_index, units) = (active.customer_key, active.request.plan, active.request.units);
         let gateways = GatewaySet::of_request(&active.request, self.settings.gateways);
-        let customer = self.customer_entry(key, plan_index, gateways);
+        let customer = self.record_customer_request(key, plan_index, gateways);
         let (quota_tokens, ceiling_tokens) = (customer.quota_tokens(), customer.ceiling_tokens());
         let plan = self.settings.plan(plan_index);
         let check = check_local_bucket(&LocalBucketInput {
