--- a/crates/admission/src/coordination/counter_calls.rs
+++ b/crates/admission/src/coordination/counter_calls.rs
@@ -39,7 +39,7 @@
         let (units, is_client_retry) = (active.request.units, active.request.is_client_retry);
         let gateways = GatewaySet::of_request(&active.request, self.settings.gateways);
         let now_ms = self.clock.now_ms();
-        let (customer, plan) = self.customer_with_plan(key, plan_index, gateways);
+        let (customer, plan) = self.record_customer_request_with_plan(key, plan_index, gateways);
         if plan.rate_per_second <= 0.0 {
             return;
         }
--- a/crates/admission/src/coordination/quota_ownership.rs
+++ b/crates/admission/src/coordination/quota_ownership.rs
@@ -71,7 +71,7 @@
         let now_ms = self.clock.now_ms();
         let received = self.received_quota_request(from, request);
         let key = CustomerKey(request.customer);
-        let (customer, plan) = self.customer_with_plan(key, plan_index, gateways);
+        let (customer, plan) = self.record_customer_request_with_plan(key, plan_index, gateways);
         customer.grants.expire(now_ms);
         let verdict = apply_quota_request(customer, plan, &received, now_ms);
         let verdict = verdict_to_send(plan, verdict, customer.quota_tokens());
--- a/crates/admission/src/lifecycle/customers.rs
+++ b/crates/admission/src/lifecycle/customers.rs
@@ -26,11 +26,11 @@
         plan: PlanIndex,
         gateways: GatewaySet,
     ) -> &mut Customer {
-        self.customer_with_plan(key, plan, gateways).0
+        self.record_customer_request_with_plan(key, plan, gateways).0
     }
 
     /// Does the same as `record_customer_request`, and returns the record together with the customer's plan.
-    pub(crate) fn customer_with_plan(
+    pub(crate) fn record_customer_request_with_plan(
         &mut self,
         key: CustomerKey,
         plan: PlanIndex,
