--- a/crates/admission/src/lifecycle/queue_dispatch.rs
+++ b/crates/admission/src/lifecycle/queue_dispatch.rs
@@ -20,7 +20,7 @@
                 self.band.record_wait_for_endpoint();
                 return;
             };
-            self.queue.release(head);
+            self.queue.dequeue(head);
             self.send(head.id, endpoint, actions);
         }
     }
--- a/crates/admission/src/mechanism/virtual_finish_queue.rs
+++ b/crates/admission/src/mechanism/virtual_finish_queue.rs
@@ -101,7 +101,7 @@
     }
 
     /// Removes a head that is to be sent, and sets the virtual time to its virtual finish time.
-    pub(crate) fn release(&mut self, head: FlowHead) {
+    pub(crate) fn dequeue(&mut self, head: FlowHead) {
         self.virtual_time = head.virtual_finish;
         self.remove(head.key, head.id);
     }
