--- a/crates/admission/src/coordination/observations.rs
+++ b/crates/admission/src/coordination/observations.rs
@@ -45,7 +45,7 @@
     /// Applies an observation, whether made by this gateway or received from a peer.
     pub(crate) fn apply_observation(&mut self, observation: Observation) {
         match observation.kind {
-            ObservationKind::Rejected { plan } => self.apply_rejection(observation.endpoint, plan),
+            ObservationKind::Overloaded { plan } => self.apply_rejection(observation.endpoint, plan),
             ObservationKind::Failed { class } => self.apply_failure(observation.endpoint, class),
             ObservationKind::Responded { class, response_time } => {
                 self.apply_response(observation.endpoint, class, response_time);
--- a/crates/admission/src/messages/observation_code.rs
+++ b/crates/admission/src/messages/observation_code.rs
@@ -55,7 +55,7 @@
         class: ClassIndex,
     },
     /// The endpoint rejected a request of a plan.
-    Rejected {
+    Overloaded {
         /// Plan of the request's customer, an index into the settings.
         plan: PlanIndex,
     },
@@ -86,14 +86,14 @@
                 CODES_PER_CLASS * class.0 as u32 + response_time.0
             }
             ObservationKind::Failed { class } => CODES_PER_CLASS * class.0 as u32 + FAILURE_CODE,
-            ObservationKind::Rejected { plan } => FIRST_PLAN_CODE + plan.0 as u32,
+            ObservationKind::Overloaded { plan } => FIRST_PLAN_CODE + plan.0 as u32,
         }
     }
 
     /// Returns the observation that a code stands for.
     fn from_code(code: u32) -> Self {
         if code >= FIRST_PLAN_CODE {
-            return ObservationKind::Rejected { plan: PlanIndex((code - FIRST_PLAN_CODE) as usize) };
+            return ObservationKind::Overloaded { plan: PlanIndex((code - FIRST_PLAN_CODE) as usize) };
         }
         let class = ClassIndex((code / CODES_PER_CLASS) as usize);
         match code % CODES_PER_CLASS {
--- a/crates/admission/src/policy/observation/attempt_observation.rs
+++ b/crates/admission/src/policy/observation/attempt_observation.rs
@@ -23,7 +23,7 @@
             let response_time = ResponseTimeCode::from_objective_fraction(objective_fraction);
             Some(ObservationKind::Responded { class, response_time })
         }
-        Outcome::Overloaded => Some(ObservationKind::Rejected { plan }),
+        Outcome::Overloaded => Some(ObservationKind::Overloaded { plan }),
         // A time-out is a failure and not a slow response: it shows a fault of this endpoint, not how slow
         // the endpoints are on the whole.
         Outcome::Error | Outcome::Reset | Outcome::ConnectFailed | Outcome::TimedOut => {
--- a/crates/admission/src/tests/endpoint_rules/response_time_rules.rs
+++ b/crates/admission/src/tests/endpoint_rules/response_time_rules.rs
@@ -85,7 +85,7 @@
     let failed = Some(ObservationKind::Failed { class });
     let rows = [
         (Outcome::Ok, Some(ObservationKind::Responded { class, response_time })),
-        (Outcome::Overloaded, Some(ObservationKind::Rejected { plan })),
+        (Outcome::Overloaded, Some(ObservationKind::Overloaded { plan })),
         (Outcome::Error, failed),
         (Outcome::Reset, failed),
         (Outcome::ConnectFailed, failed),
--- a/crates/admission/src/tests/quota_rules/message_bounds.rs
+++ b/crates/admission/src/tests/quota_rules/message_bounds.rs
@@ -21,7 +21,7 @@
 #[test]
 fn classes_above_61_and_plans_above_95_share_codes() {
     let failed = |class| ObservationKind::Failed { class: ClassIndex(class) };
-    let rejected = |plan| ObservationKind::Rejected { plan: PlanIndex(plan) };
+    let rejected = |plan| ObservationKind::Overloaded { plan: PlanIndex(plan) };
     let cases = [
         (failed(0), failed(0)),
         (failed(61), failed(61)),
