--- a/crates/admission/src/coordination/observations.rs
+++ b/crates/admission/src/coordination/observations.rs
@@ -45,7 +45,7 @@
     /// Applies an observation, whether made by this gateway or received from a peer.
     pub(crate) fn apply_observation(&mut self, observation: Observation) {
         match observation.kind {
-            ObservationKind::Overloaded { plan } => self.apply_rejection(observation.endpoint, plan),
+            ObservationKind::Overloaded { plan } => self.apply_overload(observation.endpoint, plan),
             ObservationKind::Failed { class } => self.apply_failure(observation.endpoint, class),
             ObservationKind::Responded { class, response_time } => {
                 self.apply_response(observation.endpoint, class, response_time);
@@ -54,7 +54,7 @@
     }
 
     /// Ejects an endpoint for a plan after it rejected a request of this plan.
-    fn apply_rejection(&mut self, tag: u32, plan: PlanIndex) {
+    fn apply_overload(&mut self, tag: u32, plan: PlanIndex) {
         let (now_ms, jitter) = (self.clock.now_ms(), self.observation_jitter(tag));
         if let Some(endpoint) = self.endpoints.get_by_tag_mut(tag) {
             endpoint.observed_health.eject(EjectionScope::Plan(plan), now_ms, SCOPED_EJECTION, jitter);
