--- a/crates/admission/src/coordination/quota_requests.rs
+++ b/crates/admission/src/coordination/quota_requests.rs
@@ -149,7 +149,7 @@
     fn missed_responses(&self) -> Vec<MissedResponse> {
         let Some(gossip) = self.coordination.gossip() else { return Vec::new() };
         let wait_ms = response_wait_ms(self.settings.shortest_objective_ms());
-        let missed = gossip.requests.waiting().filter_map(|id| {
+        let missed = gossip.requests.request_ids().filter_map(|id| {
             let active = self.requests.get(id)?;
             let QuotaState::AwaitingOwner { owner, sent_ms, resends, .. } = active.quota_state() else {
                 return None;
--- a/crates/admission/src/state/quota/pending_quota_requests.rs
+++ b/crates/admission/src/state/quota/pending_quota_requests.rs
@@ -65,7 +65,7 @@
 
     /// Returns the requests of all recorded quota requests, in the order of their numbers. Some of them may
     /// have been decided without the owner in the meantime.
-    pub(crate) fn waiting(&self) -> impl Iterator<Item = RequestId> + '_ {
+    pub(crate) fn request_ids(&self) -> impl Iterator<Item = RequestId> + '_ {
         self.pending.values().copied()
     }
 }
