--- a/crates/admission/src/coordination/quota_requests.rs
+++ b/crates/admission/src/coordination/quota_requests.rs
@@ -63,7 +63,7 @@
         let Some(gossip) = self.coordination.gossip_mut() else { return };
         let is_suspected = |gateway| gossip.is_suspected(gateway, now_ms);
         let owner = select_owner(gateways.rendezvous_ranking(key), is_suspected, this_gateway);
-        let number = gossip.requests.number_for(previous, owner);
+        let number = gossip.pending_requests.number_for(previous, owner);
         let route = route_quota_request(QuotaRouteInput {
             owns_quota: owner == this_gateway,
             resends,
@@ -104,7 +104,7 @@
         let number = request.number;
         let sent_ms = self.clock.now_ms();
         active.set_quota_state(QuotaState::AwaitingOwner { owner, number, sent_ms, resends });
-        gossip.requests.insert(number, id);
+        gossip.pending_requests.insert(number, id);
         self.send_gossip(owner, GossipMessage::request(request), actions);
     }
 
@@ -149,7 +149,7 @@
     fn missed_responses(&self) -> Vec<MissedResponse> {
         let Some(gossip) = self.coordination.gossip() else { return Vec::new() };
         let wait_ms = response_wait_ms(self.settings.shortest_objective_ms());
-        let missed = gossip.requests.request_ids().filter_map(|id| {
+        let missed = gossip.pending_requests.request_ids().filter_map(|id| {
             let active = self.requests.get(id)?;
             let QuotaState::AwaitingOwner { owner, sent_ms, resends, .. } = active.quota_state() else {
                 return None;
@@ -163,14 +163,14 @@
     pub(crate) fn on_quota_response(&mut self, from: GatewayIndex, response: QuotaResponse) {
         let number = response.number;
         let Some(gossip) = self.coordination.gossip_mut() else { return };
-        let Some(id) = gossip.requests.get(number) else { return };
-        let Some(active) = self.requests.get_mut(id) else { return gossip.requests.remove(number) };
+        let Some(id) = gossip.pending_requests.get(number) else { return };
+        let Some(active) = self.requests.get_mut(id) else { return gossip.pending_requests.remove(number) };
         if !active.quota_state().awaits_response(from, number) {
             return;
         }
         active.set_quota_state(QuotaState::after_verdict(response.verdict, from, number));
         if response.verdict != QuotaVerdict::Queued {
-            gossip.requests.remove(number);
+            gossip.pending_requests.remove(number);
         }
         if let Some(customer) = self.customers.get_mut(active.customer_key) {
             customer.set_sampling_fraction(response.sampling_fraction.fraction(), self.clock.now_ms());
--- a/crates/admission/src/lifecycle/requests.rs
+++ b/crates/admission/src/lifecycle/requests.rs
@@ -89,7 +89,7 @@
             }
             QuotaSettlement::Withdraw { owner, number, additional_units } => {
                 if let Some(gossip) = self.coordination.gossip_mut() {
-                    gossip.requests.remove(number);
+                    gossip.pending_requests.remove(number);
                 }
                 self.send_release(owner, active.customer_key, number, additional_units, actions);
             }
--- a/crates/admission/src/state/fleet/gossip_peers.rs
+++ b/crates/admission/src/state/fleet/gossip_peers.rs
@@ -13,7 +13,7 @@
     /// The other gateways, by number.
     peers: BTreeMap<GatewayIndex, GossipPeer>,
     /// Quota requests that await a response.
-    pub(crate) requests: PendingQuotaRequests,
+    pub(crate) pending_requests: PendingQuotaRequests,
     /// Message tokens. Each quota request costs one, so that no gateway is sent more messages than it
     /// accepts.
     message_tokens: TokenCount,
@@ -27,7 +27,7 @@
     pub(crate) fn new(settings: &Settings, message_tokens: f64) -> Self {
         Gossip {
             peers: peer_indices(settings).map(|peer| (peer, GossipPeer::default())).collect(),
-            requests: PendingQuotaRequests::default(),
+            pending_requests: PendingQuotaRequests::default(),
             message_tokens: TokenCount::new(message_tokens),
             received_rate: DecayingRate::default(),
         }
