--- a/crates/admission/src/coordination/quota_ownership.rs
+++ b/crates/admission/src/coordination/quota_ownership.rs
@@ -91,7 +91,7 @@
     /// gateway can never own.
     fn checked_gateways(&self, from: GatewayIndex, request: &QuotaRequest) -> Option<GatewaySet> {
         let first = GatewayIndex(request.first_gateway as usize);
-        let len = request.gateways as usize;
+        let len = request.gateway_count as usize;
         let gateways = GatewaySet::try_new(first, len, self.settings.gateways)?;
         (gateways.contains(from) && gateways.contains(self.settings.this_gateway)).then_some(gateways)
     }
--- a/crates/admission/src/coordination/quota_requests.rs
+++ b/crates/admission/src/coordination/quota_requests.rs
@@ -79,7 +79,7 @@
             plan: plan.0 as u32,
             units: units.ceil().max(0.0) as u32,
             first_gateway: gateways.first().0 as u32,
-            gateways: gateways.len() as u32,
+            gateway_count: gateways.len() as u32,
             number,
             wait_budget,
             sampling_fraction,
--- a/crates/admission/src/messages/quota_message.rs
+++ b/crates/admission/src/messages/quota_message.rs
@@ -19,7 +19,7 @@
     pub first_gateway: u32,
     /// Number of gateways that the customer's requests come through. The others follow the first by number,
     /// and gateway 0 follows the last of the fleet.
-    pub gateways: u32,
+    pub gateway_count: u32,
     /// Number of the quota request at its sender.
     pub number: QuotaRequestNumber,
     /// Time for which a response is of use to the sender.
@@ -200,7 +200,7 @@
         put_saturating(text, self.plan, 1);
         put_saturating(text, self.units, 1);
         put_saturating(text, self.first_gateway, 2);
-        put_saturating(text, self.gateways, 2);
+        put_saturating(text, self.gateway_count, 2);
         self.number.encode(text);
         put_saturating(text, self.wait_budget.0, 2);
         self.sampling_fraction.0.encode(text);
@@ -212,7 +212,7 @@
             plan: take(bytes, 1)?,
             units: take(bytes, 1)?,
             first_gateway: take(bytes, 2)?,
-            gateways: take(bytes, 2)?,
+            gateway_count: take(bytes, 2)?,
             number: QuotaRequestNumber::decode(bytes)?,
             wait_budget: WaitBudget(take(bytes, 2)?),
             sampling_fraction: SamplingFraction(SixtyThirds::decode(bytes)?),
