--- a/crates/admission/src/action.rs
+++ b/crates/admission/src/action.rs
@@ -24,7 +24,9 @@
         /// The `Retry-After` of the response, in milliseconds from now; `None` for a response without one.
         retry_after_ms: Option<f64>,
     },
-    /// Give the client the final response that its request failed. The request may have run.
+    /// Give the client the final response that its request failed. Either the request may have run, or it was
+    /// not sent because it is invalid: its class or plan is not in the settings, or its id is that of an
+    /// active request.
     Fail {
         /// The failed request.
         request: RequestId,
@@ -54,7 +56,7 @@
     AddToCounter {
         /// The name of the count.
         name: u64,
-        /// The units to add; 0 only reads the count.
+        /// The units to add. If they are below 0, units are given back; 0 only reads the count.
         amount: f64,
         /// Time to live of the count if this call creates it, in milliseconds.
         ttl_ms: f64,
--- a/crates/admission/src/event_handling.rs
+++ b/crates/admission/src/event_handling.rs
@@ -8,8 +8,8 @@
 
 impl Gateway {
     /// Handles one event and appends the actions that follow to `actions`, in the order in which they are to
-    /// be carried out. Times must not decrease from event to event: an earlier time is treated as that of the
-    /// last event.
+    /// be carried out. If `now_ms` is earlier than the last event's time, the event is treated as having the
+    /// last event's time.
     pub fn on_event(&mut self, now_ms: f64, event: Event, actions: &mut Vec<Action>) {
         self.clock.advance(now_ms);
         if self.clock.start_upkeep() {
@@ -42,7 +42,8 @@
         }
     }
 
-    /// Handles a peer's message: counts in broadcast mode, gossip in a large fleet.
+    /// Handles a peer's message: counts in broadcast mode, gossip in the three other modes, of which only
+    /// gossip mode expects messages.
     fn on_peer_message(&mut self, from: GatewayIndex, body: &str, actions: &mut Vec<Action>) {
         match self.coordination.fleet_mode() {
             FleetMode::Broadcast => self.on_counts_message(from, body),
--- a/crates/admission/src/id.rs
+++ b/crates/admission/src/id.rs
@@ -1,4 +1,5 @@
-//! Identifiers of requests, customers and endpoints, and indexes into the settings.
+//! Identifiers of requests, customers and endpoints, indexes of classes and plans in the settings, and
+//! numbers of gateways, zones and kinds of machines.
 
 /// A request's id, unique among all requests that one gateway is given.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -39,14 +40,14 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct PlanIndex(pub usize);
 
-/// A gateway of the fleet, numbered from 0 in the order of the settings.
+/// A gateway of the fleet, by its number: from 0 to below `Settings::gateways`, the same at every gateway.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct GatewayIndex(pub usize);
 
-/// A zone, numbered from 0 in the order of the settings.
+/// A zone, by its number, from 0. The host program assigns the numbers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct ZoneIndex(pub usize);
 
-/// A kind of machine that endpoints run on, numbered from 0 in the order of the settings.
+/// A kind of machine that endpoints run on, by its number, from 0. The host program assigns the numbers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct MachineKindIndex(pub usize);
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -10,8 +10,9 @@
 //! - `lifecycle` admits requests, sends attempts, finishes requests, and updates the records of customers and
 //!   endpoints.
 //! - `policy` makes the decisions and holds the constants that they use, with one file for each decision.
-//! - `coordination` exchanges what gateways know of the fleet: counts in small fleets, gossip in large ones,
-//!   and calls to the shared counter if gateways may not send each other messages.
+//! - `coordination` shares quotas and load among the gateways: by counts in small fleets, by gossip and quota
+//!   requests in large ones. If gateways may not send each other messages, quotas are shared by calls to the
+//!   shared counter, or not at all.
 //! - `state` holds the records, `messages` encodes and decodes messages between gateways, and `mechanism`
 //!   holds well-known algorithms and data structures that take their parameters from the caller.
 
--- a/crates/admission/src/policy/customer_retention.rs
+++ b/crates/admission/src/policy/customer_retention.rs
@@ -29,7 +29,7 @@
 }
 
 /// Returns whether a customer that has been idle for `idle_ms` is evicted. A customer with attempts in flight
-/// at this gateway never is.
+/// that take a slot at this gateway never is.
 pub(crate) fn is_evicted(attempts_in_flight: u32, idle_ms: f64, idle_limit_ms: f64) -> bool {
     attempts_in_flight == 0 && idle_ms >= idle_limit_ms
 }
--- a/crates/admission/src/policy/queue/customer_limits.rs
+++ b/crates/admission/src/policy/queue/customer_limits.rs
@@ -29,8 +29,8 @@
     pub(crate) slots: Option<SlotUse>,
 }
 
-/// How many of a customer's slots are in use, and how they are divided among gateways. A slot is one of the
-/// attempts in flight that the plan's `concurrency_limit` allows.
+/// How many of a customer's slots are in use, and how they are divided among gateways. The plan's
+/// `PlanSettings::concurrency_limit` says what a slot is; here each attempt in flight takes one.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct SlotUse {
     /// The customer's attempts in flight that this gateway sent.
--- a/crates/admission/src/policy/quota_owner/owner_verdict.rs
+++ b/crates/admission/src/policy/quota_owner/owner_verdict.rs
@@ -1,5 +1,6 @@
-//! What the owner of a customer's quota decides on a quota request. A plan with a `concurrency_limit` has as
-//! many slots. At the owner a granted request takes one slot until it ends, however many attempts it has.
+//! What the owner of a customer's quota decides on a quota request. A customer's slots are those of its plan
+//! (`PlanSettings::concurrency_limit`): a granted request takes one until it ends, however many attempts it
+//! has.
 use crate::messages::quota_message::QuotaVerdict;
 use crate::policy::ample_quota::is_ample;
 use crate::policy::over_quota_use::allows_over_quota;
--- a/crates/admission/src/settings.rs
+++ b/crates/admission/src/settings.rs
@@ -51,7 +51,9 @@
     pub rate_per_second: f64,
     /// Capacity of the quota's token bucket, in units. The bucket starts full.
     pub burst_units: f64,
-    /// Maximum number of attempts that a customer may have in flight over all gateways; 0 means no limit.
+    /// Concurrency limit: the number of slots that a customer has over all gateways; 0 means no limit. An
+    /// attempt takes a slot while it is in flight. If the owner of the customer's quota granted the request,
+    /// the request takes one slot from the grant until it ends instead, however many attempts it has.
     pub concurrency_limit: u32,
     /// Factor on the value of a customer's requests.
     pub plan_weight: f64,
@@ -59,7 +61,9 @@
     pub over_quota_value: f64,
     /// Cost of a request over the quota, as a fraction of the request's value.
     pub over_quota_cost: f64,
-    /// Hard ceiling: the rate at which its token bucket fills, in units per second; 0 means no ceiling.
+    /// Hard ceiling: a second rate limit, which no request may exceed, not even one that may exceed the
+    /// quota. This is the rate at which the ceiling's token bucket fills, in units per second; 0 means no
+    /// ceiling.
     pub ceiling_rate_per_second: f64,
     /// Capacity of the hard ceiling's token bucket, in units.
     pub ceiling_burst_units: f64,
--- a/crates/admission/src/state/quota/quota_state.rs
+++ b/crates/admission/src/state/quota/quota_state.rs
@@ -12,7 +12,7 @@
     /// The quota's owner was sent a quota request at `sent_ms` and has not responded. `resends` is how often
     /// a quota request for the same request had been sent before.
     AwaitingOwner { owner: GatewayIndex, number: QuotaRequestNumber, sent_ms: f64, resends: u32 },
-    /// The owner queues the request until the customer has a free slot.
+    /// The owner queues the request until the customer has a free slot (`PlanSettings::concurrency_limit`).
     QueuedAtOwner { owner: GatewayIndex, number: QuotaRequestNumber },
     /// The owner granted the request. If the quota is `ample`, the true units need not be reported.
     GrantedByOwner { owner: GatewayIndex, number: QuotaRequestNumber, ample: bool },
@@ -58,8 +58,9 @@
         }
     }
 
-    /// Returns whether the request's attempts count as the customer's attempts in flight at this gateway. If
-    /// the owner granted the request, the owner counts them instead.
+    /// Returns whether the request's attempts each take a slot (`PlanSettings::concurrency_limit`) at this
+    /// gateway. If the owner granted the request, the request takes one slot at the owner instead. A request
+    /// that is `QuotaState::OverQuota` takes no slot.
     pub(crate) fn holds_slot_here(&self) -> bool {
         self.is_local_bucket()
             || matches!(self, QuotaState::AdmittedByCounter { .. } | QuotaState::AdmittedUncounted)
