--- a/crates/admission/src/coordination/count_reports.rs
+++ b/crates/admission/src/coordination/count_reports.rs
@@ -57,10 +57,11 @@
 }
 
 impl Gateway {
-    /// Sends each peer what has changed, if a round of reports is due. This gateway's report credit for a
-    /// peer limits the messages to it. A message for which there is no credit is dropped with its entries:
-    /// its counts are sent again only in the next round for which they are scheduled, and the units of its
-    /// ceiling transfers are lost.
+    /// If a round of reports is due, sends a report to each peer for which there is something new or whose
+    /// last report was long ago. A customer's entries go only to the gateways that its requests come through.
+    /// This gateway's report credit for a peer limits the messages to it. A message for which there is no
+    /// credit is dropped with its entries: its counts are sent again only in the next round for which they
+    /// are scheduled, and the units of its ceiling transfers are lost.
     pub(crate) fn broadcast_counts_if_due(&mut self, actions: &mut Vec<Action>) {
         let Coordination::Broadcast(broadcast) = &mut self.coordination else { return };
         let interval_ms = report_interval_ms(self.settings.gateways, self.settings.peer_messages_per_second);
--- a/crates/admission/src/coordination/counter_calls.rs
+++ b/crates/admission/src/coordination/counter_calls.rs
@@ -30,9 +30,10 @@
 }
 
 impl Gateway {
-    /// Begins the quota check of a queued request. Decides without a call if the customer cannot have enough
-    /// tokens, which follows from the counter's last reply and what the rate has added since. Calls the
-    /// counter if the request is sampled, and admits it uncounted if not.
+    /// Begins the quota check of a queued request. If the plan has no quota, only records the request with
+    /// its customer: the request's state stays `QuotaState::LocalBucket`. Otherwise decides without a call if
+    /// the customer cannot have enough tokens, which follows from the counter's last reply and what the rate
+    /// has added since. Calls the counter if the request is sampled, and admits it uncounted if not.
     pub(crate) fn check_quota_at_counter(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(active) = self.requests.get(id) else { return };
         let (key, plan_index) = (active.customer_key, active.request.plan);
@@ -86,7 +87,8 @@
     }
 
     /// Returns the units to give back for a request whose units were counted but not used; 0 if the refund is
-    /// not sampled.
+    /// not sampled. A refund that is sampled represents others that are not, and then gives back more than
+    /// `units`.
     pub(crate) fn refund_units(&mut self, units: f64) -> f64 {
         let sampling_fraction = self.counter_sampling_fraction();
         refund_units(units, sampling_fraction, self.random.next_fraction())
@@ -204,8 +206,9 @@
         customer.counter.record_tokens(tokens, self.clock.now_ms());
     }
 
-    /// Decides on a counted request, given the customer's tokens before it, and records the tokens left. The
-    /// units of a request that isn't admitted, or that no longer waits for the counter, are given back.
+    /// Decides on a counted request, given the customer's tokens before it, and records the tokens left. If
+    /// the request isn't admitted or no longer waits for the counter, its units are given back, as far as the
+    /// refund is sampled (`refund_units`).
     fn decide_counted(&mut self, key: CustomerKey, plan: PlanIndex, request: CountedRequest, tokens: f64) {
         let refund_units = self.refund_units(request.units);
         let active = self.requests.get_mut(request.id).filter(|active| active.awaits_counter());
@@ -224,8 +227,8 @@
         }
     }
 
-    /// Corrects the count by what an admitted request consumed in the end. All its units are given back if it
-    /// was never sent.
+    /// Corrects the count by what an admitted request consumed in the end. If it was never sent, its units
+    /// are given back instead, as far as the refund is sampled (`refund_units`).
     pub(crate) fn settle_with_counter(&mut self, active: &ActiveRequest, actions: &mut Vec<Action>) {
         let unsent = active.is_unsent();
         let correction_units = if unsent {
--- a/crates/admission/src/coordination/gossip_exchange.rs
+++ b/crates/admission/src/coordination/gossip_exchange.rs
@@ -1,4 +1,5 @@
-//! Gossip mode: exchange of fleet means and endpoint observations, which are carried by the quota messages.
+//! Large fleets: the means over the fleet. In gossip mode: exchange of these means and of endpoint
+//! observations, which are carried by the quota messages.
 use crate::action::Action;
 use crate::gateway::Gateway;
 use crate::id::GatewayIndex;
@@ -67,8 +68,10 @@
         gossip.add_message_tokens(accrued, max_message_tokens(accepted));
     }
 
-    /// Moves the fleet means towards this gateway's own measurements, and updates the typical age of
-    /// attempts.
+    /// Measures the band's ready capacity, moves the means that are passed on towards this gateway's own
+    /// values, and updates the typical age of attempts. In gossip mode the received means, on which decisions
+    /// are based, follow peers' messages alone. In counter and isolated mode they are replaced by the means
+    /// that are passed on.
     pub(crate) fn update_means(&mut self) {
         let load = self.band_load();
         self.band.set_ready_capacity(load.ready_capacity);
--- a/crates/admission/src/coordination/observations.rs
+++ b/crates/admission/src/coordination/observations.rs
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Ejects an endpoint for a plan after it rejected a request of this plan.
+    /// Ejects an endpoint for a plan after it rejected an attempt of this plan's request as overloaded.
     fn apply_overload(&mut self, tag: u32, plan: PlanIndex) {
         let (now_ms, jitter) = (self.clock.now_ms(), self.observation_jitter(tag));
         if let Some(endpoint) = self.endpoints.get_by_tag_mut(tag) {
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Records that an endpoint responded to a request of a class.
+    /// Records that an endpoint sent a good response to a request of a class.
     fn apply_response(&mut self, tag: u32, class: ClassIndex, response_time: ResponseTimeCode) {
         let now_ms = self.clock.now_ms();
         let Some(endpoint) = self.endpoints.get_by_tag_mut(tag) else { return };
--- a/crates/admission/src/coordination/quota_ownership.rs
+++ b/crates/admission/src/coordination/quota_ownership.rs
@@ -111,8 +111,8 @@
         }
     }
 
-    /// Applies the release of a request that has ended: settles its units, and grants its slot to a waiting
-    /// request.
+    /// Applies the release of a request that has ended. If the request had been granted, settles its units
+    /// and grants its slot to a waiting request. If it was only queued, removes it from the queue.
     fn on_quota_release(&mut self, from: GatewayIndex, release: QuotaRelease, actions: &mut Vec<Action>) {
         let Some(customer) = self.customers.get_mut(CustomerKey(release.customer)) else { return };
         let Some(plan) = customer.plan().map(|p| self.settings.plan(p)) else { return };
@@ -129,7 +129,8 @@
         }
     }
 
-    /// Grants a free slot to the request that has waited longest.
+    /// Grants a free slot to the request that has waited longest. Nothing is charged for the request's units,
+    /// because the record of a queued request doesn't contain them.
     fn grant_next_waiting(&mut self, key: CustomerKey, actions: &mut Vec<Action>) {
         let now_ms = self.clock.now_ms();
         let extension_ms = self.grant_extension_ms();
--- a/crates/admission/src/lifecycle/attempts.rs
+++ b/crates/admission/src/lifecycle/attempts.rs
@@ -46,7 +46,9 @@
         endpoint.record_sent(InFlightAttempt { sent_ms: now_ms, attempt_id });
     }
 
-    /// Counts a new attempt towards the limits of its customer, unless another gateway owns the quota.
+    /// Counts a new attempt towards its customer's limits at this gateway. Attempts of a request that the
+    /// quota's owner granted are not counted here, because the owner, which may be this gateway, counts the
+    /// request. Nor are those of a request that is `QuotaState::OverQuota`.
     fn count_attempt(&mut self, id: RequestId) {
         let Some(active) = self.requests.get(id) else { return };
         let key = active.customer_key;
@@ -100,8 +102,9 @@
         }
     }
 
-    /// Settles an ended attempt with its customer: frees the attempt's slot, and charges the units by which
-    /// the true units exceed the estimate.
+    /// Settles an ended attempt with its customer. Frees the slot if the attempt took one here. Charges the
+    /// difference of true and estimated units to the local token bucket if that decides on the quota;
+    /// otherwise adds the difference to the request, to be settled when the request ends.
     fn settle_attempt(&mut self, end: &AttemptEnd) {
         let Some(active) = self.requests.get_mut(end.request) else { return };
         let plan = self.settings.plan(active.request.plan);
--- a/crates/admission/src/lifecycle/band_control.rs
+++ b/crates/admission/src/lifecycle/band_control.rs
@@ -110,7 +110,8 @@
         self.band.set_dispatch_credit(credit);
     }
 
-    /// Spends the dispatch credit of one request.
+    /// Spends the dispatch credit of one attempt. Retries and hedges spend it too. In broadcast mode dispatch
+    /// credit is not used.
     pub(crate) fn spend_dispatch_credit(&mut self) {
         self.band.set_dispatch_credit(credit_after_send(self.band.dispatch_credit()));
     }
--- a/crates/admission/src/lifecycle/customers.rs
+++ b/crates/admission/src/lifecycle/customers.rs
@@ -17,8 +17,9 @@
         }
     }
 
-    /// Records that a request of a customer was received, by this gateway or by a peer that sent a quota
-    /// request for it. Creates the customer's record if there is none, refills it up to now and returns it.
+    /// Records a request of a customer: one that this gateway received, one about which it asks the owner
+    /// again, or one for which a peer sent a quota request. Creates the customer's record if there is none,
+    /// sets the plan if it isn't known, refills the token buckets up to now and returns the record.
     /// `gateways` are those that the customer's requests come through.
     pub(crate) fn record_customer_request(
         &mut self,
@@ -29,7 +30,7 @@
         self.record_customer_request_with_plan(key, plan, gateways).0
     }
 
-    /// Does the same as `record_customer_request`, and returns the record together with the customer's plan.
+    /// Records a request as `record_customer_request` does, and returns the customer's record and plan.
     pub(crate) fn record_customer_request_with_plan(
         &mut self,
         key: CustomerKey,
--- a/crates/admission/src/lifecycle/endpoint_choice.rs
+++ b/crates/admission/src/lifecycle/endpoint_choice.rs
@@ -23,14 +23,17 @@
         }
     }
 
-    /// Returns the endpoint of least cost, in broadcast mode.
+    /// Returns the endpoint of least cost among the fit ones, in broadcast mode. In a correlated failure
+    /// unfit endpoints are candidates too.
     fn select_by_cost(&self, id: RequestId) -> Option<EndpointId> {
         let active = self.requests.get(id)?;
         let candidates = self.eligible_endpoints(active).filter_map(|e| self.cost_candidate(active, e));
         selection::least_cost(candidates, self.outliers.is_correlated_failure())
     }
 
-    /// Returns an endpoint drawn at random, weighted by cost, in a large fleet.
+    /// Returns an endpoint drawn at random from the fit ones, in a large fleet. The lower an endpoint's cost,
+    /// the more likely it is drawn; its zone counts too. In a correlated failure unfit endpoints are
+    /// candidates too.
     fn select_by_draw(&self, id: RequestId, draw: f64) -> Option<EndpointId> {
         let active = self.requests.get(id)?;
         let warm_in_flight = self.warm_endpoints().map(|endpoint| endpoint.in_flight().len());
--- a/crates/admission/src/lifecycle/outlier_checks.rs
+++ b/crates/admission/src/lifecycle/outlier_checks.rs
@@ -43,8 +43,8 @@
         })
     }
 
-    /// Returns whether the fleet no longer gets responses from an endpoint. Always `false` in broadcast mode,
-    /// where gateways exchange no observations that would show it.
+    /// Returns whether the fleet no longer gets good responses from an endpoint. Always `false` in broadcast
+    /// mode, where gateways exchange no observations that would show it.
     pub(crate) fn is_unresponsive(&self, endpoint: &Endpoint) -> bool {
         let now_ms = self.clock.now_ms();
         match self.coordination.fleet_mode() {
@@ -60,8 +60,8 @@
         }
     }
 
-    /// Returns what the end of an attempt means for its endpoint. The endpoint's health must have recorded
-    /// that end already.
+    /// Returns whether the end of an attempt pauses or ejects its endpoint. The endpoint's health must have
+    /// recorded that end already.
     pub(crate) fn ejection_decision(
         &self,
         endpoint: &Endpoint,
--- a/crates/admission/src/lifecycle/request_deadlines.rs
+++ b/crates/admission/src/lifecycle/request_deadlines.rs
@@ -44,8 +44,9 @@
         }
     }
 
-    /// Returns how long the client of a new request has already waited, in milliseconds, and counts the
-    /// request's time budget in the vote on the class's most common time budget.
+    /// Counts the time budget of a new request, `time_left_ms`, in the vote on the most common time budget of
+    /// its class, and returns how long the request's client has already waited, in milliseconds. The time
+    /// budget is the time for which the client still waits.
     pub(crate) fn already_waited_ms(&mut self, class: ClassIndex, time_left_ms: f64) -> f64 {
         let votes = self.latency.record_time_budget(class, time_left_ms, TIME_BUDGET_VOTE);
         let settings = self.settings.class(class);
--- a/crates/admission/src/lifecycle/requests.rs
+++ b/crates/admission/src/lifecycle/requests.rs
@@ -54,8 +54,10 @@
         self.close(id, actions);
     }
 
-    /// Closes a request that has its final response or whose client has disconnected. Cancels its attempts in
-    /// flight, once, and removes the request when all its attempts have ended.
+    /// Closes a request that has its final response or whose client has disconnected. Takes the request out
+    /// of the queue. The first time, cancels its attempts in flight if the settings allow that. If no attempt
+    /// is in flight, also removes the request's record and settles its quota; otherwise this is called again
+    /// when an attempt ends.
     pub(crate) fn close(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(active) = self.requests.get_mut(id) else { return };
         let in_flight: Vec<u32> = active.attempts_in_flight().map(|(number, _)| number).collect();
--- a/crates/admission/src/lifecycle/retries.rs
+++ b/crates/admission/src/lifecycle/retries.rs
@@ -45,7 +45,8 @@
         true
     }
 
-    /// Hedges or cancels stalled attempts, except in a correlated failure, when no other endpoint is better.
+    /// Hedges or cancels stalled attempts. In a large fleet, also records observations of attempts that have
+    /// become slow. Does neither in a correlated failure, when no other endpoint is better.
     pub(crate) fn act_on_stalled_attempts(&mut self, actions: &mut Vec<Action>) {
         if self.outliers.is_correlated_failure() {
             return;
--- a/crates/admission/src/lifecycle/warm_up.rs
+++ b/crates/admission/src/lifecycle/warm_up.rs
@@ -55,6 +55,7 @@
 
     /// Refills warm-up tokens up to now, in broadcast mode, and then updates the send rates that the budgets
     /// depend on. The refill comes first, because tokens for the time until now accrue by the old budgets.
+    /// Does nothing, and leaves the send rates as they are, if no endpoint is warming up.
     pub(crate) fn refill_warm_up_tokens(&mut self) {
         let now_ms = self.clock.now_ms();
         let budget_of = |endpoint: &Endpoint| Some((endpoint.id(), self.warm_up_budget(endpoint)?));
