--- a/crates/admission/src/mechanism/backoff.rs
+++ b/crates/admission/src/mechanism/backoff.rs
@@ -22,7 +22,7 @@
     1.0 - spread / 2.0 + spread * draw
 }
 
-/// The delay after failures during which nothing is sent to the endpoint that failed.
+/// The delay after failures, during which the endpoint that failed is avoided.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct Backoff {
     /// When the present delay ends, in milliseconds.
@@ -43,7 +43,7 @@
     }
 
     /// Counts a failure and starts its delay, multiplied by `jitter`. A failure during a delay is not
-    /// counted: it is that of an attempt sent before the delay, and shows the same fault.
+    /// counted, because it is usually that of an attempt sent before the delay and shows the same fault.
     pub(crate) fn record_failure(&mut self, now_ms: f64, limits: BackoffLimits, jitter: f64) {
         if self.is_active(now_ms) {
             return;
--- a/crates/admission/src/mechanism/common_value.rs
+++ b/crates/admission/src/mechanism/common_value.rs
@@ -1,5 +1,6 @@
-//! Finds the most common value of a stream by majority vote. A value equal to the candidate adds votes for
-//! it, any other value removes one, and a candidate that has no votes left is replaced.
+//! Finds the most common value of a stream by a weighted Boyer-Moore majority vote. A value equal to the
+//! candidate adds votes for it, any other value removes one, and a candidate that has no votes left is
+//! replaced.
 
 /// The parameters of a vote on the most common value.
 #[derive(Debug, Clone, Copy)]
@@ -13,7 +14,7 @@
     pub max_votes: i32,
 }
 
-/// The value that was recorded most often recently, which is the candidate of the vote, and its votes.
+/// The candidate for the most common recent value, and its votes.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct MostCommonValue {
     value: f64,
--- a/crates/admission/src/mechanism/virtual_finish_queue.rs
+++ b/crates/admission/src/mechanism/virtual_finish_queue.rs
@@ -2,7 +2,7 @@
 //!
 //! The virtual finish time of a request is its size divided by its flow's weight, added to the later of two
 //! times: the virtual finish time of the request enqueued before it in the flow, and the queue's virtual
-//! time. The caller selects one of the heads of all flows and releases it, which sets the queue's virtual
+//! time. The caller selects one of the heads of all flows and dequeues it, which sets the queue's virtual
 //! time to that request's virtual finish time.
 use crate::id::{CustomerKey, RequestId};
 use std::collections::{BTreeMap, VecDeque};
@@ -33,12 +33,13 @@
     pub(crate) key: CustomerKey,
     /// The request.
     pub(crate) id: RequestId,
-    /// The request's virtual finish time. The head with the smallest one is released first.
+    /// The request's virtual finish time. Of the heads that may be sent, the caller sends the one with the
+    /// smallest first.
     pub(crate) virtual_finish: f64,
 }
 
 impl FlowHead {
-    /// Returns whether this head is released before another one.
+    /// Returns whether this head's virtual finish time is before that of another one.
     pub(crate) fn precedes(&self, other: &FlowHead) -> bool {
         self.virtual_finish < other.virtual_finish
     }
@@ -50,7 +51,7 @@
     flows: BTreeMap<CustomerKey, Flow>,
     /// Number of queued requests of all flows.
     len: usize,
-    /// Virtual finish time of the request that was released last.
+    /// Virtual finish time of the request that was dequeued last.
     virtual_time: f64,
 }
 
@@ -66,8 +67,8 @@
         self.flows.get(&key).map_or(0.0, |flow| flow.size)
     }
 
-    /// Adds a request to the end of its customer's flow. A flow of twice the `weight` releases twice the size
-    /// in the same virtual time.
+    /// Adds a request to the end of its customer's flow. From a flow of twice the `weight`, twice the size is
+    /// dequeued in the same virtual time.
     pub(crate) fn enqueue(&mut self, key: CustomerKey, id: RequestId, size: f64, weight: f64) {
         let flow = self.flows.entry(key).or_default();
         let virtual_finish = self.virtual_time.max(flow.last_finish) + size / weight;
--- a/crates/admission/src/messages/counts_message.rs
+++ b/crates/admission/src/messages/counts_message.rs
@@ -13,7 +13,7 @@
 /// Digits of a sequence number.
 const SEQUENCE_DIGITS: u32 = 2;
 
-/// Digits of the attempts that the sender has in flight.
+/// Digits of the sender's attempts in flight at the endpoints that its band counts.
 const SENDER_IN_FLIGHT_DIGITS: u32 = 2;
 
 /// Digits of a customer's tag.
@@ -82,11 +82,13 @@
 pub(crate) struct CountEntry {
     /// Tag of the customer, 24 bits.
     pub tag: u32,
-    /// Units that the sender has consumed since it started.
+    /// Units that the sender has taken from its own bucket of the quota since it created the customer's
+    /// record.
     pub consumed: ConsumedUnits,
     /// The tokens that the sender's bucket of the quota holds, as a fraction of the burst.
     pub fill: QuotaFill,
-    /// Attempts that the sender has in flight for the customer; a message carries 63 at most.
+    /// Attempts of the sender in flight for the customer that take a slot at the sender; a message carries 63
+    /// at most.
     pub in_flight: u32,
 }
 
@@ -118,7 +120,8 @@
     }
 }
 
-/// Units that a gateway has consumed since it started, as the low 18 bits of their quarters. The count wraps.
+/// Units that a gateway has taken from its own bucket of a customer's quota since it created the customer's
+/// record, as the low 18 bits of their quarters. The count wraps.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub(crate) struct ConsumedUnits(u32);
 
@@ -167,7 +170,8 @@
     pub incarnation: u32,
     /// Sequence number of the message among those to this receiver, 12 bits.
     pub sequence: u32,
-    /// Attempts that the sender has in flight; a message carries 4095 at most.
+    /// Attempts that the sender has in flight at the endpoints that its band counts; a message carries 4095
+    /// at most.
     pub in_flight: u32,
     /// Watermark of the sender.
     pub watermark: WatermarkOnWire,
--- a/crates/admission/src/messages/gossip_message.rs
+++ b/crates/admission/src/messages/gossip_message.rs
@@ -21,7 +21,7 @@
     pub requests: Vec<QuotaRequest>,
     /// Responses to the receiver's quota requests.
     pub responses: Vec<QuotaResponse>,
-    /// Releases of requests that the receiver granted or queued and that have ended.
+    /// Releases of requests that have ended after the receiver was sent a quota request for them.
     pub releases: Vec<QuotaRelease>,
     /// The sender's observations of endpoints.
     pub observations: Vec<Observation>,
@@ -31,7 +31,7 @@
 /// carries.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub(crate) struct MeansOnWire {
-    /// Mean attempts in flight of a gateway.
+    /// Mean attempts in flight of a gateway, at the endpoints that its band counts.
     in_flight: FixedPoint<64, 2>,
     /// Mean watermark.
     watermark: FixedPoint<32, 2>,
--- a/crates/admission/src/messages/observation_code.rs
+++ b/crates/admission/src/messages/observation_code.rs
@@ -8,9 +8,9 @@
 /// Code of a failure, relative to the first code of its class.
 const FAILURE_CODE: u32 = 63;
 
-/// First code for a rejected request. The codes from here on identify the request's plan, and lower codes
-/// identify a class. Only classes 0 to 61 have all their codes below it: a failure and the highest steps of
-/// class 62, and all observations of higher classes, are read as rejections of a plan.
+/// First code of `ObservationKind::Overloaded`. The codes from here on identify the request's plan, and lower
+/// codes identify a class. Only classes 0 to 61 have all their codes below it: a failure and the highest
+/// steps of class 62, and all observations of higher classes, are read as `Overloaded`.
 const FIRST_PLAN_CODE: u32 = 4000;
 
 /// Highest code that two digits carry.
@@ -41,7 +41,7 @@
 /// What an attempt showed about its endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ObservationKind {
-    /// The endpoint responded to a request of a class.
+    /// The endpoint sent a good response to a request of a class.
     Responded {
         /// Class of the request, an index into the settings.
         class: ClassIndex,
@@ -54,7 +54,7 @@
         /// Class of the request, an index into the settings.
         class: ClassIndex,
     },
-    /// The endpoint rejected a request of a plan.
+    /// The endpoint rejected an attempt of a plan's request as overloaded.
     Overloaded {
         /// Plan of the request's customer, an index into the settings.
         plan: PlanIndex,
--- a/crates/admission/src/messages/quota_message.rs
+++ b/crates/admission/src/messages/quota_message.rs
@@ -22,7 +22,8 @@
     pub gateway_count: u32,
     /// Number of the quota request at its sender.
     pub number: QuotaRequestNumber,
-    /// Time for which a response is of use to the sender.
+    /// Time for which the request may wait at the owner for a grant; a later grant is of no use to the
+    /// sender.
     pub wait_budget: WaitBudget,
     /// Fraction of the customer's requests for which the sender sends quota requests.
     pub sampling_fraction: SamplingFraction,
@@ -39,7 +40,8 @@
     pub sampling_fraction: SamplingFraction,
 }
 
-/// A notice to the owner of a customer's quota that a request which it granted or queued has ended.
+/// A notice to the owner of a customer's quota that a request has ended for which the owner was sent a quota
+/// request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct QuotaRelease {
     /// Full id of the customer.
@@ -147,7 +149,7 @@
     }
 }
 
-/// A time span in steps of 16 ms, 65 s at most.
+/// The time for which a request may wait for a grant, in steps of 16 ms, 65 s at most.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct WaitBudget(u32);
 
@@ -155,13 +157,13 @@
     /// Length of a step in ms.
     const STEP_MS: f64 = 16.0;
 
-    /// Returns the span rounded down to whole steps.
+    /// Returns the time rounded down to whole steps.
     pub(crate) fn from_ms(ms: f64) -> Self {
         let steps = (ms.max(0.0) / Self::STEP_MS) as u32;
         WaitBudget(steps.min(MAX_TWO_DIGITS))
     }
 
-    /// Returns the span in ms.
+    /// Returns the time in ms.
     pub(crate) fn ms(self) -> f64 {
         Self::STEP_MS * f64::from(self.0)
     }
--- a/crates/admission/src/state/fleet/band_state.rs
+++ b/crates/admission/src/state/fleet/band_state.rs
@@ -18,7 +18,7 @@
     stepped_ms: f64,
     /// Ready endpoints as the band last counted them; an endpoint that is warming up counts as a fraction.
     ready_capacity: f64,
-    /// Requests that this gateway may send by its equal share of the band; below 0, the credit is overdrawn.
+    /// Attempts that this gateway may send by its equal share of the band; below 0, the credit is overdrawn.
     dispatch_credit: f64,
     /// When dispatch credit and message tokens were last refilled, in milliseconds.
     refilled_ms: f64,
@@ -36,9 +36,9 @@
 /// The band of a fleet in broadcast mode, whose gateways report their counts to each other.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct BroadcastBand {
-    /// Attempts that this gateway has in flight.
+    /// Attempts that this gateway has in flight at the endpoints that the band counts.
     pub(crate) own_in_flight: f64,
-    /// Attempts that all gateways together have in flight.
+    /// Attempts that all gateways together have in flight, each at the endpoints that its own band counts.
     pub(crate) in_flight: f64,
     /// Attempts in flight that the band is centred on.
     pub(crate) middle: f64,
@@ -187,12 +187,12 @@
         self.ready_capacity = ready_capacity;
     }
 
-    /// Returns the requests that this gateway may send by its equal share of the band.
+    /// Returns the attempts that this gateway may send by its equal share of the band.
     pub(crate) fn dispatch_credit(&self) -> f64 {
         self.dispatch_credit
     }
 
-    /// Sets the requests that this gateway may send by its equal share of the band.
+    /// Sets the attempts that this gateway may send by its equal share of the band.
     pub(crate) fn set_dispatch_credit(&mut self, dispatch_credit: f64) {
         self.dispatch_credit = dispatch_credit;
     }
--- a/crates/admission/src/state/fleet/broadcast_peer.rs
+++ b/crates/admission/src/state/fleet/broadcast_peer.rs
@@ -15,7 +15,8 @@
     watermark: f64,
     /// When the last message was received, in ms.
     received_ms: f64,
-    /// Number of reports that may be sent to the peer now.
+    /// Report credit: the number of reports that may be sent to the peer now. Like the message tokens of
+    /// gossip mode, it is a budget that is to keep messages within what gateways accept.
     credit: TokenCount,
     /// When credit was last added, in ms.
     credited_ms: f64,
@@ -84,7 +85,7 @@
         self.credited_ms = now_ms;
     }
 
-    /// Returns the number of reports that may be sent to the peer now.
+    /// Returns the report credit: the number of reports that may be sent to the peer now.
     pub(crate) fn credit(&self) -> f64 {
         self.credit.tokens()
     }
--- a/crates/admission/src/state/fleet/fleet_means.rs
+++ b/crates/admission/src/state/fleet/fleet_means.rs
@@ -19,7 +19,7 @@
 /// Values of one gateway, averaged over the gateways of the fleet.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct GatewayMeans {
-    /// Mean attempts in flight of a gateway.
+    /// Mean attempts in flight of a gateway, at the endpoints that its band counts.
     pub(crate) in_flight: f64,
     /// Mean good responses of a gateway per second.
     pub(crate) responses_per_second: f64,
--- a/crates/admission/src/state/fleet/gateway_set.rs
+++ b/crates/admission/src/state/fleet/gateway_set.rs
@@ -21,8 +21,8 @@
     fleet_size: usize,
 }
 
-/// A gateway and its rank for one customer. The gateway of the lowest rank in a set owns the customer's
-/// quota.
+/// A gateway and its rank for one customer. Of the gateways in a set, the one of the lowest rank that is not
+/// suspected to be down owns the customer's quota.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct RankedGateway {
     /// The rank, evenly distributed over all gateways and customers.
--- a/crates/admission/src/state/fleet/gossip_peers.rs
+++ b/crates/admission/src/state/fleet/gossip_peers.rs
@@ -12,10 +12,10 @@
 pub(crate) struct Gossip {
     /// The other gateways, by number.
     peers: BTreeMap<GatewayIndex, GossipPeer>,
-    /// Quota requests that await a response.
+    /// Quota requests that await a response or a grant, by their number.
     pub(crate) pending_requests: PendingQuotaRequests,
-    /// Message tokens. Each quota request costs one, so that no gateway is sent more messages than it
-    /// accepts.
+    /// Message tokens. Each quota request to another gateway costs one, to keep messages within what gateways
+    /// accept; responses and releases cost none.
     message_tokens: TokenCount,
     /// Rate of received messages that carry quota requests or releases of other gateways, per second.
     received_rate: DecayingRate,
@@ -43,7 +43,7 @@
         self.peers.get_mut(&gateway)
     }
 
-    /// Returns the message tokens: the number of quota requests that may be sent now.
+    /// Returns the message tokens: the number of quota requests that may be sent to other gateways now.
     pub(crate) fn message_tokens(&self) -> f64 {
         self.message_tokens.tokens()
     }
--- a/crates/admission/src/state/quota/customer_record.rs
+++ b/crates/admission/src/state/quota/customer_record.rs
@@ -21,7 +21,8 @@
     ceiling: TokenBucket,
     /// When the customer's last request, or a peer's last report about the customer, was received, in ms.
     last_used_ms: f64,
-    /// Attempts that this gateway has in flight for the customer.
+    /// Attempts of this gateway in flight for the customer that take a slot here
+    /// (`QuotaState::holds_slot_here`).
     in_flight: u32,
     /// Broadcast mode: what gateways report to each other about the customer.
     pub(crate) reports: CustomerReports,
@@ -123,12 +124,12 @@
         self.ceiling.skip_refill(now_ms);
     }
 
-    /// Counts an attempt that this gateway has sent.
+    /// Counts an attempt that this gateway has sent and that takes a slot here.
     pub(crate) fn start_attempt(&mut self) {
         self.in_flight += 1;
     }
 
-    /// Counts an attempt of this gateway that has ended.
+    /// Counts an attempt of this gateway that has ended and frees its slot here.
     pub(crate) fn end_attempt(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
@@ -139,7 +140,8 @@
         now_ms - self.last_used_ms
     }
 
-    /// Returns the attempts that this gateway has in flight for the customer.
+    /// Returns this gateway's attempts in flight for the customer that take a slot here
+    /// (`QuotaState::holds_slot_here`).
     pub(crate) fn in_flight(&self) -> u32 {
         self.in_flight
     }
--- a/crates/admission/src/state/quota/customer_reports.rs
+++ b/crates/admission/src/state/quota/customer_reports.rs
@@ -6,7 +6,8 @@
 /// What gateways have reported to each other about one customer, and what is still to be sent.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct CustomerReports {
-    /// Units that this gateway has consumed since it started.
+    /// Units that this gateway has taken from its own bucket of the quota since the customer's record was
+    /// created. A record that is created again after its eviction starts at 0 under the same incarnation.
     consumed_units: f64,
     /// Last count of each peer.
     peers: BTreeMap<GatewayIndex, PeerCount>,
@@ -23,9 +24,9 @@
 pub(crate) struct PeerCount {
     /// Incarnation of the peer that sent the count.
     pub(crate) incarnation: u32,
-    /// Units that the peer has consumed since it started.
+    /// Units that the peer has taken from its own bucket of the quota since it created the customer's record.
     pub(crate) consumed: ConsumedUnits,
-    /// Attempts that the peer has in flight for the customer.
+    /// Attempts of the peer in flight for the customer that take a slot at the peer.
     pub(crate) in_flight: u32,
     /// When the report was received, in ms.
     pub(crate) received_ms: f64,
@@ -61,7 +62,8 @@
         self.consumed_units += units;
     }
 
-    /// Returns the units that this gateway has consumed since it started.
+    /// Returns the units that this gateway has taken from its own bucket of the quota since the customer's
+    /// record was created.
     pub(crate) fn consumed_units(&self) -> f64 {
         self.consumed_units
     }
@@ -78,7 +80,8 @@
     /// Returns the units that a peer consumed since its last count.
     ///
     /// This guards against a peer that restarted, whose count is lower than before: its incarnation has
-    /// changed, and its count is taken from 0.
+    /// changed, and its count is taken from 0. A count that restarts because the peer evicted the customer is
+    /// not recognized: the incarnation is the same, and a lower count is taken as units given back.
     pub(crate) fn consumption_since_last(
         &self,
         peer: GatewayIndex,
--- a/crates/admission/src/state/quota/pending_quota_requests.rs
+++ b/crates/admission/src/state/quota/pending_quota_requests.rs
@@ -1,4 +1,4 @@
-//! Gossip mode: quota requests that this gateway has sent to owners and that await a response.
+//! Gossip mode: quota requests that this gateway has sent to owners and that await a response or a grant.
 use crate::id::{GatewayIndex, RequestId};
 use crate::messages::quota_message::QuotaRequestNumber;
 use crate::state::QuotaState;
@@ -22,7 +22,8 @@
     Over,
 }
 
-/// Quota requests that await a response, by their number.
+/// Quota requests that await a response or a grant, by their number. Some of them may have been decided
+/// without the owner in the meantime.
 #[derive(Debug, Default)]
 pub(crate) struct PendingQuotaRequests {
     /// The request that each quota request was sent for.
@@ -32,7 +33,8 @@
 }
 
 impl PendingQuotaRequests {
-    /// Returns the number for a quota request to the owner `to`, for a request in this state.
+    /// Returns the number for a quota request to the owner `to`, for a request in this state. If the request
+    /// awaits the response of another owner, the quota request to that owner is removed.
     ///
     /// This guards against a lost response, after which the owner would grant the same request twice: a quota
     /// request that is repeated to the same owner keeps its number, by which the owner recognizes it.
@@ -58,13 +60,13 @@
         self.pending.get(&number).copied()
     }
 
-    /// Removes a quota request that awaits no response any more.
+    /// Removes a quota request that awaits no response or grant any more.
     pub(crate) fn remove(&mut self, number: QuotaRequestNumber) {
         self.pending.remove(&number);
     }
 
-    /// Returns the requests of all recorded quota requests, in the order of their numbers. Some of them may
-    /// have been decided without the owner in the meantime.
+    /// Returns the requests of all recorded quota requests, in the order of the quota requests' numbers. Some
+    /// of them may have been decided without the owner in the meantime.
     pub(crate) fn request_ids(&self) -> impl Iterator<Item = RequestId> + '_ {
         self.pending.values().copied()
     }
--- a/crates/admission/src/state/request/active_request.rs
+++ b/crates/admission/src/state/request/active_request.rs
@@ -22,7 +22,7 @@
     /// State of the request's quota check.
     quota_state: QuotaState,
     /// Units by which the attempts' true units exceed the estimate, below 0 if they fall short of it. They
-    /// are summed only if another gateway or the counter counts the quota.
+    /// are summed unless this gateway's token bucket decides on the quota, which is charged at once.
     excess_units: f64,
 }
 
@@ -59,13 +59,13 @@
     }
 
     /// Adds the units by which an ended attempt's true units exceed the estimate, below 0 if they fall short
-    /// of it, to be settled with the owner or the counter that counts the quota.
+    /// of it, to be settled with the quota's owner or the counter if one of them counts the request.
     pub(crate) fn add_excess_units(&mut self, excess_units: f64) {
         self.excess_units += excess_units;
     }
 
     /// Returns the units by which the attempts' true units exceed the estimate, below 0 if they fall short of
-    /// it, if another gateway or the counter counts the quota.
+    /// it; 0 if this gateway's token bucket decides on the quota.
     pub(crate) fn excess_units(&self) -> f64 {
         self.excess_units
     }
--- a/crates/admission/src/tests/quota_rules/message_bounds.rs
+++ b/crates/admission/src/tests/quota_rules/message_bounds.rs
@@ -16,21 +16,21 @@
     Observation::decode(&mut text.bytes()).expect("all digits are there").kind
 }
 
-/// The codes of classes end where those of plans begin, so a failure of class 62 or above is received as the
-/// rejection of a plan.
+/// The codes of classes end where those of plans begin, so a failure of class 62 or above is received as
+/// `Overloaded` for a plan.
 #[test]
 fn classes_above_61_and_plans_above_95_share_codes() {
     let failed = |class| ObservationKind::Failed { class: ClassIndex(class) };
-    let rejected = |plan| ObservationKind::Overloaded { plan: PlanIndex(plan) };
+    let overloaded = |plan| ObservationKind::Overloaded { plan: PlanIndex(plan) };
     let cases = [
         (failed(0), failed(0)),
         (failed(61), failed(61)),
-        (failed(62), rejected(31)),
-        (failed(63), rejected(95)),
-        (failed(200), rejected(95)),
-        (rejected(0), rejected(0)),
-        (rejected(95), rejected(95)),
-        (rejected(96), rejected(95)),
+        (failed(62), overloaded(31)),
+        (failed(63), overloaded(95)),
+        (failed(200), overloaded(95)),
+        (overloaded(0), overloaded(0)),
+        (overloaded(95), overloaded(95)),
+        (overloaded(96), overloaded(95)),
     ];
     for (sent, expected) in cases {
         assert_eq!(received(sent), expected, "{sent:?}");
