--- a/crates/admission/src/coordination/quota_ownership.rs
+++ b/crates/admission/src/coordination/quota_ownership.rs
@@ -129,8 +129,8 @@
         }
     }
 
-    /// Grants a free slot to the request that has waited longest. Nothing is charged for the request's units,
-    /// because the record of a queued request doesn't contain them.
+    /// Grants a free slot to the request that has waited longest. Neither the quota nor the ceiling is
+    /// charged with the request's units, because the record of a queued request doesn't contain them.
     fn grant_next_waiting(&mut self, key: CustomerKey, actions: &mut Vec<Action>) {
         let now_ms = self.clock.now_ms();
         let extension_ms = self.grant_extension_ms();
--- a/crates/admission/src/settings.rs
+++ b/crates/admission/src/settings.rs
@@ -61,9 +61,8 @@
     pub over_quota_value: f64,
     /// Cost of a request over the quota, as a fraction of the request's value.
     pub over_quota_cost: f64,
-    /// Hard ceiling: a second rate limit, which no request may exceed, not even one that may exceed the
-    /// quota. This is the rate at which the ceiling's token bucket fills, in units per second; 0 means no
-    /// ceiling.
+    /// Hard ceiling: a second rate limit, which holds also for requests that may exceed the quota. This is
+    /// the rate at which the ceiling's token bucket fills, in units per second; 0 means no ceiling.
     pub ceiling_rate_per_second: f64,
     /// Capacity of the hard ceiling's token bucket, in units.
     pub ceiling_burst_units: f64,
