--- a/crates/admission/src/coordination/observations.rs
+++ b/crates/admission/src/coordination/observations.rs
@@ -28,7 +28,7 @@
 
     /// Records an observation of kind `Failed` for each attempt in flight of this gateway that has become
     /// slow since the last round of upkeep.
-    pub(crate) fn report_slow_attempts(&mut self) {
+    pub(crate) fn observe_slow_attempts(&mut self) {
         let slow = self.requests.attempts_in_flight().filter(|attempt| self.has_become_slow(attempt));
         for InFlightAttemptWithClass { endpoint, class, .. } in slow.collect::<Vec<_>>() {
             self.record_observation(endpoint, ObservationKind::Failed { class });
@@ -45,7 +45,7 @@
     /// Applies an observation, whether made by this gateway or received from a peer.
     pub(crate) fn apply_observation(&mut self, observation: Observation) {
         match observation.kind {
-            ObservationKind::Rejected { plan } => self.apply_rejection(observation.endpoint, plan),
+            ObservationKind::Overloaded { plan } => self.apply_overload(observation.endpoint, plan),
             ObservationKind::Failed { class } => self.apply_failure(observation.endpoint, class),
             ObservationKind::Responded { class, response_time } => {
                 self.apply_response(observation.endpoint, class, response_time);
@@ -53,8 +53,8 @@
         }
     }
 
-    /// Ejects an endpoint for a plan after it rejected a request of this plan.
-    fn apply_rejection(&mut self, tag: u32, plan: PlanIndex) {
+    /// Ejects an endpoint for a plan after it rejected an attempt of this plan's request as overloaded.
+    fn apply_overload(&mut self, tag: u32, plan: PlanIndex) {
         let (now_ms, jitter) = (self.clock.now_ms(), self.observation_jitter(tag));
         if let Some(endpoint) = self.endpoints.get_by_tag_mut(tag) {
             endpoint.observed_health.eject(EjectionScope::Plan(plan), now_ms, SCOPED_EJECTION, jitter);
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Records that an endpoint responded to a request of a class.
+    /// Records that an endpoint sent a good response to a request of a class.
     fn apply_response(&mut self, tag: u32, class: ClassIndex, response_time: ResponseTimeCode) {
         let now_ms = self.clock.now_ms();
         let Some(endpoint) = self.endpoints.get_by_tag_mut(tag) else { return };
--- a/crates/admission/src/coordination/quota_ownership.rs
+++ b/crates/admission/src/coordination/quota_ownership.rs
@@ -71,7 +71,7 @@
         let now_ms = self.clock.now_ms();
         let received = self.received_quota_request(from, request);
         let key = CustomerKey(request.customer);
-        let (customer, plan) = self.customer_with_plan(key, plan_index, gateways);
+        let (customer, plan) = self.record_customer_request_with_plan(key, plan_index, gateways);
         customer.grants.expire(now_ms);
         let verdict = apply_quota_request(customer, plan, &received, now_ms);
         let verdict = verdict_to_send(plan, verdict, customer.quota_tokens());
@@ -91,7 +91,7 @@
     /// gateway can never own.
     fn checked_gateways(&self, from: GatewayIndex, request: &QuotaRequest) -> Option<GatewaySet> {
         let first = GatewayIndex(request.first_gateway as usize);
-        let len = request.gateways as usize;
+        let len = request.gateway_count as usize;
         let gateways = GatewaySet::try_new(first, len, self.settings.gateways)?;
         (gateways.contains(from) && gateways.contains(self.settings.this_gateway)).then_some(gateways)
     }
@@ -111,8 +111,8 @@
         }
     }
 
-    /// Applies the release of a request that has ended: settles its units, and grants its slot to a waiting
-    /// request.
+    /// Applies the release of a request that has ended. If the request had been granted, settles its units
+    /// and grants its slot to a waiting request. If it was only queued, removes it from the queue.
     fn on_quota_release(&mut self, from: GatewayIndex, release: QuotaRelease, actions: &mut Vec<Action>) {
         let Some(customer) = self.customers.get_mut(CustomerKey(release.customer)) else { return };
         let Some(plan) = customer.plan().map(|p| self.settings.plan(p)) else { return };
@@ -129,7 +129,8 @@
         }
     }
 
-    /// Grants a free slot to the request that has waited longest.
+    /// Grants a free slot to the request that has waited longest. Neither the quota nor the ceiling is
+    /// charged with the request's units, because the record of a queued request doesn't contain them.
     fn grant_next_waiting(&mut self, key: CustomerKey, actions: &mut Vec<Action>) {
         let now_ms = self.clock.now_ms();
         let extension_ms = self.grant_extension_ms();
--- a/crates/admission/src/coordination/quota_requests.rs
+++ b/crates/admission/src/coordination/quota_requests.rs
@@ -41,7 +41,7 @@
                 active.set_quota_state(QuotaState::LocalBucket { within_quota: true });
                 let (key, plan) = (active.customer_key, active.request.plan);
                 let gateways = GatewaySet::of_request(&active.request, self.settings.gateways);
-                self.customer_entry(key, plan, gateways);
+                self.record_customer_request(key, plan, gateways);
             }
         }
     }
@@ -56,14 +56,14 @@
         let (key, previous) = (active.customer_key, active.quota_state());
         let (plan, units) = (active.request.plan, active.request.units);
         let gateways = GatewaySet::of_request(&active.request, self.settings.gateways);
-        let customer = self.customer_entry(key, plan, gateways);
+        let customer = self.record_customer_request(key, plan, gateways);
         let sampling =
             sampling_fraction_at_age(customer.sampling_fraction(), customer.sampling_age_ms(now_ms));
         let sampling_fraction = SamplingFraction::nearest_above_zero(sampling);
         let Some(gossip) = self.coordination.gossip_mut() else { return };
         let is_suspected = |gateway| gossip.is_suspected(gateway, now_ms);
         let owner = select_owner(gateways.rendezvous_ranking(key), is_suspected, this_gateway);
-        let number = gossip.requests.number_for(previous, owner);
+        let number = gossip.pending_requests.number_for(previous, owner);
         let route = route_quota_request(QuotaRouteInput {
             owns_quota: owner == this_gateway,
             resends,
@@ -79,7 +79,7 @@
             plan: plan.0 as u32,
             units: units.ceil().max(0.0) as u32,
             first_gateway: gateways.first().0 as u32,
-            gateways: gateways.len() as u32,
+            gateway_count: gateways.len() as u32,
             number,
             wait_budget,
             sampling_fraction,
@@ -104,7 +104,7 @@
         let number = request.number;
         let sent_ms = self.clock.now_ms();
         active.set_quota_state(QuotaState::AwaitingOwner { owner, number, sent_ms, resends });
-        gossip.requests.insert(number, id);
+        gossip.pending_requests.insert(number, id);
         self.send_gossip(owner, GossipMessage::request(request), actions);
     }
 
@@ -149,7 +149,7 @@
     fn missed_responses(&self) -> Vec<MissedResponse> {
         let Some(gossip) = self.coordination.gossip() else { return Vec::new() };
         let wait_ms = response_wait_ms(self.settings.shortest_objective_ms());
-        let missed = gossip.requests.waiting().filter_map(|id| {
+        let missed = gossip.pending_requests.request_ids().filter_map(|id| {
             let active = self.requests.get(id)?;
             let QuotaState::AwaitingOwner { owner, sent_ms, resends, .. } = active.quota_state() else {
                 return None;
@@ -163,14 +163,14 @@
     pub(crate) fn on_quota_response(&mut self, from: GatewayIndex, response: QuotaResponse) {
         let number = response.number;
         let Some(gossip) = self.coordination.gossip_mut() else { return };
-        let Some(id) = gossip.requests.get(number) else { return };
-        let Some(active) = self.requests.get_mut(id) else { return gossip.requests.remove(number) };
+        let Some(id) = gossip.pending_requests.get(number) else { return };
+        let Some(active) = self.requests.get_mut(id) else { return gossip.pending_requests.remove(number) };
         if !active.quota_state().awaits_response(from, number) {
             return;
         }
         active.set_quota_state(QuotaState::after_verdict(response.verdict, from, number));
         if response.verdict != QuotaVerdict::Queued {
-            gossip.requests.remove(number);
+            gossip.pending_requests.remove(number);
         }
         if let Some(customer) = self.customers.get_mut(active.customer_key) {
             customer.set_sampling_fraction(response.sampling_fraction.fraction(), self.clock.now_ms());
--- a/crates/admission/src/lifecycle/retries.rs
+++ b/crates/admission/src/lifecycle/retries.rs
@@ -45,7 +45,8 @@
         true
     }
 
-    /// Hedges or cancels stalled attempts, except in a correlated failure, when no other endpoint is better.
+    /// Hedges or cancels stalled attempts. In a large fleet, also records observations of attempts that have
+    /// become slow. Does neither in a correlated failure, when no other endpoint is better.
     pub(crate) fn act_on_stalled_attempts(&mut self, actions: &mut Vec<Action>) {
         if self.outliers.is_correlated_failure() {
             return;
@@ -54,7 +55,7 @@
             FleetMode::Broadcast => self.attempts_at_outliers(),
             FleetMode::LargeFleet => {
                 let stalled = self.stalled_attempts();
-                self.report_slow_attempts();
+                self.observe_slow_attempts();
                 stalled
             }
         };
--- a/crates/admission/src/state/fleet/gossip_peers.rs
+++ b/crates/admission/src/state/fleet/gossip_peers.rs
@@ -12,10 +12,10 @@
 pub(crate) struct Gossip {
     /// The other gateways, by number.
     peers: BTreeMap<GatewayIndex, GossipPeer>,
-    /// Quota requests that await a response.
-    pub(crate) requests: PendingQuotaRequests,
-    /// Message tokens. Each quota request costs one, so that no gateway is sent more messages than it
-    /// accepts.
+    /// Quota requests that await a response or a grant, by their number.
+    pub(crate) pending_requests: PendingQuotaRequests,
+    /// Message tokens. Each quota request to another gateway costs one, to keep messages within what gateways
+    /// accept; responses and releases cost none.
     message_tokens: TokenCount,
     /// Rate of received messages that carry quota requests or releases of other gateways, per second.
     received_rate: DecayingRate,
@@ -27,7 +27,7 @@
     pub(crate) fn new(settings: &Settings, message_tokens: f64) -> Self {
         Gossip {
             peers: peer_indices(settings).map(|peer| (peer, GossipPeer::default())).collect(),
-            requests: PendingQuotaRequests::default(),
+            pending_requests: PendingQuotaRequests::default(),
             message_tokens: TokenCount::new(message_tokens),
             received_rate: DecayingRate::default(),
         }
@@ -43,7 +43,7 @@
         self.peers.get_mut(&gateway)
     }
 
-    /// Returns the message tokens: the number of quota requests that may be sent now.
+    /// Returns the message tokens: the number of quota requests that may be sent to other gateways now.
     pub(crate) fn message_tokens(&self) -> f64 {
         self.message_tokens.tokens()
     }
