--- a/crates/admission/src/lifecycle/request_admission.rs
+++ b/crates/admission/src/lifecycle/request_admission.rs
@@ -5,7 +5,7 @@
 use crate::policy::admission::local_bucket::{check_local_bucket, withheld_burst_units, LocalBucketInput};
 use crate::policy::admission::new_request::{
     admit_in_broadcast_mode, admit_in_large_fleet, lacks_ceiling_units_only, queue_or_reject,
-    reject_if_too_late, Admission, AdmissionInput, LargeFleetAdmissionInput,
+    reject_if_too_late, Admission, BroadcastAdmissionInput, LargeFleetAdmissionInput,
 };
 use crate::policy::queue::flow_weight::{
     flow_weight, request_size_in_broadcast_mode, request_size_in_large_fleet,
@@ -25,7 +25,7 @@
             return;
         }
         let Some(limits) = self.customer_limits(id) else { return };
-        let input = AdmissionInput {
+        let input = BroadcastAdmissionInput {
             quota,
             limits,
             band: self.band_position(id),
--- a/crates/admission/src/policy/admission/new_request.rs
+++ b/crates/admission/src/policy/admission/new_request.rs
@@ -26,7 +26,7 @@
 
 /// The input of admission in broadcast mode, for a request that is known to be in time.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct AdmissionInput {
+pub(crate) struct BroadcastAdmissionInput {
     /// The result of checking the request against the customer's token bucket.
     pub(crate) quota: LocalBucketCheck,
     /// Whether the customer's concurrency limit and ceiling permit the request now.
@@ -61,7 +61,7 @@
 /// Decides on a new request in broadcast mode. A request within its quota may be sent while the fleet's
 /// attempts in flight are below the band's upper bound. A request over its quota may be sent only if the plan
 /// allows that, and only below the lower bound, to which queued requests are also held.
-pub(crate) fn admit_in_broadcast_mode(input: &AdmissionInput) -> Admission {
+pub(crate) fn admit_in_broadcast_mode(input: &BroadcastAdmissionInput) -> Admission {
     let may_send = if input.quota.is_within_quota {
         input.band.permits_new_request() && input.limits == LimitDecision::Admit
     } else {
@@ -76,7 +76,7 @@
 
 /// Decides on a request in broadcast mode that is not sent now: it is queued if it is within its quota and
 /// the queue is not full, and rejected otherwise.
-pub(crate) fn queue_or_reject(input: &AdmissionInput) -> Admission {
+pub(crate) fn queue_or_reject(input: &BroadcastAdmissionInput) -> Admission {
     if input.quota.is_within_quota && input.queued_requests < MAX_QUEUED_REQUESTS {
         Admission::Queue
     } else {
@@ -86,7 +86,7 @@
 
 /// Returns whether quota, band and concurrency limit permit a new request and only units of the customer's
 /// ceiling are lacking, so that peers are asked for some.
-pub(crate) fn lacks_ceiling_units_only(input: &AdmissionInput) -> bool {
+pub(crate) fn lacks_ceiling_units_only(input: &BroadcastAdmissionInput) -> bool {
     input.quota.is_within_quota
         && input.band.permits_new_request()
         && input.limits == LimitDecision::WaitForCeiling
--- a/crates/admission/src/tests/load_rules/new_request_rules.rs
+++ b/crates/admission/src/tests/load_rules/new_request_rules.rs
@@ -2,7 +2,7 @@
 use crate::policy::admission::deadline::RequestTimes;
 use crate::policy::admission::new_request::{
     admit_in_broadcast_mode, admit_in_large_fleet, lacks_ceiling_units_only, queue_or_reject,
-    reject_if_too_late, Admission, AdmissionInput, LargeFleetAdmissionInput,
+    reject_if_too_late, Admission, BroadcastAdmissionInput, LargeFleetAdmissionInput,
 };
 use crate::policy::queue::customer_limits::LimitDecision;
 use crate::state::{BandPosition, LocalBucketCheck};
@@ -10,7 +10,7 @@
 const REJECTED: Admission = Admission::Reject { retry_after_ms: Some(70.0) };
 
 /// A request within its quota, while the fleet's attempts in flight are under both bounds.
-const ADMITTED: AdmissionInput = AdmissionInput {
+const ADMITTED: BroadcastAdmissionInput = BroadcastAdmissionInput {
     quota: LocalBucketCheck { is_within_quota: true, may_exceed: false, retry_after_ms: Some(70.0) },
     limits: LimitDecision::Admit,
     band: BandPosition::BelowLowerBound,
@@ -34,11 +34,11 @@
 fn request_within_quota_is_sent_under_the_upper_bound() {
     let cases = [
         (ADMITTED, Admission::Send),
-        (AdmissionInput { band: BandPosition::BetweenBounds, ..ADMITTED }, Admission::Send),
-        (AdmissionInput { band: BandPosition::AtOrAboveUpperBound, ..ADMITTED }, Admission::Queue),
-        (AdmissionInput { limits: LimitDecision::WaitForSlot, ..ADMITTED }, Admission::Queue),
-        (AdmissionInput { queue_is_blocked: true, ..ADMITTED }, Admission::Queue),
-        (AdmissionInput { queue_is_blocked: true, queued_requests: 4000, ..ADMITTED }, REJECTED),
+        (BroadcastAdmissionInput { band: BandPosition::BetweenBounds, ..ADMITTED }, Admission::Send),
+        (BroadcastAdmissionInput { band: BandPosition::AtOrAboveUpperBound, ..ADMITTED }, Admission::Queue),
+        (BroadcastAdmissionInput { limits: LimitDecision::WaitForSlot, ..ADMITTED }, Admission::Queue),
+        (BroadcastAdmissionInput { queue_is_blocked: true, ..ADMITTED }, Admission::Queue),
+        (BroadcastAdmissionInput { queue_is_blocked: true, queued_requests: 4000, ..ADMITTED }, REJECTED),
     ];
     for (input, expected) in cases {
         assert_eq!(admit_in_broadcast_mode(&input), expected, "{input:?}");
@@ -52,10 +52,10 @@
     // The customer's limits apply only to a request within the quota.
     let limits = LimitDecision::WaitForSlot;
     let cases = [
-        (AdmissionInput { quota: over, ..ADMITTED }, REJECTED),
-        (AdmissionInput { quota: allowed, limits, ..ADMITTED }, Admission::Send),
-        (AdmissionInput { quota: allowed, band: BandPosition::BetweenBounds, ..ADMITTED }, REJECTED),
-        (AdmissionInput { quota: allowed, queue_is_blocked: true, ..ADMITTED }, REJECTED),
+        (BroadcastAdmissionInput { quota: over, ..ADMITTED }, REJECTED),
+        (BroadcastAdmissionInput { quota: allowed, limits, ..ADMITTED }, Admission::Send),
+        (BroadcastAdmissionInput { quota: allowed, band: BandPosition::BetweenBounds, ..ADMITTED }, REJECTED),
+        (BroadcastAdmissionInput { quota: allowed, queue_is_blocked: true, ..ADMITTED }, REJECTED),
     ];
     for (input, expected) in cases {
         assert_eq!(admit_in_broadcast_mode(&input), expected, "{input:?}");
@@ -66,19 +66,19 @@
 fn request_within_quota_is_queued_without_an_endpoint() {
     let over = LocalBucketCheck { is_within_quota: false, may_exceed: true, ..ADMITTED.quota };
     assert_eq!(queue_or_reject(&ADMITTED), Admission::Queue);
-    assert_eq!(queue_or_reject(&AdmissionInput { queued_requests: 4000, ..ADMITTED }), REJECTED);
-    assert_eq!(queue_or_reject(&AdmissionInput { quota: over, ..ADMITTED }), REJECTED);
+    assert_eq!(queue_or_reject(&BroadcastAdmissionInput { queued_requests: 4000, ..ADMITTED }), REJECTED);
+    assert_eq!(queue_or_reject(&BroadcastAdmissionInput { quota: over, ..ADMITTED }), REJECTED);
 }
 
 #[test]
 fn ceiling_units_are_requested_if_nothing_else_is_lacking() {
-    let lacking = AdmissionInput { limits: LimitDecision::WaitForCeiling, ..ADMITTED };
+    let lacking = BroadcastAdmissionInput { limits: LimitDecision::WaitForCeiling, ..ADMITTED };
     let over = LocalBucketCheck { is_within_quota: false, may_exceed: true, ..ADMITTED.quota };
     let cases = [
         (ADMITTED, false),
         (lacking, true),
-        (AdmissionInput { band: BandPosition::AtOrAboveUpperBound, ..lacking }, false),
-        (AdmissionInput { quota: over, ..lacking }, false),
+        (BroadcastAdmissionInput { band: BandPosition::AtOrAboveUpperBound, ..lacking }, false),
+        (BroadcastAdmissionInput { quota: over, ..lacking }, false),
     ];
     for (input, expected) in cases {
         assert_eq!(lacks_ceiling_units_only(&input), expected, "{input:?}");
