--- a/crates/admission/src/lifecycle/band_control.rs
+++ b/crates/admission/src/lifecycle/band_control.rs
@@ -4,7 +4,8 @@
 use crate::id::RequestId;
 use crate::policy::band::band_bounds::{is_loaded_in_broadcast_mode, position_in_broadcast_mode};
 use crate::policy::band::counted_endpoints::{
-    is_counted_in_broadcast_mode, is_counted_in_large_fleet, is_counted_or_correlated_failure, HealthSignals,
+    is_counted_in_broadcast_mode, is_counted_in_large_fleet, is_counted_or_correlated_failure,
+    CountedEndpointInput,
 };
 use crate::policy::band::dispatch_credit::{
     credit_after_refill, credit_after_send, credit_required, position_in_large_fleet, LargeFleetBand,
@@ -40,7 +41,7 @@
     /// Returns whether the band counts an endpoint, judged by that endpoint's symptoms alone.
     fn is_counted(&self, endpoint: &Endpoint, mode: FleetMode) -> bool {
         let now_ms = self.clock.now_ms();
-        let symptoms = HealthSignals {
+        let input = CountedEndpointInput {
             is_gone: endpoint.is_gone(),
             consecutive_failures: endpoint.health.consecutive_failures(),
             is_ejected: endpoint.health.is_ejected(now_ms),
@@ -48,11 +49,11 @@
             stall_ratio: self.stall_ratio(endpoint),
         };
         match mode {
-            FleetMode::Broadcast => is_counted_in_broadcast_mode(&symptoms),
+            FleetMode::Broadcast => is_counted_in_broadcast_mode(&input),
             FleetMode::LargeFleet => {
                 let is_unresponsive = self.is_unresponsive(endpoint);
                 let slowness = self.kind_deviation(endpoint).slowness;
-                is_counted_in_large_fleet(&symptoms, is_unresponsive, slowness)
+                is_counted_in_large_fleet(&input, is_unresponsive, slowness)
             }
         }
     }
--- a/crates/admission/src/policy/band/counted_endpoints.rs
+++ b/crates/admission/src/policy/band/counted_endpoints.rs
@@ -15,7 +15,7 @@
 
 /// What a gateway knows of an endpoint's health, in both modes.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct HealthSignals {
+pub(crate) struct CountedEndpointInput {
     /// Whether the endpoint is no longer on the endpoint list.
     pub(crate) is_gone: bool,
     /// Number of consecutive failures of this gateway's own attempts that each led to an ejection.
@@ -28,7 +28,7 @@
     pub(crate) stall_ratio: f64,
 }
 
-impl HealthSignals {
+impl CountedEndpointInput {
     /// Returns whether the endpoint's attempts in flight are assumed to be lost, by what is known in both
     /// modes. An ejection without failures is a pause after an overload response, in which the endpoint still
     /// works on its attempts in flight.
@@ -50,17 +50,17 @@
 }
 
 /// Returns whether the band counts an endpoint, in broadcast mode.
-pub(crate) fn is_counted_in_broadcast_mode(signals: &HealthSignals) -> bool {
-    !signals.is_lost()
+pub(crate) fn is_counted_in_broadcast_mode(input: &CountedEndpointInput) -> bool {
+    !input.is_lost()
 }
 
 /// Returns whether the band counts an endpoint, in a large fleet. It leaves out an endpoint from which the
 /// fleet receives no good responses and one that is far slower than others of its machine kind. `slowness` is
 /// that of the endpoint's `KindDeviation`.
 pub(crate) fn is_counted_in_large_fleet(
-    signals: &HealthSignals,
+    input: &CountedEndpointInput,
     is_unresponsive: bool,
     slowness: f64,
 ) -> bool {
-    !signals.is_lost() && !is_unresponsive && slowness <= MAX_COUNTED_SLOWNESS
+    !input.is_lost() && !is_unresponsive && slowness <= MAX_COUNTED_SLOWNESS
 }
--- a/crates/admission/src/policy/outlier/ejection.rs
+++ b/crates/admission/src/policy/outlier/ejection.rs
@@ -27,8 +27,8 @@
 
 /// Returns whether an endpoint is an outlier, whatever the cause: a stopped process, a hung machine or a
 /// broken link.
-pub(crate) fn is_outlier(symptoms: &OutlierInput) -> bool {
-    symptoms.is_gone || symptoms.is_ejected || symptoms.stall_ratio > OUTLIER_STALL_RATIO
+pub(crate) fn is_outlier(input: &OutlierInput) -> bool {
+    input.is_gone || input.is_ejected || input.stall_ratio > OUTLIER_STALL_RATIO
 }
 
 /// Returns the random factor on the length of an ejection. `draw` is a random number from 0 to 1.
--- a/crates/admission/src/tests/load_rules/counted_endpoint_rules.rs
+++ b/crates/admission/src/tests/load_rules/counted_endpoint_rules.rs
@@ -1,9 +1,10 @@
 //! Which endpoints the band counts.
 use crate::policy::band::counted_endpoints::{
-    is_counted_in_broadcast_mode, is_counted_in_large_fleet, is_counted_or_correlated_failure, HealthSignals,
+    is_counted_in_broadcast_mode, is_counted_in_large_fleet, is_counted_or_correlated_failure,
+    CountedEndpointInput,
 };
 
-const COUNTED: HealthSignals = HealthSignals {
+const COUNTED: CountedEndpointInput = CountedEndpointInput {
     is_gone: false,
     consecutive_failures: 0,
     is_ejected: false,
@@ -15,17 +16,17 @@
 fn failed_endpoints_are_not_counted_in_either_mode() {
     let cases = [
         (COUNTED, true),
-        (HealthSignals { is_gone: true, ..COUNTED }, false),
-        (HealthSignals { consecutive_failures: 1, is_ejected: true, ..COUNTED }, false),
+        (CountedEndpointInput { is_gone: true, ..COUNTED }, false),
+        (CountedEndpointInput { consecutive_failures: 1, is_ejected: true, ..COUNTED }, false),
         // The endpoint is paused after an overload response, or its ejection has ended.
-        (HealthSignals { is_ejected: true, ..COUNTED }, true),
-        (HealthSignals { consecutive_failures: 1, ..COUNTED }, true),
-        (HealthSignals { is_any_class_ejected: true, ..COUNTED }, false),
-        (HealthSignals { stall_ratio: 2.1, ..COUNTED }, false),
+        (CountedEndpointInput { is_ejected: true, ..COUNTED }, true),
+        (CountedEndpointInput { consecutive_failures: 1, ..COUNTED }, true),
+        (CountedEndpointInput { is_any_class_ejected: true, ..COUNTED }, false),
+        (CountedEndpointInput { stall_ratio: 2.1, ..COUNTED }, false),
     ];
-    for (signals, counted) in cases {
-        assert_eq!(is_counted_in_broadcast_mode(&signals), counted, "{signals:?}");
-        assert_eq!(is_counted_in_large_fleet(&signals, false, 1.0), counted, "{signals:?}");
+    for (input, counted) in cases {
+        assert_eq!(is_counted_in_broadcast_mode(&input), counted, "{input:?}");
+        assert_eq!(is_counted_in_large_fleet(&input, false, 1.0), counted, "{input:?}");
     }
 }
 
