--- a/crates/admission/src/lifecycle/endpoint_choice.rs
+++ b/crates/admission/src/lifecycle/endpoint_choice.rs
@@ -101,7 +101,7 @@
                 now_ms,
             ),
             is_unresponsive: self.is_unresponsive(endpoint),
-            failed_or_slow_attempts: endpoint.observed_health.failed_or_slow_attempts(),
+            failure_observations: endpoint.observed_health.failure_observations(),
             idempotency: self.settings.class(request.class).idempotency,
         });
         let cost = selection::cost_in_large_fleet(&LargeFleetCostInput {
--- a/crates/admission/src/lifecycle/outlier_checks.rs
+++ b/crates/admission/src/lifecycle/outlier_checks.rs
@@ -50,7 +50,7 @@
         match self.coordination.fleet_mode() {
             FleetMode::Broadcast => false,
             FleetMode::LargeFleet => outlier::is_unresponsive(&UnresponsiveInput {
-                failed_or_slow_attempts: endpoint.observed_health.failed_or_slow_attempts(),
+                failure_observations: endpoint.observed_health.failure_observations(),
                 since_good_response_ms: endpoint.observed_health.since_good_response_ms(now_ms),
                 observed_responses_per_second: self
                     .outliers
--- a/crates/admission/src/policy/outlier/unresponsive.rs
+++ b/crates/admission/src/policy/outlier/unresponsive.rs
@@ -2,7 +2,7 @@
 //! too few attempts to an endpoint to tell by itself.
 
 /// Failed or slow attempts that must have been observed since the last good response; fewer may be chance.
-const MIN_FAILED_OR_SLOW_ATTEMPTS: u32 = 2;
+const MIN_FAILURE_OBSERVATIONS: u32 = 2;
 
 /// Number of good responses that an average endpoint would have given in the time without one.
 const EXPECTED_RESPONSES: f64 = 2.5;
@@ -14,7 +14,7 @@
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct UnresponsiveInput {
     /// Attempts that failed, error responses included, or were slow since the endpoint's last good response.
-    pub failed_or_slow_attempts: u32,
+    pub failure_observations: u32,
     /// Time since the endpoint's last good response, in ms.
     pub since_good_response_ms: f64,
     /// Rate of observed good responses of all endpoints, per second.
@@ -27,5 +27,5 @@
 pub(crate) fn is_unresponsive(input: &UnresponsiveInput) -> bool {
     let per_endpoint = input.observed_responses_per_second / input.endpoints.max(1) as f64;
     let limit_ms = (1000.0 * EXPECTED_RESPONSES / per_endpoint).min(MAX_UNRESPONSIVE_MS);
-    input.failed_or_slow_attempts >= MIN_FAILED_OR_SLOW_ATTEMPTS && input.since_good_response_ms > limit_ms
+    input.failure_observations >= MIN_FAILURE_OBSERVATIONS && input.since_good_response_ms > limit_ms
 }
--- a/crates/admission/src/policy/selection/fitness.rs
+++ b/crates/admission/src/policy/selection/fitness.rs
@@ -29,7 +29,7 @@
     /// The endpoint gives no gateway a good response any more.
     pub is_unresponsive: bool,
     /// Observed attempts at the endpoint that failed or were slow since its last good response.
-    pub failed_or_slow_attempts: u32,
+    pub failure_observations: u32,
     /// What the request's class allows after an attempt that may have run.
     pub idempotency: Idempotency,
 }
@@ -49,7 +49,7 @@
 /// it is healthy again: any other request may not be retried freely if its response is lost.
 pub(crate) fn fitness_in_large_fleet(input: &LargeFleetFitnessInput) -> EndpointFitness {
     let is_idempotent = input.idempotency == Idempotency::Idempotent;
-    let must_avoid = !is_idempotent && input.failed_or_slow_attempts > 0;
+    let must_avoid = !is_idempotent && input.failure_observations > 0;
     EndpointFitness {
         is_unfit: input.is_outlier || input.is_ejected_for_request || must_avoid,
         is_suspect: input.is_unresponsive || must_avoid,
--- a/crates/admission/src/state/endpoint/observed_health.rs
+++ b/crates/admission/src/state/endpoint/observed_health.rs
@@ -19,7 +19,7 @@
     /// When any gateway last observed a good response, in ms. Errors and rejections do not count.
     last_good_response_ms: f64,
     /// Attempts observed since the last good response that failed or were slow.
-    failed_or_slow_attempts: u32,
+    failure_observations: u32,
     /// Smoothed fraction of the requests of each class that failed.
     class_failure_fraction: BTreeMap<ClassIndex, f64>,
     /// Back-offs during which the endpoint is ejected for requests of one class or plan.
@@ -31,7 +31,7 @@
     pub(crate) fn new(now_ms: f64) -> Self {
         ObservedHealth {
             last_good_response_ms: now_ms,
-            failed_or_slow_attempts: 0,
+            failure_observations: 0,
             class_failure_fraction: BTreeMap::new(),
             scoped_ejections: BTreeMap::new(),
         }
@@ -41,22 +41,22 @@
     /// failed requests.
     pub(crate) fn record_good_response(&mut self, class: ClassIndex, now_ms: f64, gain: f64) {
         self.last_good_response_ms = now_ms;
-        self.failed_or_slow_attempts = 0;
+        self.failure_observations = 0;
         smooth(self.class_failure_fraction.entry(class).or_insert(0.0), 0.0, gain);
     }
 
     /// Records that an attempt of a request of a class failed or was slow, and returns the class's smoothed
     /// fraction of failed requests.
     pub(crate) fn record_failure(&mut self, class: ClassIndex, gain: f64) -> f64 {
-        self.failed_or_slow_attempts += 1;
+        self.failure_observations += 1;
         let fraction = self.class_failure_fraction.entry(class).or_insert(0.0);
         smooth(fraction, 1.0, gain);
         *fraction
     }
 
     /// Returns the number of attempts observed since the last good response that failed or were slow.
-    pub(crate) fn failed_or_slow_attempts(&self) -> u32 {
-        self.failed_or_slow_attempts
+    pub(crate) fn failure_observations(&self) -> u32 {
+        self.failure_observations
     }
 
     /// Returns the time since a good response was last observed, in ms.
--- a/crates/admission/src/tests/endpoint_rules/outlier_rules.rs
+++ b/crates/admission/src/tests/endpoint_rules/outlier_rules.rs
@@ -61,14 +61,14 @@
 fn endpoint_is_unresponsive_after_two_failed_attempts_and_some_time() {
     // 20 responses per second from 10 endpoints: 2.5 responses from one endpoint take 1250 ms.
     let silent = UnresponsiveInput {
-        failed_or_slow_attempts: 2,
+        failure_observations: 2,
         since_good_response_ms: 1251.0,
         observed_responses_per_second: 20.0,
         endpoints: 10,
     };
     let rows = [
         ("silent", silent, true),
-        ("one failed or slow attempt", UnresponsiveInput { failed_or_slow_attempts: 1, ..silent }, false),
+        ("one failed or slow attempt", UnresponsiveInput { failure_observations: 1, ..silent }, false),
         ("too early", UnresponsiveInput { since_good_response_ms: 1249.0, ..silent }, false),
         ("few observations", UnresponsiveInput { observed_responses_per_second: 2.0, ..silent }, false),
         (
--- a/crates/admission/src/tests/endpoint_rules/selection_rules.rs
+++ b/crates/admission/src/tests/endpoint_rules/selection_rules.rs
@@ -88,11 +88,11 @@
         is_outlier: false,
         is_ejected_for_request: false,
         is_unresponsive: false,
-        failed_or_slow_attempts: 0,
+        failure_observations: 0,
         idempotency: Idempotency::NonIdempotent,
     };
     let keyed = Idempotency::IdempotencyKey { group: DedupGroup::All, window_ms: 1000.0 };
-    let failed_once = LargeFleetFitnessInput { failed_or_slow_attempts: 1, ..healthy };
+    let failed_once = LargeFleetFitnessInput { failure_observations: 1, ..healthy };
     // The input, and whether the endpoint is unfit and suspect for the request.
     let rows = [
         (healthy, (false, false)),
