--- a/crates/admission/src/policy/selection/attempt_cost.rs
+++ b/crates/admission/src/policy/selection/attempt_cost.rs
@@ -1,7 +1,7 @@
 //! The expected cost of an attempt at an endpoint. A cost has no unit: only ratios of costs matter.
 use crate::policy::response_time::KindDeviation;
 use crate::policy::slow_start::{
-    is_warming_up, LARGE_FLEET_WARM_UP_FRACTION, TOKENS_PER_ATTEMPT, WARM_UP_BUDGET_FRACTION,
+    is_warming_up, BROADCAST_WARM_UP_FRACTION, LARGE_FLEET_WARM_UP_FRACTION, TOKENS_PER_ATTEMPT,
 };
 
 /// Factor on the cost of an endpoint that an earlier attempt of the request was sent to.
@@ -52,9 +52,9 @@
             return None;
         }
         // The cost is lowered in proportion to the bucket if that holds less than
-        // `1 / WARM_UP_BUDGET_FRACTION` tokens, so that a token that is rarely available is used before it
+        // `1 / BROADCAST_WARM_UP_FRACTION` tokens, so that a token that is rarely available is used before it
         // expires.
-        cost *= (WARM_UP_BUDGET_FRACTION * warm_up.max_tokens).min(1.0);
+        cost *= (BROADCAST_WARM_UP_FRACTION * warm_up.max_tokens).min(1.0);
     }
     Some(cost)
 }
--- a/crates/admission/src/policy/slow_start/mod.rs
+++ b/crates/admission/src/policy/slow_start/mod.rs
@@ -5,7 +5,7 @@
 
 pub(crate) use warm_fraction::{
     is_past_warm_up, is_warming_up, send_fraction_in_broadcast_mode, send_fraction_in_large_fleet,
-    warm_fraction, LARGE_FLEET_WARM_UP_FRACTION, WARM_UP_BUDGET_FRACTION,
+    warm_fraction, BROADCAST_WARM_UP_FRACTION, LARGE_FLEET_WARM_UP_FRACTION,
 };
 pub(crate) use warm_up_admission::{warm_up_admission, warm_up_draw, SendCapacity, WarmUpAdmission};
 pub(crate) use warm_up_budget::{
--- a/crates/admission/src/policy/slow_start/warm_fraction.rs
+++ b/crates/admission/src/policy/slow_start/warm_fraction.rs
@@ -2,7 +2,7 @@
 
 /// Fraction of a warming endpoint's capacity that is used in broadcast mode. The rest is a margin, because
 /// requests differ in size and endpoints of a machine kind differ in speed.
-pub(crate) const WARM_UP_BUDGET_FRACTION: f64 = 0.6;
+pub(crate) const BROADCAST_WARM_UP_FRACTION: f64 = 0.6;
 
 /// Fraction of a warming endpoint's capacity that is used in a large fleet, where endpoints are drawn by
 /// weight. The rest is a margin for the same reasons.
@@ -33,7 +33,7 @@
 /// warm endpoint's.
 pub(crate) fn send_fraction_in_broadcast_mode(warm_fraction: f64) -> f64 {
     if is_warming_up(warm_fraction) {
-        WARM_UP_BUDGET_FRACTION * warm_fraction
+        BROADCAST_WARM_UP_FRACTION * warm_fraction
     } else {
         1.0
     }
--- a/crates/admission/src/policy/slow_start/warm_up_budget.rs
+++ b/crates/admission/src/policy/slow_start/warm_up_budget.rs
@@ -1,5 +1,5 @@
 //! Broadcast mode: the rate at which one gateway may send attempts to an endpoint that is warming up.
-use crate::policy::slow_start::warm_fraction::WARM_UP_BUDGET_FRACTION;
+use crate::policy::slow_start::warm_fraction::BROADCAST_WARM_UP_FRACTION;
 use crate::state::WarmUpBudget;
 
 /// Fraction of the send rate of a warm endpoint of the same kind that counts as a warming endpoint's full
@@ -45,7 +45,7 @@
     let response_ms = input.mean_response_ms.max(input.typical_attempt_age_ms);
     let equal_rate = 1000.0 / response_ms / input.gateways as f64;
     let window_s = SAVED_WINDOW_FRACTION * input.overload_window_ms / 1000.0;
-    let multiple = WARM_UP_BUDGET_FRACTION * input.overload_multiple;
+    let multiple = BROADCAST_WARM_UP_FRACTION * input.overload_multiple;
     let tokens_per_second = multiple * input.warm_fraction * warm_rate.max(equal_rate);
     WarmUpBudget { tokens_per_second, max_tokens: tokens_per_second * window_s }
 }
