--- a/crates/admission/src/lifecycle/endpoints.rs
+++ b/crates/admission/src/lifecycle/endpoints.rs
@@ -51,6 +51,6 @@
         }
         HealthEvidence::Rejection => health.record_response(now_ms),
         HealthEvidence::ConnectionFailure => health.record_error(ERROR_GAIN),
-        HealthEvidence::None => {}
+        HealthEvidence::NotRecorded => {}
     }
 }
--- a/crates/admission/src/policy/outlier/health_evidence.rs
+++ b/crates/admission/src/policy/outlier/health_evidence.rs
@@ -13,7 +13,7 @@
     /// No connection could be established, or the connection broke.
     ConnectionFailure,
     /// The end of the attempt shows nothing about the endpoint.
-    None,
+    NotRecorded,
 }
 
 /// Returns what the end of one of this gateway's attempts shows about its endpoint's health.
@@ -23,6 +23,6 @@
         Outcome::Error => HealthEvidence::ErrorResponse,
         Outcome::Overloaded => HealthEvidence::Rejection,
         Outcome::ConnectFailed | Outcome::Reset => HealthEvidence::ConnectionFailure,
-        Outcome::TimedOut | Outcome::Cancelled | Outcome::NotSent => HealthEvidence::None,
+        Outcome::TimedOut | Outcome::Cancelled | Outcome::NotSent => HealthEvidence::NotRecorded,
     }
 }
--- a/crates/admission/src/tests/endpoint_rules/outlier_rules.rs
+++ b/crates/admission/src/tests/endpoint_rules/outlier_rules.rs
@@ -184,9 +184,9 @@
         (Outcome::Overloaded, HealthEvidence::Rejection),
         (Outcome::ConnectFailed, HealthEvidence::ConnectionFailure),
         (Outcome::Reset, HealthEvidence::ConnectionFailure),
-        (Outcome::TimedOut, HealthEvidence::None),
-        (Outcome::Cancelled, HealthEvidence::None),
-        (Outcome::NotSent, HealthEvidence::None),
+        (Outcome::TimedOut, HealthEvidence::NotRecorded),
+        (Outcome::Cancelled, HealthEvidence::NotRecorded),
+        (Outcome::NotSent, HealthEvidence::NotRecorded),
     ];
     for (outcome, evidence) in rows {
         assert_eq!(health_evidence(outcome), evidence, "{outcome:?}");
