--- a/crates/admission/src/action.rs
+++ b/crates/admission/src/action.rs
@@ -22,6 +22,7 @@
         /// The rejected request.
         request: RequestId,
         /// The `Retry-After` of the response, in milliseconds from now; `None` for a response without one.
+        /// The response has status 429 if there is one, even of 0, and status 503 otherwise.
         retry_after_ms: Option<f64>,
     },
     /// Give the client the final response that its request failed. The request may have run.
--- a/crates/admission/src/policy/admission/elapsed_wait.rs
+++ b/crates/admission/src/policy/admission/elapsed_wait.rs
@@ -2,9 +2,9 @@
 //!
 //! A request carries its time budget, the time that its client will still wait, but not the time at which the
 //! client began to wait. Clients' first requests of a class all carry the same time budget, so the most
-//! common budget of a class, found by majority vote, is that of a first request. A request with a smaller
-//! budget is a retry by its client, which has spent the rest of the class's `deadline_ms` on earlier
-//! requests.
+//! common budget of a class, found by majority vote, is that of a first request. A request with another
+//! budget, smaller or larger, is taken to be a retry by its client, which has spent the rest of the class's
+//! `deadline_ms` on earlier requests.
 use crate::mechanism::common_value::VoteParameters;
 
 /// Parameters of the vote on the most common time budget of a class.
@@ -29,8 +29,10 @@
 }
 
 /// Returns how long a request's client has already waited, in ms: the class's `deadline_ms` minus the
-/// request's time budget, or 0 if the request counts as the client's first. A time budget of at most the
-/// latency objective does not count as a sign of earlier requests, because it is that of an impatient client.
+/// request's time budget. Returns 0 if the request counts as the client's first, or if its time budget is at
+/// least `deadline_ms`. A request counts as the first if its time budget is the most common one, if there are
+/// too few votes to know that one, or if its time budget is at most the latency objective: such a short one
+/// is not a sign of earlier requests, because it is that of an impatient client.
 pub(crate) fn already_waited_ms(input: &TimeBudgetInput) -> f64 {
     let Some(votes) = input.votes_for_another_budget else { return 0.0 };
     if votes < MIN_TIME_BUDGET_VOTES || input.time_left_ms <= input.latency_objective_ms {
--- a/crates/admission/src/policy/admission/new_request.rs
+++ b/crates/admission/src/policy/admission/new_request.rs
@@ -58,9 +58,10 @@
     times.is_too_late().then_some(rejection)
 }
 
-/// Decides on a new request in broadcast mode. A request within its quota may be sent while the fleet's
-/// attempts in flight are below the band's upper bound. A request over its quota may be sent only if the plan
-/// allows that, and only below the lower bound, to which queued requests are also held.
+/// Decides on a new request in broadcast mode. A request within its quota is sent at once if the fleet's
+/// attempts in flight are below the band's upper bound and the customer's limits permit it. A request over
+/// its quota is sent only if it may exceed the quota, and only below the lower bound, to which queued
+/// requests are also held; `limits` does not apply to it. Neither is sent past a blocked queue.
 pub(crate) fn admit_in_broadcast_mode(input: &BroadcastAdmissionInput) -> Admission {
     let may_send = if input.quota.is_within_quota {
         input.band.permits_new_request() && input.limits == LimitDecision::Admit
@@ -75,7 +76,9 @@
 }
 
 /// Decides on a request in broadcast mode that is not sent now: it is queued if it is within its quota and
-/// the queue is not full, and rejected otherwise.
+/// the queue is not full, and rejected otherwise. The Retry-After of the rejection is the time until the
+/// bucket holds enough for the request. For a request within its quota that finds the queue full, that is 0
+/// if the plan has a rate, and `None` if it has none.
 pub(crate) fn queue_or_reject(input: &BroadcastAdmissionInput) -> Admission {
     if input.quota.is_within_quota && input.queued_requests < MAX_QUEUED_REQUESTS {
         Admission::Queue
--- a/crates/admission/src/policy/admission/retry_after.rs
+++ b/crates/admission/src/policy/admission/retry_after.rs
@@ -25,8 +25,8 @@
 
 /// Returns the Retry-After, in a large fleet, of a request over its quota, in ms. This gateway does not know
 /// when the quota will have filled, so it gives the longest that clients honour. If they honour none, that is
-/// 0 and not `None` as for a lack of capacity: the gateway rejects a request with status 429 if there is a
-/// Retry-After, even of 0, and with 503 if there is none.
+/// 0 and not `None` as for a lack of capacity: the host program gives status 429 to a rejection with a
+/// Retry-After, even of 0, and status 503 to one without.
 pub(crate) fn retry_after_over_quota_in_large_fleet(max_retry_after_ms: f64) -> Option<f64> {
     Some(max_retry_after_ms)
 }
--- a/crates/admission/src/policy/band/counted_endpoints.rs
+++ b/crates/admission/src/policy/band/counted_endpoints.rs
@@ -13,14 +13,15 @@
 /// usual time.
 const MAX_COUNTED_SLOWNESS: f64 = 1.6;
 
-/// What a gateway knows of an endpoint's health, in both modes.
+/// What a gateway knows of an endpoint's health, in both modes, from which it decides whether the band counts
+/// the endpoint.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct CountedEndpointInput {
     /// Whether the endpoint is no longer on the endpoint list.
     pub(crate) is_gone: bool,
     /// Number of consecutive failures of this gateway's own attempts that each led to an ejection.
     pub(crate) consecutive_failures: u32,
-    /// Whether the endpoint is ejected because of this gateway's own attempts.
+    /// Whether the endpoint is ejected or paused because of this gateway's own attempts.
     pub(crate) is_ejected: bool,
     /// Whether the endpoint is ejected for at least one class because of attempts that the fleet observed.
     pub(crate) is_any_class_ejected: bool,
@@ -30,8 +31,9 @@
 
 impl CountedEndpointInput {
     /// Returns whether the endpoint's attempts in flight are assumed to be lost, by what is known in both
-    /// modes. An ejection without failures is a pause after an overload response, in which the endpoint still
-    /// works on its attempts in flight.
+    /// modes. An endpoint for which `is_ejected` is true without consecutive failures still works on its
+    /// attempts in flight: it is paused after an overload response, or has given a good response since it was
+    /// ejected.
     fn is_lost(&self) -> bool {
         let is_backing_off = self.consecutive_failures > 0 && self.is_ejected;
         self.is_gone || is_backing_off || self.is_any_class_ejected || self.stall_ratio > LOST_STALL_RATIO
--- a/crates/admission/src/policy/band/dispatch_credit.rs
+++ b/crates/admission/src/policy/band/dispatch_credit.rs
@@ -9,18 +9,19 @@
 const CREDIT_THRESHOLD_FILL: f64 = 0.6;
 
 /// Highest refill rate of dispatch credit, as a multiple of the rate at the band's middle. It applies while
-/// the band is empty.
+/// the band is empty. From there the rate falls linearly with the fill, through 1 at the band's middle.
 const MAX_REFILL_FACTOR: f64 = 3.0;
 
 /// Lowest refill rate of dispatch credit, as a multiple of the rate at the band's middle. It applies while
-/// the band is overfull.
+/// the band is overfull, from a fill of 1.35 on, at which the linear fall ends.
 const MIN_REFILL_FACTOR: f64 = 0.3;
 
 /// Dispatch credit at a gateway's start, in requests: its first request need not wait for a refill.
 pub(crate) const INITIAL_DISPATCH_CREDIT: f64 = 1.0;
 
 /// Smallest limit of saved dispatch credit, in requests. Without it a gateway whose equal share of the band
-/// is less than one attempt could never send.
+/// is less than one attempt could never send a request of the lowest priority weight while the band is above
+/// the credit threshold.
 const MIN_CREDIT_LIMIT: f64 = 1.0;
 
 /// Dispatch credit that a request spends. Above the credit threshold, a request of the lowest priority weight
--- a/crates/admission/src/policy/outlier/ejection.rs
+++ b/crates/admission/src/policy/outlier/ejection.rs
@@ -1,4 +1,5 @@
-//! Which endpoints are outliers, and how long an ejection lasts.
+//! Which endpoints are outliers, and the length and jitter of ejections. Whether the end of an attempt ejects
+//! its endpoint is decided in `ejection_decision`.
 use crate::mechanism::backoff::{jitter_factor, BackoffLimits};
 
 /// Length of an ejection after failures.
--- a/crates/admission/src/policy/outlier/attempt_failure.rs
+++ b/crates/admission/src/policy/outlier/ejection_decision.rs
@@ -1,4 +1,4 @@
-//! Whether an endpoint is ejected after an attempt has ended.
+//! Whether an endpoint is ejected or paused after an attempt has ended.
 use crate::event::Outcome;
 use crate::policy::outlier::ejection::EJECTION;
 use crate::policy::outlier::stall::usual_response_ms;
@@ -6,14 +6,17 @@
 /// Weight of a new attempt in an endpoint's smoothed error fraction.
 pub(crate) const ERROR_GAIN: f64 = 0.1;
 
-/// Error fraction above which an error response ejects the endpoint.
+/// Error fraction above which an error response ejects the endpoint. If the endpoint was ejected for a
+/// failure and has given no good response since, any error response ejects it.
 const ERROR_EJECTION_THRESHOLD: f64 = 0.3;
 
-/// Error fraction above which a connection failure ejects the endpoint. It is higher than the threshold for
-/// error responses because the endpoint may still respond over its other connections.
+/// Error fraction above which a connection failure ejects the endpoint, even if the endpoint has responded in
+/// the meantime. It is higher than the threshold for error responses because the endpoint may still respond
+/// over its other connections.
 const CONNECTION_FAILURE_EJECTION_THRESHOLD: f64 = 0.5;
 
-/// Multiple of the usual response time above which an attempt without a response ejects the endpoint.
+/// Multiple of the usual response time above which a cancelled attempt, and in broadcast mode a timed-out
+/// one, ejects the endpoint if that has not responded to any attempt in the meantime.
 const EJECTION_RESPONSE_TIMES: f64 = 3.0;
 
 /// Length of the pause of an overloaded endpoint in broadcast mode, as a fraction of the first ejection.
@@ -40,7 +43,7 @@
     pub typical_attempt_age_ms: f64,
 }
 
-/// Whether an endpoint is ejected after an attempt has ended.
+/// Whether an endpoint is ejected or paused after an attempt has ended.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum EjectionDecision {
     /// The endpoint stays as it is.
@@ -54,8 +57,8 @@
     Eject,
 }
 
-/// Decides, in broadcast mode, whether the endpoint of an attempt is ejected. A long time without a response
-/// is the endpoint's own fault only if attempts at other endpoints are not as old.
+/// Decides, in broadcast mode, whether the endpoint of an attempt is ejected or paused. A long time without a
+/// response is the endpoint's own fault only if attempts at other endpoints are not as old.
 pub(crate) fn decide_ejection_in_broadcast_mode(input: &EjectionInput) -> EjectionDecision {
     match input.outcome {
         Outcome::Overloaded => {
@@ -75,7 +78,13 @@
     }
 }
 
-/// Decides about the outcomes that the mode's own rule has not decided on.
+/// Decides on the outcomes for which the modes have the same rule.
+///
+/// - An error response ejects the endpoint above its error threshold, or after an earlier ejection if there
+///   was no good response since.
+/// - A connection failure ejects it above its own threshold, or if the endpoint has not responded for longer
+///   than the attempt took and than the class's mean response time.
+/// - A cancellation ejects it if the endpoint was silent and the attempt took long.
 fn decide_ejection_by_default(input: &EjectionInput) -> EjectionDecision {
     match input.outcome {
         Outcome::Error => {
@@ -95,7 +104,7 @@
     }
 }
 
-/// Returns `Eject` if the endpoint has failed.
+/// Returns `Eject` if the endpoint has failed, and `Unchanged` otherwise.
 fn eject_if(has_failed: bool) -> EjectionDecision {
     if has_failed {
         EjectionDecision::Eject
--- a/crates/admission/src/policy/outlier/health_evidence.rs
+++ b/crates/admission/src/policy/outlier/health_evidence.rs
@@ -1,7 +1,8 @@
-//! What the end of an attempt shows about its endpoint's health.
+//! What the end of an attempt adds to its endpoint's health record.
 use crate::event::Outcome;
 
-/// What the end of one of this gateway's attempts shows about its endpoint's health.
+/// What the end of one of this gateway's attempts adds to its endpoint's health record. Whether the end also
+/// ejects the endpoint is decided in `ejection_decision`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum HealthEvidence {
     /// The endpoint gave a good response, which ends a series of consecutive failures.
@@ -12,11 +13,12 @@
     Rejection,
     /// No connection could be established, or the connection broke.
     ConnectionFailure,
-    /// The end of the attempt shows nothing about the endpoint.
+    /// The end changes neither the error fraction nor the time of the last response. A time-out or a
+    /// cancellation may still eject the endpoint.
     NotRecorded,
 }
 
-/// Returns what the end of one of this gateway's attempts shows about its endpoint's health.
+/// Returns what the end of one of this gateway's attempts adds to its endpoint's health record.
 pub(crate) fn health_evidence(outcome: Outcome) -> HealthEvidence {
     match outcome {
         Outcome::Ok => HealthEvidence::GoodResponse,
--- a/crates/admission/src/policy/outlier/stall.rs
+++ b/crates/admission/src/policy/outlier/stall.rs
@@ -1,10 +1,10 @@
 //! How long an endpoint with attempts in flight has not responded, compared with the usual response time.
 //!
 //! Four times build on each other. The mean response time is the smoothed time that responses took. The
-//! typical age is that of the attempts now in flight, over all endpoints. The usual response time is the
-//! mean, or `TYPICAL_AGE_FACTOR` times the typical age if that is longer. The expected response time of one
-//! endpoint is the usual one, longer if the endpoint is slower than the mean or does not have its full
-//! capacity yet.
+//! typical age is that of the attempts now in flight, over all endpoints; in a large fleet it is estimated
+//! from the means over the fleet (`mean_attempt_age_ms`). The usual response time is the mean, or
+//! `TYPICAL_AGE_FACTOR` times the typical age if that is longer. The expected response time of one endpoint
+//! is the usual one, longer if the endpoint is slower than the mean or does not have its full capacity yet.
 use crate::mechanism::percentile::percentile;
 
 /// Time without a response that counts as a stall if several attempts are in flight, in expected response
@@ -50,8 +50,8 @@
 ///
 /// With one attempt in flight, a time without a response counts as a stall after
 /// `SINGLE_STALL_RESPONSE_TIMES` expected response times; with two or more, after `STALL_RESPONSE_TIMES`. The
-/// expected response time grows with the age of this gateway's attempts at all endpoints, so that no endpoint
-/// counts as stalled if all slow down.
+/// expected response time grows with the typical age of attempts in flight, so that no endpoint counts as
+/// stalled if all slow down.
 pub(crate) fn stall_ratio(input: &StallInput) -> f64 {
     let stalled_ms = input.now_ms - input.oldest_sent_ms.max(input.last_response_ms);
     let relative = input.relative_response_time.max(1.0);
--- a/crates/admission/src/policy/outlier/unresponsive.rs
+++ b/crates/admission/src/policy/outlier/unresponsive.rs
@@ -1,25 +1,29 @@
 //! Large fleets: which endpoints give no gateway a good response any more. A gateway in a large fleet sends
 //! too few attempts to an endpoint to tell by itself.
 
-/// Failed or slow attempts that must have been observed since the last good response; fewer may be chance.
+/// Observations of failed or slow attempts that there must have been since the last good response. One may be
+/// chance. A single attempt that becomes slow and then fails is observed twice, which is enough.
 const MIN_FAILURE_OBSERVATIONS: u32 = 2;
 
 /// Number of good responses that an average endpoint would have given in the time without one.
 const EXPECTED_RESPONSES: f64 = 2.5;
 
-/// Upper limit of the time without an observed good response that makes an endpoint unresponsive, in ms.
+/// Time without an observed good response that is enough for an endpoint to be unresponsive, however few
+/// responses are expected of it, in ms. `MIN_FAILURE_OBSERVATIONS` applies all the same.
 const MAX_UNRESPONSIVE_MS: f64 = 2000.0;
 
 /// What this gateway and those that it receives messages from have observed of an endpoint.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct UnresponsiveInput {
-    /// Attempts that failed, error responses included, or were slow since the endpoint's last good response.
+    /// Number of observations since the endpoint's last good response of attempts that failed, error
+    /// responses included, or were slow. An attempt that is slow and then fails counts twice.
     pub failure_observations: u32,
     /// Time since the endpoint's last good response, in ms.
     pub since_good_response_ms: f64,
     /// Rate of observed good responses of all endpoints, per second.
     pub observed_responses_per_second: f64,
-    /// Number of endpoints in the list.
+    /// Number of known endpoints. Draining ones count, and so do those no longer listed at which this gateway
+    /// still has attempts in flight.
     pub endpoints: usize,
 }
 
--- a/crates/admission/src/policy/peer_messages/fleet_mean_rules.rs
+++ b/crates/admission/src/policy/peer_messages/fleet_mean_rules.rs
@@ -15,11 +15,13 @@
 /// Lower bound of the mean age of attempts, in mean response times.
 const MIN_AGE_RESPONSE_TIMES: f64 = 0.5;
 
-/// Upper bound of the mean age of attempts, as a multiple of the longest latency objective.
+/// Upper bound of the mean age of attempts, as a multiple of the longest latency objective, or of the mean
+/// response time if that is longer.
 const MAX_AGE_OBJECTIVES: f64 = 2.0;
 
 /// Returns the mean time that attempts are in flight, in ms: attempts in flight divided by responses per
-/// second, by Little's law. It shows congestion earlier than the response times do.
+/// second, by Little's law, limited to the lower and the upper bound. It is the mean response time if no
+/// responses are measured. It shows congestion earlier than the response times do.
 pub(crate) fn mean_attempt_age_ms(
     means: GatewayMeans,
     mean_response_ms: f64,
--- a/crates/admission/src/policy/queue/customer_limits.rs
+++ b/crates/admission/src/policy/queue/customer_limits.rs
@@ -3,12 +3,13 @@
 use crate::settings::PlanSettings;
 use crate::state::QuotaDecision;
 
-/// Numerator of the number of gateways per slot that may each use one slot, if a customer has fewer slots
-/// than gateways. More gateways than slots may send, because few of them have requests of the customer at the
-/// same time.
+/// Number of gateways that count one slot as their own for every `OVERCOMMIT_SLOTS` slots, if a customer has
+/// fewer slots than gateways. While such a gateway does not use its slot, it disregards attempts that peers
+/// may not have reported yet. There are more such gateways than slots, because few of them have requests of
+/// the customer at the same time.
 const OVERCOMMIT_GATEWAYS: u32 = 4;
 
-/// Denominator of the number of gateways per slot that may each use one slot.
+/// Number of slots for which `OVERCOMMIT_GATEWAYS` gateways each count one slot as their own.
 const OVERCOMMIT_SLOTS: u32 = 3;
 
 /// A request and the limits of its customer.
@@ -29,8 +30,9 @@
     pub(crate) slots: Option<SlotUse>,
 }
 
-/// How many of a customer's slots are in use, and how they are divided among gateways. A slot is one of the
-/// attempts in flight that the plan's `concurrency_limit` allows.
+/// How many of a customer's slots are in use, and how they are divided among gateways. Here a slot stands for
+/// one of the attempts in flight that the plan's `concurrency_limit` allows; at a quota owner it stands for
+/// one granted request (`owner_verdict`).
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct SlotUse {
     /// The customer's attempts in flight that this gateway sent.
--- a/crates/admission/src/policy/queue/flow_weight.rs
+++ b/crates/admission/src/policy/queue/flow_weight.rs
@@ -6,7 +6,7 @@
 
 /// Returns the weight of a plan's flows in the queue, in units per second: the plan's rate times its plan
 /// weight. For a plan without a rate, the rate is the requests per second that its slots can serve at the
-/// mean response time.
+/// mean response time. A plan without a concurrency limit counts as one with a single slot.
 pub(crate) fn flow_weight(plan: &PlanSettings, mean_response_ms: f64) -> f64 {
     let units_per_second = if plan.rate_per_second > 0.0 {
         plan.rate_per_second
--- a/crates/admission/src/policy/quota_owner/fallback_decision.rs
+++ b/crates/admission/src/policy/quota_owner/fallback_decision.rs
@@ -16,10 +16,11 @@
 
 /// Decides on a request without the quota owner.
 ///
-/// Most customers are well within their quota, so this gateway's own token bucket decides while the endpoints
-/// have spare capacity. If the owner recently granted less than was requested, the request counts as over the
-/// quota instead and is not sent. So does every request under a hard ceiling, because only the owner knows
-/// how much of the ceiling is spent.
+/// Most customers are well within their quota, so this gateway's own token bucket decides while the fleet's
+/// attempts in flight are below the credit threshold, that is, while the endpoints have spare capacity.
+/// Otherwise the request counts as over the quota and is not sent. So does a request that is expected to be
+/// over the quota because the owner recently granted less than was requested, and every request under a hard
+/// ceiling, because only the owner knows how much of the ceiling is spent.
 pub(crate) fn decide_without_owner(input: WithoutOwnerInput) -> QuotaState {
     let has_ceiling = input.ceiling_rate_per_second > 0.0;
     if input.expectation == QuotaExpectation::Within && input.is_below_credit_threshold && !has_ceiling {
--- a/crates/admission/src/policy/quota_owner/owner_verdict.rs
+++ b/crates/admission/src/policy/quota_owner/owner_verdict.rs
@@ -1,5 +1,6 @@
 //! What the owner of a customer's quota decides on a quota request. A plan with a `concurrency_limit` has as
-//! many slots. At the owner a granted request takes one slot until it ends, however many attempts it has.
+//! many slots. At the owner a granted request takes one slot until it ends, however many attempts it has; in
+//! `customer_limits`, each attempt in flight takes one.
 use crate::messages::quota_message::QuotaVerdict;
 use crate::policy::ample_quota::is_ample;
 use crate::policy::over_quota_use::allows_over_quota;
--- a/crates/admission/src/policy/quota_owner/quota_request_route.rs
+++ b/crates/admission/src/policy/quota_owner/quota_request_route.rs
@@ -17,7 +17,7 @@
 const RESEND_MESSAGE_TOKENS_FRACTION: f64 = 0.5;
 
 /// Time that a granted request must have left, in mean response times. A later grant is of no use.
-const RESERVED_RESPONSE_TIMES: f64 = 0.8;
+const MIN_RESPONSE_TIMES_LEFT_AFTER_GRANT: f64 = 0.8;
 
 /// Number of message tokens that a quota request to another gateway costs.
 pub(crate) const TOKENS_PER_QUOTA_REQUEST: f64 = 1.0;
@@ -27,7 +27,8 @@
 pub(crate) struct QuotaRouteInput {
     /// Whether this gateway owns the quota itself, so that no message is needed.
     pub(crate) owns_quota: bool,
-    /// Number of times that the quota request was already sent without a response.
+    /// Number of earlier sendings of the quota request, none of which got a response: 0 if it is now sent for
+    /// the first time.
     pub(crate) resends: u32,
     /// Fraction of the customer's requests for which this gateway sends quota requests.
     pub(crate) sampling: SamplingFraction,
@@ -38,7 +39,8 @@
 }
 
 /// Returns whether the owner is sent a quota request. If the owner wants quota requests for some requests
-/// only, the requests that are not sampled are most likely over the quota.
+/// only, the requests that are not sampled are most likely over the quota. Only the first sending of a quota
+/// request is subject to sampling.
 pub(crate) fn route_quota_request(input: QuotaRouteInput) -> QuotaRoute {
     let is_sampled = input.draw <= input.sampling.fraction();
     if input.owns_quota {
@@ -63,9 +65,9 @@
 }
 
 /// Returns whether a quota request is sent again after the owner did not respond in time. `resends` is the
-/// number of times that it was already sent again, and `max_message_tokens` is the number of message tokens
-/// that a gateway may save up. A missing response says nothing about the customer, which is most likely
-/// within its quota.
+/// number of times that it was already sent again after the first sending, and `max_message_tokens` is the
+/// number of message tokens that a gateway may save up. A missing response says nothing about the customer,
+/// which is most likely within its quota.
 pub(crate) fn route_after_missed_response(
     resends: u32,
     message_tokens: f64,
@@ -81,5 +83,5 @@
 /// Returns until when a grant is of use to a request, in ms on the clock of `objective_at_ms` and
 /// `deadline_at_ms`.
 pub(crate) fn grant_useful_until_ms(objective_at_ms: f64, deadline_at_ms: f64, mean_response_ms: f64) -> f64 {
-    objective_at_ms.min(deadline_at_ms) - RESERVED_RESPONSE_TIMES * mean_response_ms
+    objective_at_ms.min(deadline_at_ms) - MIN_RESPONSE_TIMES_LEFT_AFTER_GRANT * mean_response_ms
 }
--- a/crates/admission/src/policy/request_end/final_response.rs
+++ b/crates/admission/src/policy/request_end/final_response.rs
@@ -21,7 +21,8 @@
 }
 
 /// Returns whether a retry by the client does no harm after an attempt may have run, whichever endpoint the
-/// retry is sent to.
+/// retry is sent to. A class with idempotency keys is judged as if the client retries within the key's
+/// window.
 fn client_retry_is_harmless(idempotency: Idempotency) -> bool {
     match idempotency {
         Idempotency::Idempotent => true,
--- a/crates/admission/src/policy/response_time/response_samples.rs
+++ b/crates/admission/src/policy/response_time/response_samples.rs
@@ -2,8 +2,10 @@
 use crate::event::Outcome;
 use crate::state::{LatencyFloors, LatencyGains};
 
-/// Half-life with which an endpoint's relative response time returns to the usual value without new samples,
-/// in ms. It returns so that slow endpoints get attempts again.
+/// Half-life with which an endpoint's relative response time returns to the usual value, in ms. In broadcast
+/// mode that value is 1, and the return starts anew from the last recorded value with each response of any
+/// kind to this gateway. In a large fleet it is the usual value of the machine kind, and the return starts
+/// anew with each observed good response. The value returns so that slow endpoints get attempts again.
 pub(crate) const RESPONSE_TIME_HALF_LIFE_MS: f64 = 4000.0;
 
 /// Weight of one of this gateway's attempts in its endpoint's smoothed relative response time.
@@ -38,15 +40,15 @@
     pub class_response_ms: f64,
     /// Latency objective of the request's class, in ms.
     pub latency_objective_ms: f64,
-    /// The endpoint's process is past the warm-up time. Response times before that are no samples for the
-    /// class.
+    /// The endpoint's process is past the warm-up time. Before that, a good response gives no sample for the
+    /// class and none for the fraction of the latency objective.
     pub is_past_warm_up: bool,
 }
 
 /// A sample of a response time, as a ratio. The field of `OwnAttemptSamples` names what it is relative to.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum ResponseTimeSample {
-    /// The response took this long.
+    /// The response counts as one that took this long.
     Measured(f64),
     /// No response arrived in this time, so a response would have taken longer.
     AtLeast(f64),
@@ -63,8 +65,10 @@
     pub objective_fraction: Option<ResponseTimeSample>,
 }
 
-/// Returns the samples that an attempt gives in broadcast mode. A response of an overloaded endpoint counts
-/// as one that took as long as the latency objective.
+/// Returns the samples that an attempt gives in broadcast mode. A response of an overloaded endpoint is a
+/// sample for the objective fraction only, as one that took as long as the latency objective. A time-out
+/// gives a lower bound of the endpoint's relative response time and one of the objective fraction, the latter
+/// at most 1.
 pub(crate) fn samples_in_broadcast_mode(input: &OwnAttemptInput) -> OwnAttemptSamples {
     let relative = input.took_ms / input.class_response_ms;
     let objective_fraction = input.took_ms / input.latency_objective_ms;
--- a/crates/admission/src/policy/retry/stalled_action.rs
+++ b/crates/admission/src/policy/retry/stalled_action.rs
@@ -37,7 +37,10 @@
     Leave,
 }
 
-/// Decides what is done about a stalled attempt. The attempt is cancelled only if the request can be retried.
+/// Decides what is done about a stalled attempt. The attempt is cancelled only if the request has an attempt
+/// left, its class is not `NonIdempotent` and the gateway has a retry token. Whether there is time, whether
+/// the idempotency key's window is still open and whether there is an endpoint is checked only when the retry
+/// is decided, after the attempt has ended.
 pub(crate) fn stalled_action(input: &StalledActionInput) -> StalledAction {
     let has_attempt_left = has_attempt_left(input.is_closed, input.attempts, input.max_attempts);
     let is_hedged = input.in_flight > 1;
--- a/crates/admission/src/policy/retry/stalled_attempt.rs
+++ b/crates/admission/src/policy/retry/stalled_attempt.rs
@@ -34,7 +34,8 @@
     by_mean_ms.max(SLOW_OBJECTIVE_FRACTION * latency_objective_ms)
 }
 
-/// Returns whether an attempt has become slow since the last round of upkeep.
+/// Returns whether an attempt has become slow within the last `UPKEEP_INTERVAL_MS`, the time between two
+/// rounds of upkeep. If the next round comes later than that, the attempt may be missed.
 pub(crate) fn has_become_slow(age_ms: f64, slow_after_ms: f64) -> bool {
     age_ms > slow_after_ms && age_ms < slow_after_ms + UPKEEP_INTERVAL_MS
 }
--- a/crates/admission/src/policy/selection/attempt_cost.rs
+++ b/crates/admission/src/policy/selection/attempt_cost.rs
@@ -19,7 +19,8 @@
 pub(crate) struct WarmUpAllowance {
     /// Tokens available now; an attempt takes one.
     pub available_tokens: f64,
-    /// Maximum number of tokens that are saved.
+    /// Maximum number of tokens that are saved. If it is below 1, tokens accrue up to one more than this, and
+    /// then one expires (`available_tokens`).
     pub max_tokens: f64,
 }
 
--- a/crates/admission/src/policy/selection/fitness.rs
+++ b/crates/admission/src/policy/selection/fitness.rs
@@ -28,7 +28,7 @@
     pub is_ejected_for_request: bool,
     /// The endpoint gives no gateway a good response any more.
     pub is_unresponsive: bool,
-    /// Observed attempts at the endpoint that failed or were slow since its last good response.
+    /// Number of observations of failed or slow attempts at the endpoint since its last good response.
     pub failure_observations: u32,
     /// What the request's class allows after an attempt that may have run.
     pub idempotency: Idempotency,
--- a/crates/admission/src/policy/selection/least_cost.rs
+++ b/crates/admission/src/policy/selection/least_cost.rs
@@ -1,4 +1,4 @@
-//! Broadcast mode: the endpoint that is expected to respond first.
+//! Broadcast mode: the endpoint at which an attempt costs least.
 use crate::id::EndpointId;
 
 /// An endpoint that an attempt may be sent to.
--- a/crates/admission/src/policy/selection/weighted_draw.rs
+++ b/crates/admission/src/policy/selection/weighted_draw.rs
@@ -22,8 +22,8 @@
 }
 
 impl DrawCandidate {
-    /// Returns the work that the endpoint may be sent, as a fraction of a warm endpoint's; 0 if it is not
-    /// fit.
+    /// Returns the work that the endpoint may be sent, as a fraction of a warm endpoint's; 0 if the endpoint
+    /// is unfit or suspect.
     fn capacity(&self) -> f64 {
         if self.fitness.is_unfit || self.fitness.is_suspect {
             0.0
--- a/crates/admission/src/policy/slow_start/warm_up_admission.rs
+++ b/crates/admission/src/policy/slow_start/warm_up_admission.rs
@@ -3,10 +3,10 @@
 use crate::mechanism::splitmix64::{fraction, mix};
 use crate::policy::slow_start::warm_fraction::is_warming_up;
 
-/// Part of the factor by which the admitted fraction of attempts exceeds the warming endpoints' fraction of
-/// the send capacity. The other part, which is added, is the fraction of endpoints that are warm: more
-/// attempts must be admitted, since an admitted attempt may still be drawn to a warm endpoint.
-const WARM_UP_ADMISSION_FACTOR: f64 = 1.2;
+/// Smallest factor between the warming endpoints' fraction of the send capacity and the admitted fraction of
+/// attempts. The factor is the sum of this constant and the fraction of endpoints that are warm. It is above
+/// 1 because an admitted attempt may still be drawn to a warm endpoint.
+const MIN_WARM_UP_ADMISSION_FACTOR: f64 = 1.2;
 
 /// The work that the ready endpoints may be sent, in multiples of a warm endpoint's work.
 #[derive(Debug, Clone, Copy, Default)]
@@ -55,7 +55,7 @@
 /// even if the warm endpoints are busy or faulty: the work that those cannot take would overload an endpoint
 /// that has just started.
 pub(crate) fn warm_up_admission(capacity: &SendCapacity, draw: f64) -> WarmUpAdmission {
-    let factor = WARM_UP_ADMISSION_FACTOR + capacity.warm_endpoint_fraction();
+    let factor = MIN_WARM_UP_ADMISSION_FACTOR + capacity.warm_endpoint_fraction();
     if draw * capacity.total < factor * capacity.warming_up {
         WarmUpAdmission::Admitted { weight_factor: capacity.total / capacity.warming_up }
     } else {
--- a/crates/admission/src/settings.rs
+++ b/crates/admission/src/settings.rs
@@ -51,7 +51,10 @@
     pub rate_per_second: f64,
     /// Capacity of the quota's token bucket, in units. The bucket starts full.
     pub burst_units: f64,
-    /// Maximum number of attempts that a customer may have in flight over all gateways; 0 means no limit.
+    /// Maximum number of attempts that a customer may have in flight; 0 means no limit. In broadcast mode the
+    /// limit holds over all gateways, as far as their reports are up to date. In gossip mode the quota owner
+    /// limits granted requests instead of attempts. In the other modes, and in gossip mode for requests that
+    /// are decided without the owner, each gateway allows the whole limit.
     pub concurrency_limit: u32,
     /// Factor on the value of a customer's requests.
     pub plan_weight: f64,
--- a/crates/admission/src/state/endpoint/endpoint_health.rs
+++ b/crates/admission/src/state/endpoint/endpoint_health.rs
@@ -56,7 +56,7 @@
         self.ejection.failures()
     }
 
-    /// Returns whether the endpoint is ejected or paused.
+    /// Returns whether the endpoint is ejected after a failure or paused after an overload response.
     pub(crate) fn is_ejected(&self, now_ms: f64) -> bool {
         self.ejection.is_active(now_ms)
     }
@@ -66,7 +66,8 @@
         self.ejection.record_failure(now_ms, limits, jitter);
     }
 
-    /// Pauses the endpoint until `until_ms`, without counting a failure.
+    /// Sets the end of the ejection or pause to `until_ms`, without counting a failure. This also shortens an
+    /// ejection that would have ended later.
     pub(crate) fn pause_until(&mut self, until_ms: f64) {
         self.ejection.pause_until(until_ms);
     }
--- a/crates/admission/src/state/endpoint/endpoint_table.rs
+++ b/crates/admission/src/state/endpoint/endpoint_table.rs
@@ -51,7 +51,8 @@
         self.id_by_tag = self.by_id.keys().map(|id| (short_tag(id.0), *id)).collect();
     }
 
-    /// Marks the list as too old to be used, until its next update. The endpoints are kept.
+    /// Marks the list as too old to be used, until the next update that is not `ListUpdateKind::Failed`. The
+    /// endpoints are kept.
     pub(crate) fn expire_list(&mut self) {
         self.list_expired = true;
     }
@@ -71,7 +72,8 @@
         self.list_expired
     }
 
-    /// Returns the number of endpoints.
+    /// Returns the number of known endpoints. Draining ones count, and so do those no longer listed at which
+    /// this gateway still has attempts in flight.
     pub(crate) fn len(&self) -> usize {
         self.by_id.len()
     }
--- a/crates/admission/src/state/endpoint/observed_health.rs
+++ b/crates/admission/src/state/endpoint/observed_health.rs
@@ -18,9 +18,10 @@
 pub(crate) struct ObservedHealth {
     /// When any gateway last observed a good response, in ms. Errors and rejections do not count.
     last_good_response_ms: f64,
-    /// Attempts observed since the last good response that failed or were slow.
+    /// Number of observations of failed or slow attempts since the last good response. An attempt that is
+    /// slow and then fails counts twice.
     failure_observations: u32,
-    /// Smoothed fraction of the requests of each class that failed.
+    /// Smoothed fraction of the observations of each class that were of failed or slow attempts.
     class_failure_fraction: BTreeMap<ClassIndex, f64>,
     /// Back-offs during which the endpoint is ejected for requests of one class or plan.
     scoped_ejections: BTreeMap<EjectionScope, Backoff>,
@@ -38,7 +39,7 @@
     }
 
     /// Records a good response to a request of a class, with the weight `gain` in the class's fraction of
-    /// failed requests.
+    /// failed or slow attempts.
     pub(crate) fn record_good_response(&mut self, class: ClassIndex, now_ms: f64, gain: f64) {
         self.last_good_response_ms = now_ms;
         self.failure_observations = 0;
@@ -46,7 +47,7 @@
     }
 
     /// Records that an attempt of a request of a class failed or was slow, and returns the class's smoothed
-    /// fraction of failed requests.
+    /// fraction of failed or slow attempts.
     pub(crate) fn record_failure(&mut self, class: ClassIndex, gain: f64) -> f64 {
         self.failure_observations += 1;
         let fraction = self.class_failure_fraction.entry(class).or_insert(0.0);
@@ -54,7 +55,8 @@
         *fraction
     }
 
-    /// Returns the number of attempts observed since the last good response that failed or were slow.
+    /// Returns the number of observations of failed or slow attempts since the last good response. An attempt
+    /// that is slow and then fails counts twice.
     pub(crate) fn failure_observations(&self) -> u32 {
         self.failure_observations
     }
--- a/crates/admission/src/state/endpoint/relative_response_time.rs
+++ b/crates/admission/src/state/endpoint/relative_response_time.rs
@@ -7,9 +7,10 @@
 pub(crate) struct RelativeResponseTime {
     /// The multiple when a sample was last recorded.
     value: f64,
-    /// When any gateway last observed a response, in ms.
+    /// When any gateway last observed a good response, in ms.
     observed_ms: f64,
-    /// Time in which the distance to the usual value halves without samples, in ms.
+    /// Time in which the distance to the usual value halves, in ms. It is counted from the endpoint's last
+    /// response of any kind to this gateway in `own_estimate`, and from `observed_ms` in `observed_estimate`.
     half_life_ms: f64,
 }
 
--- a/crates/admission/src/state/endpoint/warm_up_tokens.rs
+++ b/crates/admission/src/state/endpoint/warm_up_tokens.rs
@@ -7,7 +7,8 @@
 pub(crate) struct WarmUpBudget {
     /// Tokens that are added per second; each attempt takes one.
     pub(crate) tokens_per_second: f64,
-    /// Maximum number of tokens that are saved.
+    /// Maximum number of tokens that are saved. If it is below 1, tokens accrue up to one more than this, and
+    /// then one expires (`available_tokens`).
     pub(crate) max_tokens: f64,
 }
 
