--- a/crates/admission/src/tests/endpoint_rules/customer_usage_rules.rs
+++ b/crates/admission/src/tests/endpoint_rules/customer_usage_rules.rs
@@ -7,7 +7,7 @@
 use crate::state::QuotaState;
 
 const WITHIN_QUOTA: QuotaState = QuotaState::LocalBucket { within_quota: true };
-const OVER_QUOTA: QuotaState = QuotaState::LocalBucket { within_quota: false };
+const LOCAL_OVER_QUOTA: QuotaState = QuotaState::LocalBucket { within_quota: false };
 
 /// Returns the state of a request that another gateway granted as the owner of its quota.
 fn granted() -> QuotaState {
@@ -28,7 +28,7 @@
     let rows = [
         (first, [true, true, true, true]),
         (AttemptStartInput { has_quota: false, ..first }, [true, true, false, true]),
-        (AttemptStartInput { quota: OVER_QUOTA, ..first }, [true, true, false, false]),
+        (AttemptStartInput { quota: LOCAL_OVER_QUOTA, ..first }, [true, true, false, false]),
         (uncounted, [true, true, false, true]),
         (retry, [true, false, false, false]),
         (AttemptStartInput { has_concurrency_limit: true, ..retry }, [true, false, false, true]),
@@ -63,7 +63,7 @@
         (AttemptEndInput { true_units: None, has_concurrency_limit: true, ..ended }, true, local(0.0), true),
         (AttemptEndInput { true_units: Some(64.5), ..ended }, true, local(0.0), false),
         (AttemptEndInput { has_quota: false, ..ended }, true, local(0.0), false),
-        (AttemptEndInput { quota: OVER_QUOTA, ..ended }, true, local(0.0), false),
+        (AttemptEndInput { quota: LOCAL_OVER_QUOTA, ..ended }, true, local(0.0), false),
         (counter, true, request(3.0), false),
         (owner, false, request(3.0), false),
     ];
--- a/crates/admission/src/tests/endpoint_rules/outlier_rules.rs
+++ b/crates/admission/src/tests/endpoint_rules/outlier_rules.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn stall_ratio_is_in_multiples_of_a_stall() {
+fn stall_ratio_is_silence_over_the_time_that_counts_as_a_stall() {
     // Five attempts in flight, the oldest sent 500 ms ago; the usual response time is 100 ms, so a stall is
     // 250 ms.
     let busy = StallInput {
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn endpoint_is_unresponsive_after_two_failed_attempts_and_some_time() {
+fn endpoint_is_unresponsive_after_two_failure_observations_and_time() {
     // 20 responses per second from 10 endpoints: 2.5 responses from one endpoint take 1250 ms.
     let silent = UnresponsiveInput {
         failure_observations: 2,
@@ -68,7 +68,11 @@
     };
     let rows = [
         ("silent", silent, true),
-        ("one failed or slow attempt", UnresponsiveInput { failure_observations: 1, ..silent }, false),
+        (
+            "one observation of a failed or slow attempt",
+            UnresponsiveInput { failure_observations: 1, ..silent },
+            false,
+        ),
         ("too early", UnresponsiveInput { since_good_response_ms: 1249.0, ..silent }, false),
         ("few observations", UnresponsiveInput { observed_responses_per_second: 2.0, ..silent }, false),
         (
@@ -95,7 +99,7 @@
 }
 
 #[test]
-fn class_is_ejected_above_half_failed_with_jitter_of_a_quarter() {
+fn class_ejection_is_due_above_half_failed_and_jitter_is_a_quarter() {
     assert!(!is_class_ejection_due(0.5) && is_class_ejection_due(0.51));
     assert!(is_close(ejection_jitter(0.0), 0.75) && is_close(ejection_jitter(1.0), 1.25));
 }
@@ -161,7 +165,7 @@
 }
 
 #[test]
-fn fourth_error_ejects_an_endpoint_and_second_failure_a_class() {
+fn fourth_error_ejects_and_second_class_failure_ejects_for_the_class() {
     let mut health = EndpointHealth::new(0.0);
     let decisions = [0.0; 4].map(|now_ms| {
         health.record_response(now_ms);
--- a/crates/admission/src/tests/load_rules/deadline_rules.rs
+++ b/crates/admission/src/tests/load_rules/deadline_rules.rs
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn no_retry_after_if_sent_or_over_quota_in_broadcast_mode_else_longest() {
+fn no_retry_after_if_sent_or_queued_over_quota_in_broadcast_mode() {
     assert_eq!((retry_after_overload(1000.0), retry_after_overload(0.0)), (Some(1000.0), None));
     assert_eq!((retry_after_overdue(true, 1000.0), retry_after_overdue(false, 1000.0)), (Some(1000.0), None));
     assert_eq!(retry_after_over_quota_in_broadcast_mode(), None);
--- a/crates/admission/src/tests/load_rules/new_request_rules.rs
+++ b/crates/admission/src/tests/load_rules/new_request_rules.rs
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn request_within_quota_is_queued_without_an_endpoint() {
+fn request_not_sent_is_queued_only_within_quota_and_below_4000() {
     let over = LocalBucketCheck { is_within_quota: false, may_exceed: true, ..ADMITTED.quota };
     assert_eq!(queue_or_reject(&ADMITTED), Admission::Queue);
     assert_eq!(queue_or_reject(&BroadcastAdmissionInput { queued_requests: 4000, ..ADMITTED }), REJECTED);
--- a/crates/admission/src/tests/load_rules/watermark_rules.rs
+++ b/crates/admission/src/tests/load_rules/watermark_rules.rs
@@ -20,7 +20,7 @@
 }
 
 /// The band of a large fleet that is filled to `fill` of its middle of 100 attempts in flight.
-fn gossip_band(fill: f64) -> LargeFleetBand {
+fn large_fleet_band(fill: f64) -> LargeFleetBand {
     LargeFleetBand { mean_in_flight: 10.0 * fill, gateways: 10, watermark: 4.0, ready_capacity: 25.0 }
 }
 
@@ -53,7 +53,7 @@
 
 #[test]
 fn large_fleet_has_higher_thresholds_and_raises_above_credit_threshold() {
-    let step = |input, fill| watermark_step_in_large_fleet(&input, &gossip_band(fill));
+    let step = |input, fill| watermark_step_in_large_fleet(&input, &large_fleet_band(fill));
     // The thresholds are 0.39 and 0.54 objectives. The age has a weight of 0.9: 610 ms count as 0.549
     // objectives.
     assert_eq!((step(input(0.55, 0.0), 0.0), step(input(0.53, 0.0), 0.0)), (LOWER, WatermarkStep::Stay));
--- a/crates/admission/src/tests/quota_rules/owner_rules.rs
+++ b/crates/admission/src/tests/quota_rules/owner_rules.rs
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn quota_request_is_resent_three_times_above_half_the_message_tokens() {
+fn quota_request_is_resent_at_most_three_times_and_above_half_the_tokens() {
     let without_owner = QuotaRoute::WithoutOwner(QuotaExpectation::Within);
     let cases = [
         (0, 21.1, QuotaRoute::ToOwner),
