--- a/crates/admission/src/settings.rs
+++ b/crates/admission/src/settings.rs
@@ -51,9 +51,13 @@
     pub rate_per_second: f64,
     /// Capacity of the quota's token bucket, in units. The bucket starts full.
     pub burst_units: f64,
-    /// Concurrency limit: the number of slots that a customer has over all gateways; 0 means no limit. An
-    /// attempt takes a slot while it is in flight. If the owner of the customer's quota granted the request,
-    /// the request takes one slot from the grant until it ends instead, however many attempts it has.
+    /// Concurrency limit: the number of slots that a customer has; 0 means no limit. An attempt takes a slot
+    /// while it is in flight. If the owner of the customer's quota granted the request, the request takes one
+    /// slot from the grant until it ends instead, however many attempts it has.
+    ///
+    /// In broadcast mode the limit holds over all gateways, as far as their reports are up to date. In gossip
+    /// mode it holds for the requests that the quota owner grants. In the other modes, and in gossip mode for
+    /// requests that are decided without the owner, each gateway allows the whole limit.
     pub concurrency_limit: u32,
     /// Factor on the value of a customer's requests.
     pub plan_weight: f64,
