--- a/crates/admission/src/action.rs
+++ b/crates/admission/src/action.rs
@@ -1,9 +1,10 @@
 //! The actions that a gateway asks its host program to carry out.
 use crate::id::{EndpointId, GatewayIndex, RequestId};
 
-/// An action for the host program, which carries out actions in the order in which it gets them. A good
-/// response needs no action: the host program passes it on to the client, and reports the end of its attempt
-/// with [`Outcome::Ok`](crate::Outcome::Ok).
+/// An action for the host program, which carries out actions in the order in which it gets them.
+///
+/// A good response needs no action: the host program passes it on to the client, and reports the end of its
+/// attempt with [`Outcome::Ok`](crate::Outcome::Ok).
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// Send a request's next attempt. The attempts of a request are numbered from 0 in the order of these
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -15,6 +15,9 @@
 //! - `state` holds the records, `messages` encodes and decodes messages between gateways, and `mechanism`
 //!   holds well-known algorithms and data structures that take their parameters from the caller.
 
+// Items that other crates cannot see are documented too, except in tests.
+#![cfg_attr(not(test), warn(clippy::missing_docs_in_private_items))]
+
 mod action;
 mod coordination;
 mod event;
--- a/crates/admission/src/mechanism/common_value.rs
+++ b/crates/admission/src/mechanism/common_value.rs
@@ -16,7 +16,9 @@
 /// The value that was recorded most often recently, which is the candidate of the vote, and its votes.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct MostCommonValue {
+    /// The candidate, in the unit of the recorded values.
     value: f64,
+    /// The candidate's votes, at least 1 and at most `max_votes` once a value was recorded.
     votes: i32,
 }
 
--- a/crates/admission/src/mechanism/splitmix64.rs
+++ b/crates/admission/src/mechanism/splitmix64.rs
@@ -4,6 +4,7 @@
 /// sequence.
 #[derive(Debug, Default)]
 pub(crate) struct SplitMix64 {
+    /// The seed, and after that the number from which the last fraction was made.
     state: u64,
 }
 
--- a/crates/admission/src/mechanism/virtual_finish_queue.rs
+++ b/crates/admission/src/mechanism/virtual_finish_queue.rs
@@ -10,7 +10,10 @@
 /// A request in the queue.
 #[derive(Debug, Clone, Copy)]
 struct QueuedRequest {
+    /// The request, whose record the caller holds.
     id: RequestId,
+    /// The virtual finish time that was computed when the request was enqueued, in the caller's unit of size
+    /// divided by its unit of weight.
     virtual_finish: f64,
     /// The size with which the request was enqueued, in the caller's unit.
     size: f64,
@@ -19,6 +22,7 @@
 /// One customer's queued requests, in order of arrival.
 #[derive(Debug, Default)]
 struct Flow {
+    /// The queued requests, of which the first is the head of the flow.
     requests: VecDeque<QueuedRequest>,
     /// Virtual finish time of the request that was enqueued last.
     last_finish: f64,
@@ -47,6 +51,7 @@
 /// Queued requests: one flow per customer, ordered by virtual finish time.
 #[derive(Debug, Default)]
 pub(crate) struct VirtualFinishQueue {
+    /// Each customer's flow. A customer without queued requests has none.
     flows: BTreeMap<CustomerKey, Flow>,
     /// Number of queued requests of all flows.
     len: usize,
--- a/crates/admission/src/messages/counts_message.rs
+++ b/crates/admission/src/messages/counts_message.rs
@@ -102,6 +102,7 @@
 pub(crate) struct CeilingTransfer {
     /// Tag of the customer, 24 bits.
     pub tag: u32,
+    /// Quarters of a unit that are transferred.
     quarter_units: u32,
 }
 
--- a/crates/admission/src/policy/admission/new_request.rs
+++ b/crates/admission/src/policy/admission/new_request.rs
@@ -20,8 +20,11 @@
     Send,
     /// The request waits in the queue.
     Queue,
-    /// The request is rejected. Its client may retry after `retry_after_ms`; `None` gives no advice.
-    Reject { retry_after_ms: Option<f64> },
+    /// The request is rejected.
+    Reject {
+        /// Time after which the client may retry, in milliseconds; `None` gives no advice.
+        retry_after_ms: Option<f64>,
+    },
 }
 
 /// The input of admission in broadcast mode, for a request that is known to be in time.
--- a/crates/admission/src/policy/band/dispatch_credit.rs
+++ b/crates/admission/src/policy/band/dispatch_credit.rs
@@ -122,11 +122,11 @@
     mean_response_ms: f64,
     seconds: f64,
 ) -> f64 {
-    let mean_response_s = mean_response_ms / 1000.0;
+    let mean_response_seconds = mean_response_ms / 1000.0;
     let middle_per_gateway = band.middle_per_gateway();
     let factor = (MAX_REFILL_FACTOR - (MAX_REFILL_FACTOR - 1.0) * band.fill())
         .clamp(MIN_REFILL_FACTOR, MAX_REFILL_FACTOR);
-    let earned = factor * middle_per_gateway / mean_response_s * seconds;
+    let earned = factor * middle_per_gateway / mean_response_seconds * seconds;
     (dispatch_credit + earned).min(MIN_CREDIT_LIMIT.max(middle_per_gateway))
 }
 
--- a/crates/admission/src/policy/band/watermark.rs
+++ b/crates/admission/src/policy/band/watermark.rs
@@ -74,11 +74,17 @@
 /// A step of the watermark.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum WatermarkStep {
-    /// Responses are slow: the watermark is multiplied by `factor`, which is below 1.
-    Lower { factor: f64 },
+    /// Responses are slow: the watermark is multiplied by `factor`.
+    Lower {
+        /// Factor on the watermark; below 1.
+        factor: f64,
+    },
     /// Responses are fast and a rise is needed, because requests wait or require dispatch credit: the
-    /// watermark is multiplied by `factor`, which is above 1.
-    Raise { factor: f64 },
+    /// watermark is multiplied by `factor`.
+    Raise {
+        /// Factor on the watermark; above 1.
+        factor: f64,
+    },
     /// The watermark stays as it is.
     Stay,
 }
--- a/crates/admission/src/policy/request_end/quota_settlement.rs
+++ b/crates/admission/src/policy/request_end/quota_settlement.rs
@@ -26,12 +26,26 @@
     Nothing,
     /// The request's units in the quota counter are corrected.
     SettleWithCounter,
-    /// The quota's owner is sent a release. It takes `additional_units` beyond the units granted; if they are
-    /// negative, it returns them to the quota.
-    Release { owner: GatewayIndex, number: QuotaRequestNumber, additional_units: f64 },
+    /// The quota's owner is sent a release.
+    Release {
+        /// The gateway that owns the quota and granted the request.
+        owner: GatewayIndex,
+        /// The number of the quota request, which the release repeats.
+        number: QuotaRequestNumber,
+        /// Units that the release takes beyond the units granted; if they are negative, it returns them to
+        /// the quota.
+        additional_units: f64,
+    },
     /// The quota request is withdrawn, because the request ended before the owner granted it: its response is
     /// no longer awaited, and the owner is sent a release.
-    Withdraw { owner: GatewayIndex, number: QuotaRequestNumber, additional_units: f64 },
+    Withdraw {
+        /// The gateway that owns the quota and was sent the quota request.
+        owner: GatewayIndex,
+        /// The number of the quota request, which the release repeats.
+        number: QuotaRequestNumber,
+        /// Minus the units that the request was estimated at: the release returns them to the quota.
+        additional_units: f64,
+    },
 }
 
 /// Returns what is sent about a request that has ended. A release costs a message, so a request that was sent
--- a/crates/admission/src/policy/slow_start/warm_up_admission.rs
+++ b/crates/admission/src/policy/slow_start/warm_up_admission.rs
@@ -11,9 +11,13 @@
 /// The work that the ready endpoints may be sent, in multiples of a warm endpoint's work.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct SendCapacity {
+    /// The work that all ready endpoints may be sent.
     total: f64,
+    /// The part of `total` that the endpoints that are warming up may be sent.
     warming_up: f64,
+    /// Number of ready endpoints that are warm.
     warm_endpoints: u32,
+    /// Number of ready endpoints, warm or warming up.
     endpoints: u32,
 }
 
--- a/crates/admission/src/state/endpoint/endpoint_record.rs
+++ b/crates/admission/src/state/endpoint/endpoint_record.rs
@@ -31,6 +31,7 @@
     in_flight: Vec<InFlightAttempt>,
     /// Rate of attempts that this gateway sends to the endpoint, per second.
     send_rate: DecayingRate,
+    /// The times over which `response_time` and `send_rate` are smoothed.
     smoothing: EndpointSmoothing,
     /// Tokens for this gateway's attempts while the endpoint is warming up.
     pub(crate) warm_up_tokens: WarmUpTokens,
--- a/crates/admission/src/state/endpoint/endpoint_table.rs
+++ b/crates/admission/src/state/endpoint/endpoint_table.rs
@@ -8,11 +8,13 @@
 /// The endpoints of the list, and those no longer listed at which this gateway still has attempts in flight.
 #[derive(Debug, Default)]
 pub(crate) struct EndpointTable {
+    /// The record of each endpoint.
     by_id: BTreeMap<EndpointId, Endpoint>,
     /// The id of each endpoint, by the tag that stands for it in messages.
     id_by_tag: BTreeMap<u32, EndpointId>,
     /// The list is too old to be used.
     list_expired: bool,
+    /// The times over which the response time and send rate of each endpoint are smoothed.
     smoothing: EndpointSmoothing,
 }
 
--- a/crates/admission/src/state/endpoint/latency_model.rs
+++ b/crates/admission/src/state/endpoint/latency_model.rs
@@ -29,7 +29,9 @@
 /// Learned response times of all endpoints together, by class and by machine kind.
 #[derive(Debug, Default)]
 pub(crate) struct LatencyModel {
+    /// The weight of a new sample in each smoothed response time.
     gains: LatencyGains,
+    /// The lower limits of the smoothed response times where they are divisors.
     floors: LatencyFloors,
     /// Smoothed response time of all classes, as a fraction of the latency objective.
     objective_fraction: f64,
--- a/crates/admission/src/state/endpoint/recent_observations.rs
+++ b/crates/admission/src/state/endpoint/recent_observations.rs
@@ -5,6 +5,7 @@
 /// This gateway's latest observations of endpoints, oldest first.
 #[derive(Debug, Default)]
 pub(crate) struct RecentObservations {
+    /// The observations, oldest first, of which no two in succession are equal.
     latest: VecDeque<Observation>,
 }
 
--- a/crates/admission/src/state/quota/quota_state.rs
+++ b/crates/admission/src/state/quota/quota_state.rs
@@ -6,24 +6,51 @@
 /// what was decided.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum QuotaState {
-    /// This gateway's own token bucket decides, without a message or call. `within_quota` is provisional: the
-    /// bucket is checked again when the request is to be sent.
-    LocalBucket { within_quota: bool },
-    /// The quota's owner was sent a quota request at `sent_ms` and has not responded. `resends` is how often
-    /// a quota request for the same request had been sent before.
-    AwaitingOwner { owner: GatewayIndex, number: QuotaRequestNumber, sent_ms: f64, resends: u32 },
+    /// This gateway's own token bucket decides, without a message or call.
+    LocalBucket {
+        /// Whether the request is taken to be within the quota. This is provisional: the bucket is checked
+        /// again when the request is to be sent.
+        within_quota: bool,
+    },
+    /// The quota's owner was sent a quota request and has not responded.
+    AwaitingOwner {
+        /// The gateway that owns the quota.
+        owner: GatewayIndex,
+        /// The number of the quota request, which the owner's response repeats.
+        number: QuotaRequestNumber,
+        /// When the quota request was sent, in milliseconds.
+        sent_ms: f64,
+        /// How often a quota request for the same request had been sent before.
+        resends: u32,
+    },
     /// The owner queues the request until the customer has a free slot.
-    QueuedAtOwner { owner: GatewayIndex, number: QuotaRequestNumber },
-    /// The owner granted the request. If the quota is `ample`, the true units need not be reported.
-    GrantedByOwner { owner: GatewayIndex, number: QuotaRequestNumber, ample: bool },
-    /// The request is over the quota, or assumed to be, or the owner refused it. If it `may_exceed` the
-    /// quota, it is sent while there is capacity.
-    OverQuota { may_exceed: bool },
+    QueuedAtOwner {
+        /// The gateway that owns the quota.
+        owner: GatewayIndex,
+        /// The number of the quota request that the owner queues.
+        number: QuotaRequestNumber,
+    },
+    /// The owner granted the request.
+    GrantedByOwner {
+        /// The gateway that owns the quota.
+        owner: GatewayIndex,
+        /// The number of the quota request that was granted, which a release repeats.
+        number: QuotaRequestNumber,
+        /// Whether the quota is ample, so that the true units need not be reported.
+        ample: bool,
+    },
+    /// The request is over the quota, or assumed to be, or the owner refused it.
+    OverQuota {
+        /// Whether the request may exceed the quota: it is then sent while there is capacity.
+        may_exceed: bool,
+    },
     /// The quota counter was called for the request and has not replied.
     AwaitingCounter,
-    /// The customer's count admitted the request. If the quota is `ample`, the true units need not be
-    /// reported.
-    AdmittedByCounter { ample: bool },
+    /// The customer's count admitted the request.
+    AdmittedByCounter {
+        /// Whether the quota is ample, so that the true units need not be reported.
+        ample: bool,
+    },
     /// The request may be sent, although the counter was not called for it.
     AdmittedUncounted,
 }
--- a/crates/admission/src/state/request/active_request.rs
+++ b/crates/admission/src/state/request/active_request.rs
@@ -134,6 +134,7 @@
 /// The active requests, by id.
 #[derive(Debug, Default)]
 pub(crate) struct RequestTable {
+    /// Each active request's record.
     by_id: BTreeMap<RequestId, ActiveRequest>,
 }
 
--- a/crates/admission/src/state/request/attempt_record.rs
+++ b/crates/admission/src/state/request/attempt_record.rs
@@ -13,6 +13,8 @@
     zone: ZoneIndex,
     /// The endpoint's cell when the attempt was sent.
     cell: u64,
+    /// Whether the attempt is in flight and, once it has ended, whether the endpoint may have run the
+    /// request.
     state: AttemptState,
 }
 
--- a/crates/admission/src/state/request/retry_budget.rs
+++ b/crates/admission/src/state/request/retry_budget.rs
@@ -5,6 +5,7 @@
 /// therefore stay a bounded fraction of all attempts, even while many attempts fail.
 #[derive(Debug, Default)]
 pub(crate) struct RetryBudget {
+    /// The tokens that are left to spend on retries.
     tokens: TokenCount,
 }
 
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -38,19 +38,27 @@
     pub socket_settings: SocketSettings,
 }
 
-/// The configuration file's content. The fields that [`Config`] has too are documented there.
+/// The configuration file's content.
 #[derive(Deserialize)]
 struct ConfigFile {
+    /// The address on which the gateway accepts clients' connections.
     listen: SocketAddr,
+    /// Discovery's address.
     discovery: SocketAddr,
+    /// The quota counter's address; missing if the fleet has no quota counter.
     #[serde(default)]
     counter: Option<SocketAddr>,
     /// The seed as a hexadecimal number of at most 64 bits.
     seed: String,
+    /// The limits on the process's resources.
     limits: Limits,
+    /// The address on which the gateway receives peers' messages; missing if it exchanges none.
     peer_listen: Option<SocketAddr>,
+    /// The address for messages of each gateway of the fleet, indexed by the gateway's number; missing if the
+    /// gateway exchanges none.
     #[serde(default)]
     peers: Vec<SocketAddr>,
+    /// The endpoint list that was cached before a restart; missing if there is none.
     #[serde(rename = "known")]
     cached_list: Option<EndpointListUpdate>,
     /// The settings of the admission library and of the network code.
--- a/crates/gateway/src/dispatcher/mod.rs
+++ b/crates/gateway/src/dispatcher/mod.rs
@@ -41,6 +41,7 @@
 
 /// Sends requests to endpoints as the admission library decides. Everything runs on one thread.
 pub(crate) struct Dispatcher {
+    /// The library's gateway with its events and timers, and the active requests.
     state: RefCell<State>,
     /// Wakes the timer task when a timer is added that expires before the task's sleep ends, or while the
     /// task waits for a timer to be added.
--- a/crates/gateway/src/dispatcher/timers.rs
+++ b/crates/gateway/src/dispatcher/timers.rs
@@ -29,7 +29,9 @@
 /// Whether the timer task must be woken after a timer was added.
 #[derive(PartialEq, Eq)]
 pub(super) enum WakeUp {
+    /// The timer expires before the task's sleep ends, or the task waits for a timer to be added.
     Needed,
+    /// The task's sleep ends before the timer expires or at the same time.
     NotNeeded,
 }
 
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -4,6 +4,10 @@
 //!
 //! The process reloads its configuration on SIGHUP and shuts down on SIGTERM. `docs/LOGS.md` lists its log
 //! lines.
+
+// Items that other crates cannot see are documented too, except in tests.
+#![cfg_attr(not(test), warn(clippy::missing_docs_in_private_items))]
+
 mod clock;
 mod config;
 mod connection_budget;
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -6,6 +6,9 @@
 //! [`SettingsDocument::socket_settings`] returns what only the deployed gateway needs. Unknown keys are
 //! ignored.
 
+// Items that other crates cannot see are documented too, except in tests.
+#![cfg_attr(not(test), warn(clippy::missing_docs_in_private_items))]
+
 mod document;
 mod error;
 mod names;
--- a/crates/simulator-adapter/src/hosted_gateways.rs
+++ b/crates/simulator-adapter/src/hosted_gateways.rs
@@ -15,16 +15,34 @@
     Json(#[from] serde_json::Error),
     /// A gateway's settings object cannot be translated.
     #[error("settings of {gateway_id}: {source}")]
-    SettingsDocument { gateway_id: String, source: SettingsDocumentError },
+    SettingsDocument {
+        /// The simulator's id of the gateway that was to start.
+        gateway_id: String,
+        /// The reason why the settings object cannot be translated.
+        source: SettingsDocumentError,
+    },
     /// The admission library rejects a gateway's settings.
     #[error("settings of {gateway_id}: {source}")]
-    Settings { gateway_id: String, source: SettingsError },
+    Settings {
+        /// The simulator's id of the gateway that was to start.
+        gateway_id: String,
+        /// What is missing or out of range in the settings.
+        source: SettingsError,
+    },
     /// An event names a gateway that is not running.
     #[error("event for {gateway_id}: the gateway is not running")]
-    NotRunning { gateway_id: String },
+    NotRunning {
+        /// The simulator's id of the gateway that the event names.
+        gateway_id: String,
+    },
     /// An event cannot be translated for the admission library.
     #[error("event for {gateway_id}: {source}")]
-    Event { gateway_id: String, source: TranslationError },
+    Event {
+        /// The simulator's id of the gateway that the event names.
+        gateway_id: String,
+        /// The reason why the event cannot be translated.
+        source: TranslationError,
+    },
 }
 
 /// A running gateway.
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -4,6 +4,9 @@
 //! The program only translates; the library decides. If a line of input cannot be processed, it ends with one
 //! line on standard error.
 
+// Items that other crates cannot see are documented too, except in tests.
+#![cfg_attr(not(test), warn(clippy::missing_docs_in_private_items))]
+
 mod hosted_gateways;
 mod wire;
 
@@ -17,9 +20,14 @@
     /// Standard input cannot be read.
     #[error("cannot read input: {0}")]
     Read(#[source] std::io::Error),
-    /// A line of input cannot be processed. Lines are counted from 1.
+    /// A line of input cannot be processed.
     #[error("input line {line_number}: {source}")]
-    Batch { line_number: usize, source: BatchError },
+    Batch {
+        /// The number of the line in the input, from 1.
+        line_number: usize,
+        /// The reason why the line cannot be processed.
+        source: BatchError,
+    },
     /// Standard output cannot be written.
     #[error("cannot write output: {0}")]
     Write(#[source] std::io::Error),
--- a/crates/simulator-adapter/src/wire/input.rs
+++ b/crates/simulator-adapter/src/wire/input.rs
@@ -80,26 +80,37 @@
 #[derive(Deserialize)]
 #[serde(tag = "msg")]
 enum TaggedMessage {
+    /// The simulator starts the gateway.
     Start(StartMessage),
+    /// The simulator ends the gateway at once.
     #[serde(rename = "CrashNow")]
     Kill,
+    /// The endpoint list was updated, or a poll of it failed.
     #[serde(rename = "Targets")]
     EndpointList(EndpointListMessage),
+    /// A client sent a request.
     #[serde(rename = "Demand")]
     Request(RequestMessage),
+    /// A timer is due.
     #[serde(rename = "Bell")]
     Timer(TimerMessage),
+    /// A call to the quota counter ended.
     CounterReply(CounterReplyMessage),
+    /// A health check ended.
     #[serde(rename = "Echo")]
     HealthCheckDone(
         #[expect(dead_code, reason = "parsed only to reject malformed messages")] HealthCheckDoneMessage,
     ),
+    /// Another gateway sent a message.
     #[serde(rename = "NoteFrom")]
     PeerMessage(PeerMessage),
+    /// A client disconnected.
     #[serde(rename = "Hangup")]
     ClientDisconnected(ClientDisconnectedMessage),
+    /// An attempt ended.
     #[serde(rename = "Result")]
     AttemptEnded(AttemptEndedMessage),
+    /// A streamed response began.
     #[serde(rename = "Opened")]
     StreamOpened(
         #[expect(dead_code, reason = "parsed only to reject malformed messages")] StreamOpenedMessage,
