--- a/crates/admission/src/settings.rs
+++ b/crates/admission/src/settings.rs
@@ -75,21 +75,13 @@
 
     /// Checks that the plan's values are in range.
     fn check(&self) -> Result<(), SettingsError> {
-        require(
-            "rate_per_second",
-            is_finite_non_negative(self.rate_per_second) && is_finite_non_negative(self.burst_units),
-        )?;
-        require(
-            "over_quota_value",
-            is_finite_non_negative(self.over_quota_value)
-                && is_finite_non_negative(self.over_quota_cost)
-                && is_finite_non_negative(self.plan_weight),
-        )?;
-        require(
-            "ceiling_rate_per_second",
-            is_finite_non_negative(self.ceiling_rate_per_second)
-                && is_finite_non_negative(self.ceiling_burst_units),
-        )
+        require("rate_per_second", is_finite_non_negative(self.rate_per_second))?;
+        require("burst_units", is_finite_non_negative(self.burst_units))?;
+        require("over_quota_value", is_finite_non_negative(self.over_quota_value))?;
+        require("over_quota_cost", is_finite_non_negative(self.over_quota_cost))?;
+        require("plan_weight", is_finite_non_negative(self.plan_weight))?;
+        require("ceiling_rate_per_second", is_finite_non_negative(self.ceiling_rate_per_second))?;
+        require("ceiling_burst_units", is_finite_non_negative(self.ceiling_burst_units))
     }
 }
 
@@ -168,10 +160,8 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if a setting is missing or out of range. For a setting out of range the error names
-    /// the first of a group that is checked together: `rate_per_second` also stands for `burst_units`,
-    /// `over_quota_value` for `over_quota_cost` and `plan_weight`, `ceiling_rate_per_second` for
-    /// `ceiling_burst_units`, and `overload_multiple` for `overload_window_ms`.
+    /// Returns an error if a setting is missing or out of range. If several are, the error is about the first
+    /// one that is checked.
     pub fn check(&self) -> Result<(), SettingsError> {
         if self.classes.is_empty() {
             return Err(SettingsError::NoClasses);
@@ -201,10 +191,8 @@
         let fraction = self.cold_start_fraction;
         require("cold_start_fraction", is_finite_non_negative(fraction) && fraction <= 1.0)?;
         require("warm_up_ms", is_finite_non_negative(self.warm_up_ms))?;
-        require(
-            "overload_multiple",
-            is_finite_non_negative(self.overload_multiple) && is_finite_non_negative(self.overload_window_ms),
-        )
+        require("overload_multiple", is_finite_non_negative(self.overload_multiple))?;
+        require("overload_window_ms", is_finite_non_negative(self.overload_window_ms))
     }
 }
 
@@ -252,8 +240,7 @@
     /// `this_gateway` is not below the number of gateways.
     #[error("this gateway's number is not below the number of gateways")]
     NotAmongGateways,
-    /// The named setting, or one that is checked together with it (see [`Settings::check`]), is negative, not
-    /// finite, 0 although it must be above 0, or above its maximum.
+    /// The named setting is negative, not finite, 0 although it must be above 0, or above its maximum.
     #[error("setting out of range: {0}")]
     OutOfRange(&'static str),
 }
