--- a/crates/admission/src/tests/load_rules/dispatch_order_rules.rs
+++ b/crates/admission/src/tests/load_rules/dispatch_order_rules.rs
@@ -50,8 +50,10 @@
     assert_eq!(next(Some(head(1, 5.0)), head(2, 5.0)), RequestId(1));
 }
 
+/// A queued request that is over its quota is sent only if it may exceed the quota, and only while the band
+/// is under its lower bound.
 #[test]
-fn request_over_quota_is_sent_only_if_it_may_exceed_and_under_the_lower_bound() {
+fn request_over_quota_is_sent_only_if_permitted_and_below_lower_bound() {
     let cases = [
         (true, BandPosition::BelowLowerBound, true),
         (true, BandPosition::BetweenBounds, false),
