--- a/crates/admission/src/mechanism/common_value.rs
+++ b/crates/admission/src/mechanism/common_value.rs
@@ -17,7 +17,9 @@
 /// The candidate for the most common recent value, and its votes.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct MostCommonValue {
+    /// The candidate, in the unit of the recorded values.
     value: f64,
+    /// The candidate's votes, at least 1 and at most `max_votes` once a value was recorded.
     votes: i32,
 }
 
