--- a/crates/admission/src/lifecycle/queue_dispatch.rs
+++ b/crates/admission/src/lifecycle/queue_dispatch.rs
@@ -31,7 +31,7 @@
         let mode = self.coordination.fleet_mode();
         let mut next: Option<FlowHead> = None;
         for head in self.queue.heads() {
-            match self.judge_head(head.id, mode) {
+            match self.head_decision(head.id, mode) {
                 HeadDecision::Eligible => next = Some(earlier_head(next, head)),
                 HeadDecision::BlockedByBand => self.band.record_wait_for_band(),
                 HeadDecision::OverQuota => self.dispatch_over_quota(head, actions),
@@ -48,7 +48,7 @@
     }
 
     /// Decides what happens to the head of a flow.
-    fn judge_head(&mut self, id: RequestId, mode: FleetMode) -> HeadDecision {
+    fn head_decision(&mut self, id: RequestId, mode: FleetMode) -> HeadDecision {
         let quota = self.quota_decision(id);
         match mode {
             FleetMode::Broadcast => head_decision_in_broadcast_mode(quota),
