--- a/crates/admission/tests/it/common/fleet.rs
+++ b/crates/admission/tests/it/common/fleet.rs
@@ -158,11 +158,11 @@
         let Some(target) = self.gateways.get_mut(&gateway) else { return };
         target.on_event(self.now_ms, event, &mut actions);
         for action in actions {
-            self.carry_out(gateway, action);
+            self.execute_action(gateway, action);
         }
     }
 
-    fn carry_out(&mut self, gateway: usize, action: Action) {
+    fn execute_action(&mut self, gateway: usize, action: Action) {
         match action {
             Action::SetTimer { at_ms, token } => {
                 self.schedule(at_ms - self.now_ms, gateway, Event::Timer { token });
--- a/crates/admission/tests/it/slow_start_fleet/simulation.rs
+++ b/crates/admission/tests/it/slow_start_fleet/simulation.rs
@@ -253,13 +253,13 @@
         let mut actions = Vec::new();
         self.gateways[gateway].on_event(self.now_ms, event, &mut actions);
         for action in actions {
-            self.carry_out(gateway, action);
+            self.execute_action(gateway, action);
         }
     }
 
     /// Carries out an action. Cancellations are ignored, so that each attempt runs to its end, and so are
     /// rejections and failures.
-    fn carry_out(&mut self, gateway: usize, action: Action) {
+    fn execute_action(&mut self, gateway: usize, action: Action) {
         match action {
             Action::SetTimer { at_ms, token } => {
                 let event = Event::Timer { token };
--- a/crates/gateway/src/dispatcher/actions.rs
+++ b/crates/gateway/src/dispatcher/actions.rs
@@ -11,7 +11,7 @@
 
 impl Dispatcher {
     /// Carries out one action. Events that it causes at once are queued in `state`.
-    pub(super) fn carry_out(self: &Rc<Self>, state: &mut State, action: Action) {
+    pub(super) fn execute_action(self: &Rc<Self>, state: &mut State, action: Action) {
         match action {
             Action::Send { request, endpoint, timeout_ms } => self.send(state, request, endpoint, timeout_ms),
             Action::Reject { request, retry_after_ms } => {
--- a/crates/gateway/src/dispatcher/mod.rs
+++ b/crates/gateway/src/dispatcher/mod.rs
@@ -220,7 +220,7 @@
         while let Some(event) = state.events.pop_front() {
             state.gateway.on_event(self.clock.now_ms(), event, &mut actions);
             for action in actions.drain(..) {
-                self.carry_out(&mut state, action);
+                self.execute_action(&mut state, action);
             }
         }
     }
