--- a/crates/admission/src/coordination/gossip_exchange.rs
+++ b/crates/admission/src/coordination/gossip_exchange.rs
@@ -3,7 +3,7 @@
 use crate::action::Action;
 use crate::gateway::Gateway;
 use crate::id::GatewayIndex;
-use crate::messages::gossip_message::{GossipMessage, MeansOnWire};
+use crate::messages::gossip_message::{FixedPointMeans, GossipMessage};
 use crate::policy::band::watermark::bounded_watermark;
 use crate::policy::peer_messages::fleet_mean_rules::{
     mean_attempt_age_ms, OWN_MEAN_GAIN_PER_SECOND, PASSED_ON_MEAN_GAIN, RECEIVED_MEAN_GAIN,
@@ -34,7 +34,7 @@
 
     /// Moves this gateway's means towards those of a peer. The watermark is bounded, so that a corrupt
     /// message cannot move it beyond what this gateway's own steps could reach.
-    fn apply_means(&mut self, means: &MeansOnWire) {
+    fn apply_means(&mut self, means: &FixedPointMeans) {
         let watermark = bounded_watermark(means.watermark(), self.watermark_floor());
         self.band.follow_watermark(watermark, PASSED_ON_MEAN_GAIN);
         let means =
@@ -54,7 +54,8 @@
             return self.on_quota_messages(to, message, actions);
         }
         let means = self.fleet_means.passed_on();
-        message.means = MeansOnWire::new(means.in_flight, self.band.watermark(), means.responses_per_second);
+        message.means =
+            FixedPointMeans::new(means.in_flight, self.band.watermark(), means.responses_per_second);
         message.observations = self.recent_observations.to_vec();
         actions.push(Action::SendPeerMessage { to, body: message.encode() });
     }
--- a/crates/admission/src/messages/gossip_message.rs
+++ b/crates/admission/src/messages/gossip_message.rs
@@ -16,7 +16,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub(crate) struct GossipMessage {
     /// Means over the fleet as the sender knows them.
-    pub means: MeansOnWire,
+    pub means: FixedPointMeans,
     /// Quota requests to the receiver, which owns the quotas.
     pub requests: Vec<QuotaRequest>,
     /// Responses to the receiver's quota requests.
@@ -30,7 +30,7 @@
 /// Values of one gateway, averaged over the gateways of the fleet and rounded to the steps that a message
 /// carries.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub(crate) struct MeansOnWire {
+pub(crate) struct FixedPointMeans {
     /// Mean attempts in flight of a gateway, at the endpoints that its band counts.
     in_flight: FixedPoint<64, 2>,
     /// Mean watermark.
@@ -39,10 +39,10 @@
     rate: FixedPoint<32, 2>,
 }
 
-impl MeansOnWire {
+impl FixedPointMeans {
     /// Creates the means, each rounded to its nearest step.
     pub(crate) fn new(in_flight: f64, watermark: f64, responses_per_second: f64) -> Self {
-        MeansOnWire {
+        FixedPointMeans {
             in_flight: FixedPoint::nearest(in_flight),
             watermark: FixedPoint::nearest(watermark),
             rate: FixedPoint::nearest(responses_per_second),
@@ -73,7 +73,7 @@
 
     /// Reads the means from a message; `None` if a digit is missing or invalid.
     fn decode(bytes: &mut Bytes<'_>) -> Option<Self> {
-        Some(MeansOnWire {
+        Some(FixedPointMeans {
             in_flight: FixedPoint::decode(bytes)?,
             watermark: FixedPoint::decode(bytes)?,
             rate: FixedPoint::decode(bytes)?,
@@ -125,7 +125,7 @@
     pub(crate) fn decode(text: &str) -> Option<Self> {
         let mut bytes = text.bytes();
         take_message_type(&mut bytes, MESSAGE_TYPE)?;
-        let means = MeansOnWire::decode(&mut bytes)?;
+        let means = FixedPointMeans::decode(&mut bytes)?;
         let mut message = GossipMessage { means, ..GossipMessage::default() };
         while let Some(marker) = bytes.next() {
             match marker {
