--- a/crates/admission/src/coordination/count_reports.rs
+++ b/crates/admission/src/coordination/count_reports.rs
@@ -3,8 +3,8 @@
 use crate::gateway::Gateway;
 use crate::id::{CustomerKey, GatewayIndex};
 use crate::messages::counts_message::{
-    CeilingRequest, CeilingTransfer, ConsumedUnits, CountEntry, CountsMessage, QuotaFill, WatermarkOnWire,
-    MAX_CUSTOMER_LEN,
+    CeilingRequest, CeilingTransfer, ConsumedUnits, CountEntry, CountsMessage, FixedPointWatermark,
+    QuotaFill, MAX_CUSTOMER_LEN,
 };
 use crate::policy::peer_messages::ceiling_transfer::{ceiling_transfer_units, max_ceiling_units};
 use crate::policy::peer_messages::count_merge::{quota_fill, quota_tokens_after_report};
@@ -108,7 +108,7 @@
             for mut message in messages {
                 message.incarnation = self.incarnation;
                 message.in_flight = in_flight;
-                message.watermark = WatermarkOnWire::at_most(self.band.watermark());
+                message.watermark = FixedPointWatermark::at_most(self.band.watermark());
                 if should_send_report(report_input(peer, &message, now_ms)) {
                     peer.record_sent_report(&mut message, CREDIT_PER_REPORT, now_ms);
                     actions.push(Action::SendPeerMessage { to, body: message.encode() });
--- a/crates/admission/src/messages/counts_message.rs
+++ b/crates/admission/src/messages/counts_message.rs
@@ -31,7 +31,7 @@
 /// Bytes of the message's header: message type, incarnation, sequence number, attempts in flight and
 /// watermark.
 const HEADER_LEN: usize =
-    1 + (INCARNATION_DIGITS + SEQUENCE_DIGITS + SENDER_IN_FLIGHT_DIGITS + WatermarkOnWire::LEN) as usize;
+    1 + (INCARNATION_DIGITS + SEQUENCE_DIGITS + SENDER_IN_FLIGHT_DIGITS + FixedPointWatermark::LEN) as usize;
 
 /// Bytes of a customer's count with its marker.
 const COUNT_LEN: usize = 1 + (TAG_DIGITS + CONSUMED_DIGITS + SixtyThirds::LEN + IN_FLIGHT_DIGITS) as usize;
@@ -162,7 +162,7 @@
 }
 
 /// A watermark in 16ths, as the message carries it.
-pub(crate) type WatermarkOnWire = FixedPoint<16, 2>;
+pub(crate) type FixedPointWatermark = FixedPoint<16, 2>;
 
 /// A message between gateways in broadcast mode.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
@@ -175,7 +175,7 @@
     /// at most.
     pub in_flight: u32,
     /// Watermark of the sender.
-    pub watermark: WatermarkOnWire,
+    pub watermark: FixedPointWatermark,
     /// Counts of the customers that the sender consumed units of or has attempts in flight for.
     pub counts: Vec<CountEntry>,
     /// Requests for units of customers' ceilings.
@@ -220,7 +220,7 @@
             incarnation: take(&mut bytes, INCARNATION_DIGITS)?,
             sequence: take(&mut bytes, SEQUENCE_DIGITS)?,
             in_flight: take(&mut bytes, SENDER_IN_FLIGHT_DIGITS)?,
-            watermark: WatermarkOnWire::decode(&mut bytes)?,
+            watermark: FixedPointWatermark::decode(&mut bytes)?,
             ..CountsMessage::default()
         };
         while let Some(marker) = bytes.next() {
--- a/crates/admission/src/tests/quota_rules/message_bounds.rs
+++ b/crates/admission/src/tests/quota_rules/message_bounds.rs
@@ -1,7 +1,7 @@
 //! Ranges and rounding of the values that messages between gateways carry.
 use crate::id::{ClassIndex, PlanIndex};
 use crate::messages::counts_message::{
-    CeilingRequest, CeilingTransfer, ConsumedUnits, CountEntry, CountsMessage, QuotaFill, WatermarkOnWire,
+    CeilingRequest, CeilingTransfer, ConsumedUnits, CountEntry, CountsMessage, FixedPointWatermark, QuotaFill,
 };
 use crate::messages::message_entry::MessageEntry;
 use crate::messages::observation_code::{Observation, ObservationKind};
@@ -76,7 +76,7 @@
         incarnation: 1,
         sequence: 2,
         in_flight: 5000,
-        watermark: WatermarkOnWire::at_most(2.5),
+        watermark: FixedPointWatermark::at_most(2.5),
         counts: vec![CountEntry {
             tag: 1,
             consumed: ConsumedUnits::new(1.25),
