--- a/crates/admission/src/policy/band/dispatch_credit.rs
+++ b/crates/admission/src/policy/band/dispatch_credit.rs
@@ -42,7 +42,7 @@
 
 /// Smallest middle of the band that is used as a divisor, in attempts in flight; a smaller one is replaced by
 /// it.
-const MIN_MIDDLE: f64 = 1.0;
+const MIN_MIDDLE_DIVISOR: f64 = 1.0;
 
 /// The band of a large fleet, as one gateway knows it.
 #[derive(Debug, Clone, Copy)]
@@ -65,7 +65,7 @@
 
     /// Returns the fleet's attempts in flight as a fraction of the band's middle.
     pub(crate) fn fill(&self) -> f64 {
-        self.mean_in_flight * self.gateways as f64 / self.middle().max(MIN_MIDDLE)
+        self.mean_in_flight * self.gateways as f64 / self.middle().max(MIN_MIDDLE_DIVISOR)
     }
 
     /// Returns the number of attempts in flight that each gateway has at the band's middle.
