--- a/crates/admission/src/lifecycle/request_admission.rs
+++ b/crates/admission/src/lifecycle/request_admission.rs
@@ -4,7 +4,7 @@
 use crate::id::RequestId;
 use crate::policy::admission::local_bucket::{check_local_bucket, withheld_burst_units, LocalBucketInput};
 use crate::policy::admission::new_request::{
-    admit_in_broadcast_mode, admit_in_large_fleet, lacks_ceiling_units_only, queue_or_reject,
+    admit_in_broadcast_mode, admit_in_large_fleet, lacks_only_ceiling_units, queue_or_reject,
     reject_if_too_late, Admission, BroadcastAdmissionInput, LargeFleetAdmissionInput,
 };
 use crate::policy::queue::flow_weight::{
@@ -32,7 +32,7 @@
             queue_is_blocked: self.band.has_waiting_request(),
             queued_requests: self.queue.len(),
         };
-        if lacks_ceiling_units_only(&input) {
+        if lacks_only_ceiling_units(&input) {
             self.schedule_ceiling_request(key);
         }
         let is_applied = self.apply_admission(id, admit_in_broadcast_mode(&input), actions);
--- a/crates/admission/src/policy/admission/new_request.rs
+++ b/crates/admission/src/policy/admission/new_request.rs
@@ -92,7 +92,7 @@
 
 /// Returns whether quota, band and concurrency limit permit a new request and only units of the customer's
 /// ceiling are lacking, so that peers are asked for some.
-pub(crate) fn lacks_ceiling_units_only(input: &BroadcastAdmissionInput) -> bool {
+pub(crate) fn lacks_only_ceiling_units(input: &BroadcastAdmissionInput) -> bool {
     input.quota.is_within_quota
         && input.band.permits_new_request()
         && input.limits == LimitDecision::WaitForCeiling
--- a/crates/admission/src/tests/load_rules/new_request_rules.rs
+++ b/crates/admission/src/tests/load_rules/new_request_rules.rs
@@ -1,7 +1,7 @@
 //! Whether a new request is sent, queued or rejected.
 use crate::policy::admission::deadline::RequestTimes;
 use crate::policy::admission::new_request::{
-    admit_in_broadcast_mode, admit_in_large_fleet, lacks_ceiling_units_only, queue_or_reject,
+    admit_in_broadcast_mode, admit_in_large_fleet, lacks_only_ceiling_units, queue_or_reject,
     reject_if_too_late, Admission, BroadcastAdmissionInput, LargeFleetAdmissionInput,
 };
 use crate::policy::queue::customer_limits::LimitDecision;
@@ -81,7 +81,7 @@
         (BroadcastAdmissionInput { quota: over, ..lacking }, false),
     ];
     for (input, expected) in cases {
-        assert_eq!(lacks_ceiling_units_only(&input), expected, "{input:?}");
+        assert_eq!(lacks_only_ceiling_units(&input), expected, "{input:?}");
     }
 }
 
