--- a/crates/admission/src/lifecycle/mod.rs
+++ b/crates/admission/src/lifecycle/mod.rs
@@ -1,11 +1,11 @@
 //! Applies events to the records: requests and attempts that begin and end, and time that passes.
 //!
 //! The decisions, and the constants that they use, are in `policy`.
+mod attempt_end_records;
 mod attempts;
 mod band_control;
 mod customers;
 mod endpoint_choice;
-mod endpoints;
 mod outlier_checks;
 mod queue_dispatch;
 mod request_admission;
