--- a/crates/admission/src/lifecycle/endpoint_choice.rs
+++ b/crates/admission/src/lifecycle/endpoint_choice.rs
@@ -57,7 +57,7 @@
     ) -> impl Iterator<Item = &'a Endpoint> + 'a {
         let scope = self.retry_scope(active);
         self.endpoints
-            .sendable()
+            .available()
             .filter(move |endpoint| scope.includes(endpoint, active.attempts_that_may_have_run()))
     }
 
--- a/crates/admission/src/state/endpoint/endpoint_table.rs
+++ b/crates/admission/src/state/endpoint/endpoint_table.rs
@@ -87,7 +87,7 @@
 
     /// Returns the endpoints that new attempts may be sent to: those that are ready, or none if the list has
     /// expired.
-    pub(crate) fn sendable(&self) -> impl Iterator<Item = &Endpoint> {
+    pub(crate) fn available(&self) -> impl Iterator<Item = &Endpoint> {
         self.ready().filter(|_| !self.is_list_expired())
     }
 
