--- a/crates/admission/src/action.rs
+++ b/crates/admission/src/action.rs
@@ -1,7 +1,7 @@
-//! The actions that a gateway asks its host program to carry out.
+//! The actions that a gateway asks its host program to execute.
 use crate::id::{EndpointId, GatewayIndex, RequestId};
 
-/// An action for the host program, which carries out actions in the order in which it gets them.
+/// An action for the host program, which executes actions in the order in which it gets them.
 ///
 /// A good response needs no action: the host program passes it on to the client, and reports the end of its
 /// attempt with [`Outcome::Ok`](crate::Outcome::Ok).
--- a/crates/admission/src/coordination/counter_calls.rs
+++ b/crates/admission/src/coordination/counter_calls.rs
@@ -1,4 +1,4 @@
-//! Counter mode: calls to the shared quota counter, one at a time for each customer, and how its replies are
+//! Counter mode: calls to the quota counter, one at a time for each customer, and how its replies are
 //! applied.
 use crate::action::Action;
 use crate::event::CounterOutcome;
@@ -207,8 +207,8 @@
     }
 
     /// Decides on a counted request, given the customer's tokens before it, and records the tokens left. If
-    /// the request isn't admitted or no longer waits for the counter, its units are given back, as far as the
-    /// refund is sampled (`refund_units`).
+    /// the request isn't admitted or no longer waits for the counter, its units are given back if the refund
+    /// is sampled (`refund_units`).
     fn decide_counted(&mut self, key: CustomerKey, plan: PlanIndex, request: CountedRequest, tokens: f64) {
         let refund_units = self.refund_units(request.units);
         let active = self.requests.get_mut(request.id).filter(|active| active.awaits_counter());
@@ -228,7 +228,7 @@
     }
 
     /// Corrects the count by what an admitted request consumed in the end. If it was never sent, its units
-    /// are given back instead, as far as the refund is sampled (`refund_units`).
+    /// are given back instead if the refund is sampled (`refund_units`).
     pub(crate) fn settle_with_counter(&mut self, active: &ActiveRequest, actions: &mut Vec<Action>) {
         let unsent = active.is_unsent();
         let correction_units = if unsent {
--- a/crates/admission/src/coordination/mod.rs
+++ b/crates/admission/src/coordination/mod.rs
@@ -1,4 +1,5 @@
-//! How gateways exchange what they know about the fleet, and how they enforce quotas over all gateways.
+//! The exchange between gateways of what they know about the fleet, and the enforcement of quotas over all
+//! gateways.
 pub(crate) mod count_reports;
 pub(crate) mod counter_calls;
 pub(crate) mod gossip_exchange;
--- a/crates/admission/src/event.rs
+++ b/crates/admission/src/event.rs
@@ -32,7 +32,7 @@
     pub started_at_ms: Option<f64>,
 }
 
-/// What an update of the endpoint list contains.
+/// The contents of an update of the endpoint list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ListUpdateKind {
     /// Only the entries that changed.
@@ -70,7 +70,7 @@
     pub is_client_retry: bool,
 }
 
-/// How an attempt ended.
+/// The outcome of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
     /// The endpoint sent a good response.
@@ -115,7 +115,7 @@
     pub true_units: Option<f64>,
 }
 
-/// How a call to the quota counter ended.
+/// The outcome of a call to the quota counter.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum CounterOutcome {
     /// The counter responded with the total after the call, in units.
@@ -131,7 +131,7 @@
 pub enum Event {
     /// The endpoint list was updated.
     EndpointList {
-        /// What the update contains.
+        /// The contents of the update.
         kind: ListUpdateKind,
         /// The entries of the update.
         entries: Vec<EndpointEntry>,
--- a/crates/admission/src/event_handling.rs
+++ b/crates/admission/src/event_handling.rs
@@ -8,7 +8,7 @@
 
 impl Gateway {
     /// Handles one event and appends the actions that follow to `actions`, in the order in which they are to
-    /// be carried out. If `now_ms` is earlier than the last event's time, the event is treated as having the
+    /// be executed. If `now_ms` is earlier than the last event's time, the event is treated as having the
     /// last event's time.
     pub fn on_event(&mut self, now_ms: f64, event: Event, actions: &mut Vec<Action>) {
         self.clock.advance(now_ms);
--- a/crates/admission/src/gateway.rs
+++ b/crates/admission/src/gateway.rs
@@ -15,7 +15,7 @@
 pub struct Gateway {
     /// The settings that the gateway was started with.
     pub(crate) settings: Settings,
-    /// How the gateways of this fleet agree on quotas and attempts in flight.
+    /// The mode in which the fleet's gateways agree on quotas and attempts in flight, with its state.
     pub(crate) coordination: Coordination,
     /// The time of the event being handled, and when the next round of upkeep is due.
     pub(crate) clock: EventClock,
@@ -35,7 +35,7 @@
     pub(crate) band: InFlightBand,
     /// The response times learned so far.
     pub(crate) latency: LatencyModel,
-    /// What is known of failures that concern more than a single endpoint.
+    /// The state of outlier detection that concerns all endpoints together.
     pub(crate) outliers: OutlierDetectionState,
     /// The rates at which warm endpoints are sent attempts. The budgets of endpoints that are warming up
     /// depend on them.
--- a/crates/admission/src/id.rs
+++ b/crates/admission/src/id.rs
@@ -10,7 +10,7 @@
 pub struct CustomerId(pub u64);
 
 /// The key of a customer's record at a gateway. In a large fleet it is the customer's whole id. In broadcast
-/// mode it is the customer's tag, a hash of the id of 24 bits that stands for the customer in messages
+/// mode it is the customer's tag, a hash of the id of 24 bits that represents the customer in messages
 /// between gateways; customers with the same tag share one record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct CustomerKey(pub(crate) u64);
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -2,7 +2,7 @@
 //! queued, and which are rejected.
 //!
 //! The library does no I/O and reads no clock. The host program passes each [`Event`], with its time, to a
-//! [`Gateway`] and carries out the [`Action`]s that the gateway returns. The same settings, seed and events
+//! [`Gateway`] and executes the [`Action`]s that the gateway returns. The same settings, seed and events
 //! produce the same actions.
 //!
 //! [`Gateway::on_event`] passes each event to the module that handles it and then sends queued requests:
--- a/crates/admission/src/lifecycle/band_control.rs
+++ b/crates/admission/src/lifecycle/band_control.rs
@@ -38,7 +38,7 @@
         BandLoad::sum(endpoints.map(|endpoint| (endpoint, self.send_fraction(endpoint))))
     }
 
-    /// Returns whether the band counts an endpoint, judged by that endpoint's symptoms alone.
+    /// Returns whether the band counts an endpoint, by the health of that endpoint alone.
     fn is_counted(&self, endpoint: &Endpoint, mode: FleetMode) -> bool {
         let now_ms = self.clock.now_ms();
         let input = CountedEndpointInput {
--- a/crates/admission/src/lifecycle/queue_dispatch.rs
+++ b/crates/admission/src/lifecycle/queue_dispatch.rs
@@ -1,4 +1,4 @@
-//! Sends queued requests in the order of the queue, as far as quota and band permit.
+//! Sends the queued requests that their quotas and the band permit, in the order of the queue.
 use crate::action::Action;
 use crate::gateway::Gateway;
 use crate::id::RequestId;
@@ -47,7 +47,7 @@
         next
     }
 
-    /// Decides what happens to the head of a flow.
+    /// Returns the decision on the head of a flow.
     fn head_decision(&mut self, id: RequestId, mode: FleetMode) -> HeadDecision {
         let quota = self.quota_decision(id);
         match mode {
--- a/crates/admission/src/messages/observation_code.rs
+++ b/crates/admission/src/messages/observation_code.rs
@@ -34,11 +34,11 @@
 pub(crate) struct Observation {
     /// Tag of the endpoint, 24 bits.
     pub endpoint: u32,
-    /// What was observed.
+    /// The kind of the observation.
     pub kind: ObservationKind,
 }
 
-/// What an attempt showed about its endpoint.
+/// The kinds of observations that attempts give of their endpoints.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ObservationKind {
     /// The endpoint sent a good response to a request of a class.
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Returns the observation that a code stands for.
+    /// Returns the observation that a code represents.
     fn from_code(code: u32) -> Self {
         if code >= FIRST_PLAN_CODE {
             return ObservationKind::Overloaded { plan: PlanIndex((code - FIRST_PLAN_CODE) as usize) };
--- a/crates/admission/src/messages/quota_message.rs
+++ b/crates/admission/src/messages/quota_message.rs
@@ -34,7 +34,7 @@
 pub(crate) struct QuotaResponse {
     /// Number of the quota request at its sender.
     pub number: QuotaRequestNumber,
-    /// What the owner decided.
+    /// The owner's decision.
     pub verdict: QuotaVerdict,
     /// Fraction of the customer's requests for which the owner wants quota requests.
     pub sampling_fraction: SamplingFraction,
--- a/crates/admission/src/policy/admission/deadline.rs
+++ b/crates/admission/src/policy/admission/deadline.rs
@@ -1,4 +1,4 @@
-//! Whether a request can still be answered in time, and when it is overdue.
+//! Decides whether a request can still be answered in time, and when it is overdue.
 use crate::policy::upkeep::UPKEEP_INTERVAL_MS;
 
 /// Time that a request must have left while the endpoints are loaded, in mean response times of its class.
--- a/crates/admission/src/policy/admission/new_request.rs
+++ b/crates/admission/src/policy/admission/new_request.rs
@@ -1,4 +1,4 @@
-//! Whether a new request is sent at once, queued or rejected.
+//! Decides whether a new request is sent at once, queued or rejected.
 //!
 //! Both modes reject a request that comes too late to be answered in time. In broadcast mode a gateway itself
 //! knows the customer's quota and the fleet's attempts in flight, so it may send a request at once. In a
--- a/crates/admission/src/policy/ample_quota.rs
+++ b/crates/admission/src/policy/ample_quota.rs
@@ -1,4 +1,4 @@
-//! When a customer's quota is ample, so that small errors in its count do not matter.
+//! Decides whether a customer's quota is ample, so that small errors in its count do not matter.
 
 /// Fraction of the burst above which the quota is ample.
 const AMPLE_FRACTION: f64 = 0.5;
--- a/crates/admission/src/policy/band/counted_endpoints.rs
+++ b/crates/admission/src/policy/band/counted_endpoints.rs
@@ -1,4 +1,4 @@
-//! Which endpoints the band counts, with their capacity and their attempts in flight.
+//! Selects the endpoints that the band counts, with their capacity and their attempts in flight.
 //!
 //! Attempts at an endpoint that has failed never end, or end late. If the band counted them, the number of
 //! attempts in flight would stay high, and requests would wait although the other endpoints have capacity. A
@@ -13,8 +13,8 @@
 /// usual time.
 const MAX_COUNTED_SLOWNESS: f64 = 1.6;
 
-/// What a gateway knows of an endpoint's health, in both modes, from which it decides whether the band counts
-/// the endpoint.
+/// The health of an endpoint as a gateway knows it in both modes, from which it decides whether the band
+/// counts the endpoint.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct CountedEndpointInput {
     /// Whether the endpoint is no longer on the endpoint list.
--- a/crates/admission/src/policy/band/watermark.rs
+++ b/crates/admission/src/policy/band/watermark.rs
@@ -1,4 +1,4 @@
-//! When the watermark rises and falls.
+//! Decides when the watermark rises and falls.
 use crate::policy::band::dispatch_credit::LargeFleetBand;
 
 /// Lowest watermark in broadcast mode, in attempts in flight per ready endpoint, however slow the responses:
--- a/crates/admission/src/policy/coordination_choice.rs
+++ b/crates/admission/src/policy/coordination_choice.rs
@@ -1,4 +1,4 @@
-//! How the gateways of a fleet coordinate quotas and attempts in flight.
+//! The choice of the mode in which the gateways of a fleet coordinate quotas and attempts in flight.
 use crate::policy::peer_messages::report_schedule::broadcast_reaches_all;
 
 /// The settings that determine the coordination mode.
@@ -10,7 +10,7 @@
     pub(crate) peer_messages_allowed: bool,
     /// Messages per second that a gateway accepts.
     pub(crate) peer_messages_per_second: f64,
-    /// Whether gateways may call the shared quota counter.
+    /// Whether gateways may call the quota counter.
     pub(crate) counter_allowed: bool,
 }
 
--- a/crates/admission/src/policy/customer_usage/attempt_end_usage.rs
+++ b/crates/admission/src/policy/customer_usage/attempt_end_usage.rs
@@ -1,4 +1,4 @@
-//! How the end of an attempt changes its customer's usage at this gateway.
+//! The change of a customer's usage at this gateway when an attempt ends.
 use crate::state::QuotaState;
 
 /// An attempt that has ended.
@@ -18,7 +18,8 @@
     pub max_units: f64,
 }
 
-/// Where the true units minus the estimated units are charged. A negative difference is a refund.
+/// The account to which the true units minus the estimated units are charged. A negative difference is a
+/// refund.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum ExcessCharge {
     /// The difference is charged to the customer's token bucket at this gateway.
@@ -34,12 +35,12 @@
     },
 }
 
-/// How the end of an attempt changes its customer's usage at this gateway.
+/// The change of a customer's usage at this gateway when an attempt ends.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct AttemptEndUsage {
     /// Whether the attempt frees a slot that it took here.
     pub frees_slot: bool,
-    /// Where the difference from the estimate is charged.
+    /// The account to which the difference from the estimate is charged.
     pub charge: ExcessCharge,
     /// Whether the customer's counts are to be reported to the other gateways that its requests come through.
     pub triggers_report: bool,
--- a/crates/admission/src/policy/customer_usage/attempt_start_usage.rs
+++ b/crates/admission/src/policy/customer_usage/attempt_start_usage.rs
@@ -1,4 +1,4 @@
-//! What an attempt takes from its customer's limits at this gateway when it starts.
+//! The slot and units that an attempt takes from its customer's limits at this gateway when it starts.
 use crate::state::QuotaState;
 
 /// An attempt that starts.
@@ -14,7 +14,7 @@
     pub has_concurrency_limit: bool,
 }
 
-/// What an attempt takes from its customer's limits at this gateway when it starts.
+/// The slot and units that an attempt takes from its customer's limits at this gateway when it starts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub(crate) struct AttemptStartUsage {
     /// Whether the attempt takes a slot: it counts as one of the customer's attempts in flight here.
--- a/crates/admission/src/policy/customer_usage/mod.rs
+++ b/crates/admission/src/policy/customer_usage/mod.rs
@@ -1,4 +1,4 @@
-//! How attempts change the usage of their customer at this gateway, when they start and when they end.
+//! Changes of a customer's usage at this gateway when an attempt starts or ends.
 mod attempt_end_usage;
 mod attempt_start_usage;
 
--- a/crates/admission/src/policy/mod.rs
+++ b/crates/admission/src/policy/mod.rs
@@ -3,8 +3,8 @@
 //! A rule is a function of its inputs: it does not see `Gateway`. The methods of `Gateway` in `lifecycle` and
 //! `coordination` gather the inputs, call the rule and apply its result.
 //!
-//! Many rules come in two versions, for broadcast mode and for a large fleet. "Large fleet" stands for every
-//! mode but broadcast, that is, gossip, counter and isolated mode, whatever the fleet's size.
+//! Many rules come in two versions, for broadcast mode and for a large fleet. "Large fleet" means every mode
+//! but broadcast, that is, gossip, counter and isolated mode, whatever the fleet's size.
 pub(crate) mod admission;
 pub(crate) mod ample_quota;
 pub(crate) mod band;
--- a/crates/admission/src/policy/observation/attempt_observation.rs
+++ b/crates/admission/src/policy/observation/attempt_observation.rs
@@ -1,5 +1,5 @@
-//! What the end of an attempt tells the other gateways about its endpoint, and how many observations a
-//! message carries.
+//! The observation of an endpoint that the end of an attempt yields for the other gateways, and the maximum
+//! number of observations in a message.
 use crate::event::Outcome;
 use crate::id::{ClassIndex, PlanIndex};
 use crate::messages::observation_code::{ObservationKind, ResponseTimeCode};
--- a/crates/admission/src/policy/outlier/correlated_failure.rs
+++ b/crates/admission/src/policy/outlier/correlated_failure.rs
@@ -1,4 +1,4 @@
-//! Whether failures have a common cause outside the endpoints.
+//! Detects failures that have a common cause outside the endpoints.
 
 /// Fraction of healthy endpoints below which failures are taken to have a common cause outside the endpoints.
 const MIN_HEALTHY_FRACTION: f64 = 0.25;
--- a/crates/admission/src/policy/outlier/ejection.rs
+++ b/crates/admission/src/policy/outlier/ejection.rs
@@ -1,4 +1,4 @@
-//! Which endpoints are outliers, and the length and jitter of ejections. Whether the end of an attempt ejects
+//! The definition of an outlier, and the length and jitter of ejections. Whether the end of an attempt ejects
 //! its endpoint is decided in `ejection_decision`.
 use crate::mechanism::backoff::{jitter_factor, BackoffLimits};
 
@@ -15,7 +15,7 @@
 /// Stall ratio above which an endpoint is an outlier.
 const OUTLIER_STALL_RATIO: f64 = 1.0;
 
-/// What is known about an endpoint that may be an outlier.
+/// Inputs of the decision whether an endpoint is an outlier.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct OutlierInput {
     /// The endpoint is no longer listed, but has attempts in flight.
--- a/crates/admission/src/policy/outlier/ejection_decision.rs
+++ b/crates/admission/src/policy/outlier/ejection_decision.rs
@@ -1,4 +1,4 @@
-//! Whether an endpoint is ejected or paused after an attempt has ended.
+//! Decides whether an endpoint is ejected or paused after an attempt has ended.
 use crate::event::Outcome;
 use crate::policy::outlier::ejection::EJECTION;
 use crate::policy::outlier::stall::usual_response_ms;
@@ -22,8 +22,8 @@
 /// Length of the pause of an overloaded endpoint in broadcast mode, as a fraction of the first ejection.
 const OVERLOAD_PAUSE_FRACTION: f64 = 0.25;
 
-/// What an attempt that has ended shows about its endpoint; the endpoint's health already includes the
-/// attempt.
+/// Inputs of the decision whether an attempt that has ended ejects its endpoint. The endpoint's health
+/// already includes the attempt.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct EjectionInput {
     /// How the attempt ended.
@@ -43,7 +43,7 @@
     pub typical_attempt_age_ms: f64,
 }
 
-/// Whether an endpoint is ejected or paused after an attempt has ended.
+/// The decision whether an endpoint is ejected or paused after an attempt has ended.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum EjectionDecision {
     /// The endpoint stays as it is.
--- a/crates/admission/src/policy/outlier/health_evidence.rs
+++ b/crates/admission/src/policy/outlier/health_evidence.rs
@@ -1,8 +1,8 @@
-//! What the end of an attempt adds to its endpoint's health record.
+//! The evidence on its endpoint's health that the end of an attempt yields.
 use crate::event::Outcome;
 
-/// What the end of one of this gateway's attempts adds to its endpoint's health record. Whether the end also
-/// ejects the endpoint is decided in `ejection_decision`.
+/// The evidence on its endpoint's health that the end of one of this gateway's attempts yields. Whether the
+/// end also ejects the endpoint is decided in `ejection_decision`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum HealthEvidence {
     /// The endpoint gave a good response, which ends a series of consecutive failures.
--- a/crates/admission/src/policy/outlier/stall.rs
+++ b/crates/admission/src/policy/outlier/stall.rs
@@ -23,7 +23,7 @@
 /// lies below the median because one zone of two may fail with all its attempts in flight.
 const TYPICAL_AGE_PERCENTILE: usize = 40;
 
-/// Age that stands for an endpoint without attempts in flight, as a fraction of the mean response time.
+/// Age that is assumed for an endpoint without attempts in flight, as a fraction of the mean response time.
 const IDLE_AGE_FRACTION: f64 = 0.5;
 
 /// An endpoint with attempts of this gateway in flight, and the response time that is usual at present.
--- a/crates/admission/src/policy/outlier/unresponsive.rs
+++ b/crates/admission/src/policy/outlier/unresponsive.rs
@@ -1,5 +1,5 @@
-//! Large fleets: which endpoints give no gateway a good response any more. A gateway in a large fleet sends
-//! too few attempts to an endpoint to tell by itself.
+//! Large fleets: detects endpoints that no longer give any gateway a good response. A gateway in a large
+//! fleet sends too few attempts to an endpoint to tell by itself.
 
 /// Observations of failed or slow attempts that there must have been since the last good response. One may be
 /// chance. A single attempt that becomes slow and then fails is observed twice, which is enough.
@@ -12,7 +12,7 @@
 /// responses are expected of it, in ms. `MIN_FAILURE_OBSERVATIONS` applies all the same.
 const MAX_UNRESPONSIVE_MS: f64 = 2000.0;
 
-/// What this gateway and those that it receives messages from have observed of an endpoint.
+/// Observations of an endpoint by this gateway and those that it receives messages from.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct UnresponsiveInput {
     /// Number of observations since the endpoint's last good response of attempts that failed, error
@@ -27,7 +27,7 @@
     pub endpoints: usize,
 }
 
-/// Returns whether an endpoint gives no gateway a good response any more, as far as this gateway knows.
+/// Returns whether an endpoint no longer gives any gateway a good response, as far as this gateway knows.
 pub(crate) fn is_unresponsive(input: &UnresponsiveInput) -> bool {
     let per_endpoint = input.observed_responses_per_second / input.endpoints.max(1) as f64;
     let limit_ms = (1000.0 * EXPECTED_RESPONSES / per_endpoint).min(MAX_UNRESPONSIVE_MS);
--- a/crates/admission/src/policy/over_quota_use.rs
+++ b/crates/admission/src/policy/over_quota_use.rs
@@ -1,4 +1,4 @@
-//! Whether a plan allows use over its quota.
+//! Decides whether a plan allows use over its quota.
 use crate::settings::PlanSettings;
 
 /// Returns whether a plan's requests may exceed the quota. They may if a request over the quota is worth more
--- a/crates/admission/src/policy/peer_messages/fleet_mean_rules.rs
+++ b/crates/admission/src/policy/peer_messages/fleet_mean_rules.rs
@@ -1,5 +1,5 @@
-//! How the means over a fleet follow received means and this gateway's own measurements, and the mean age of
-//! attempts that results from them.
+//! The weights with which the means over a fleet follow received means and this gateway's own measurements,
+//! and the mean age of attempts that results from them.
 use crate::state::GatewayMeans;
 
 /// Weight of a received mean in the means that this gateway passes on to peers, the watermark included.
--- a/crates/admission/src/policy/peer_messages/message_capacity.rs
+++ b/crates/admission/src/policy/peer_messages/message_capacity.rs
@@ -1,4 +1,4 @@
-//! How many messages a gateway's peers may send it, and how long their reports are valid.
+//! Limits on the messages that a gateway's peers send it, and the time for which their reports are valid.
 
 /// Time, in ms, for which a peer's report is valid.
 pub(crate) const PEER_TIMEOUT_MS: f64 = 2000.0;
--- a/crates/admission/src/policy/peer_messages/report_schedule.rs
+++ b/crates/admission/src/policy/peer_messages/report_schedule.rs
@@ -17,7 +17,7 @@
 /// Credit that a report to a peer costs.
 pub(crate) const CREDIT_PER_REPORT: f64 = 1.0;
 
-/// What decides whether a report is sent to a peer.
+/// Inputs of the decision whether a report is sent to a peer.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct ReportInput {
     /// Number of reports that the peer may be sent now.
--- a/crates/admission/src/policy/queue/customer_limits.rs
+++ b/crates/admission/src/policy/queue/customer_limits.rs
@@ -1,5 +1,5 @@
-//! Whether a customer's quota, concurrency limit and ceiling permit a request now, by this gateway's own
-//! records.
+//! Decides whether a customer's quota, concurrency limit and ceiling permit a request now, by this gateway's
+//! own records.
 use crate::settings::PlanSettings;
 use crate::state::QuotaDecision;
 
@@ -30,7 +30,7 @@
     pub(crate) slots: Option<SlotUse>,
 }
 
-/// How many of a customer's slots are in use, and how they are divided among gateways. The plan's
+/// The use of a customer's slots, and their division among gateways. The plan's
 /// `PlanSettings::concurrency_limit` says what a slot is; here each attempt in flight takes one.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct SlotUse {
@@ -46,7 +46,7 @@
     pub(crate) gateway_position: u32,
 }
 
-/// Whether a customer's limits permit a request.
+/// The decision whether a customer's limits permit a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum LimitDecision {
     /// The request may be sent now.
--- a/crates/admission/src/policy/queue/dispatch_order.rs
+++ b/crates/admission/src/policy/queue/dispatch_order.rs
@@ -1,4 +1,4 @@
-//! Which queued request is dispatched next.
+//! Selects the queued request that is dispatched next.
 //!
 //! Only the head of each customer's flow is considered, so that requests of a customer stay in order. Of the
 //! heads that their customers' limits and the band permit, the one with the smallest virtual finish time is
--- a/crates/admission/src/policy/quota_counter/count_decision.rs
+++ b/crates/admission/src/policy/quota_counter/count_decision.rs
@@ -1,4 +1,4 @@
-//! What a gateway decides on a request in counter mode, from the customer's count.
+//! A gateway's decision on a request in counter mode, from the customer's count.
 use crate::policy::ample_quota::is_ample;
 use crate::policy::over_quota_use::allows_over_quota;
 use crate::settings::PlanSettings;
--- a/crates/admission/src/policy/quota_owner/fallback_decision.rs
+++ b/crates/admission/src/policy/quota_owner/fallback_decision.rs
@@ -1,9 +1,9 @@
-//! What a gateway decides on a request without the quota owner: when the owner did not respond, when the
-//! owner wants quota requests for a sample of the requests only and this one is not sampled, or when no
-//! message token is left.
+//! A gateway's decision on a request without the quota owner: when the owner did not respond, when the owner
+//! wants quota requests for a sample of the requests only and this one is not sampled, or when no message
+//! token is left.
 use crate::state::{QuotaExpectation, QuotaState};
 
-/// What a gateway knows about a request that it decides on without the quota owner.
+/// Inputs of a gateway's decision on a request without the quota owner.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct WithoutOwnerInput {
     /// Whether the customer is most likely within its quota or over it.
--- a/crates/admission/src/policy/quota_owner/owner_selection.rs
+++ b/crates/admission/src/policy/quota_owner/owner_selection.rs
@@ -1,4 +1,5 @@
-//! Which gateway is sent the quota requests of a customer, and when a gateway is suspected to be down.
+//! Selects the gateway that is sent a customer's quota requests, and decides when a gateway is suspected to
+//! be down.
 use crate::id::GatewayIndex;
 use crate::state::RankedGateway;
 
--- a/crates/admission/src/policy/quota_owner/owner_verdict.rs
+++ b/crates/admission/src/policy/quota_owner/owner_verdict.rs
@@ -1,4 +1,4 @@
-//! What the owner of a customer's quota decides on a quota request. A customer's slots are those of its plan
+//! The verdict of a quota's owner on a quota request. A customer's slots are those of its plan
 //! (`PlanSettings::concurrency_limit`): a granted request takes one until it ends, however many attempts it
 //! has.
 use crate::messages::quota_message::QuotaVerdict;
@@ -10,7 +10,7 @@
 /// Maximum number of requests that wait at the owner, per slot of the plan.
 const MAX_WAITING_PER_SLOT: usize = 4;
 
-/// What the owner knows about a customer when a quota request arrives.
+/// The state of a customer's quota at its owner when a quota request arrives.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct OwnedQuota {
     /// Tokens of the quota, in units.
@@ -66,7 +66,7 @@
 /// Returns the time between the end of the time for which a request may wait and the expiry of its grant, in
 /// ms: as long as an attempt may take.
 ///
-/// Guards against a lost release, after which a slot would stay occupied for ever.
+/// Guards against a lost release, after which a slot would stay occupied forever.
 pub(crate) fn grant_extension_ms(longest_objective_ms: f64) -> f64 {
     ATTEMPT_TIMEOUT_OBJECTIVES * longest_objective_ms
 }
--- a/crates/admission/src/policy/quota_owner/quota_request_route.rs
+++ b/crates/admission/src/policy/quota_owner/quota_request_route.rs
@@ -1,5 +1,5 @@
-//! Whether a gateway sends the owner a quota request, how long it waits for the response, and when it sends
-//! the quota request again.
+//! Decides whether a gateway sends the owner a quota request, how long it waits for the response, and when it
+//! sends the quota request again.
 use crate::messages::quota_message::SamplingFraction;
 use crate::state::{QuotaExpectation, QuotaRoute};
 
@@ -22,7 +22,7 @@
 /// Number of message tokens that a quota request to another gateway costs.
 pub(crate) const TOKENS_PER_QUOTA_REQUEST: f64 = 1.0;
 
-/// What decides whether the owner is sent a quota request.
+/// Inputs of the decision whether the owner is sent a quota request.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct QuotaRouteInput {
     /// Whether this gateway owns the quota itself, so that no message is needed.
--- a/crates/admission/src/policy/request_end/final_response.rs
+++ b/crates/admission/src/policy/request_end/final_response.rs
@@ -1,4 +1,4 @@
-//! Whether a request without a good response is rejected or failed.
+//! Decides whether a request without a good response is rejected or failed.
 use crate::settings::{DedupGroup, Idempotency};
 
 /// The final response to a request without a good response.
--- a/crates/admission/src/policy/request_end/quota_settlement.rs
+++ b/crates/admission/src/policy/request_end/quota_settlement.rs
@@ -1,4 +1,4 @@
-//! What is sent to the quota's owner or to the quota counter when a request has ended.
+//! The settlement of a request that has ended: what is sent to the quota's owner or to the quota counter.
 use crate::id::GatewayIndex;
 use crate::messages::quota_message::QuotaRequestNumber;
 use crate::state::QuotaState;
@@ -18,7 +18,7 @@
     pub(crate) has_concurrency_limit: bool,
 }
 
-/// What is sent to the quota's owner or to the quota counter about a request that has ended.
+/// The settlement of a request that has ended: what is sent to the quota's owner or to the quota counter.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum QuotaSettlement {
     /// Nothing is sent: only this gateway counts the request, the count is already right, or the request does
--- a/crates/admission/src/policy/response_time/kind_deviation.rs
+++ b/crates/admission/src/policy/response_time/kind_deviation.rs
@@ -1,4 +1,4 @@
-//! How slow an endpoint is compared with others of its machine kind.
+//! The slowness of an endpoint compared with others of its machine kind.
 use crate::state::RelativeResponseTime;
 
 /// Relative response time, as a multiple of its kind's, above which an endpoint is clearly slow and gets less
--- a/crates/admission/src/policy/response_time/response_samples.rs
+++ b/crates/admission/src/policy/response_time/response_samples.rs
@@ -1,4 +1,4 @@
-//! What the end of one of this gateway's attempts shows about response times.
+//! Samples of response times that the end of one of this gateway's attempts yields.
 use crate::event::Outcome;
 use crate::state::{LatencyFloors, LatencyGains};
 
@@ -29,7 +29,7 @@
 /// slow endpoints do not make all look slow.
 const MAX_RESPONSE_SAMPLE: f64 = 2.5;
 
-/// How one of this gateway's attempts ended, and what its response time is compared with.
+/// The end of one of this gateway's attempts, and the values that its response time is compared with.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct OwnAttemptInput {
     /// How the attempt ended.
--- a/crates/admission/src/policy/retry/after_attempt.rs
+++ b/crates/admission/src/policy/retry/after_attempt.rs
@@ -1,4 +1,4 @@
-//! What a request does after one of its attempts has ended.
+//! The next step of a request after one of its attempts has ended.
 use crate::event::Outcome;
 
 /// A request, one of whose attempts has ended.
@@ -12,7 +12,7 @@
     pub has_attempt_in_flight: bool,
 }
 
-/// What a request does after one of its attempts has ended.
+/// The next step of a request after one of its attempts has ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum AfterAttempt {
     /// No response is due: a good response or another final response was given, or the client has
@@ -26,7 +26,7 @@
     Finish,
 }
 
-/// Decides what a request does after one of its attempts has ended.
+/// Decides on the next step of a request after one of its attempts has ended.
 pub(crate) fn after_attempt(input: &AfterAttemptInput) -> AfterAttempt {
     if input.outcome == Outcome::Ok || input.is_closed {
         AfterAttempt::Close
--- a/crates/admission/src/policy/retry/possible_run.rs
+++ b/crates/admission/src/policy/retry/possible_run.rs
@@ -1,4 +1,4 @@
-//! Whether an endpoint may have executed an attempt.
+//! Decides whether an endpoint may have executed an attempt.
 use crate::event::Outcome;
 
 /// Returns whether the endpoint may have executed an attempt that ended with `outcome`, or may still execute
--- a/crates/admission/src/policy/retry/retry_decision.rs
+++ b/crates/admission/src/policy/retry/retry_decision.rs
@@ -1,4 +1,4 @@
-//! Whether a request gets another attempt, and what the attempt costs.
+//! Decides whether a request gets another attempt, and what the attempt costs.
 
 /// Retry tokens that a gateway starts with.
 pub(crate) const INITIAL_RETRY_TOKENS: f64 = 10.0;
@@ -34,7 +34,7 @@
     pub retry_tokens: f64,
 }
 
-/// Whether a request gets another attempt.
+/// The decision whether a request gets another attempt.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum RetryDecision {
     /// The request gets another attempt if there is an endpoint for it.
--- a/crates/admission/src/policy/retry/retry_scope.rs
+++ b/crates/admission/src/policy/retry/retry_scope.rs
@@ -10,7 +10,7 @@
 /// the network and before the gateway notices how much time has passed.
 const KEY_WINDOW_TICKS: f64 = 2.0;
 
-/// The earlier attempts of a request, and the settings that restrict where it may be retried.
+/// The earlier attempts of a request, and the settings that restrict the endpoints of its retries.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct RetryScopeInput {
     /// Time since the oldest attempt that may have run was sent, in ms; `None` if no attempt may have run.
@@ -19,7 +19,7 @@
     pub has_attempt_in_flight: bool,
     /// Two attempts of a request may be in flight at once, from the settings.
     pub hedging_allowed: bool,
-    /// What the request's class allows after an attempt that may have run.
+    /// Whether another attempt of the request is safe once an earlier one may have run.
     pub idempotency: Idempotency,
     /// Length of a tick, from the settings, in ms.
     pub tick_ms: f64,
--- a/crates/admission/src/policy/retry/stalled_action.rs
+++ b/crates/admission/src/policy/retry/stalled_action.rs
@@ -1,4 +1,4 @@
-//! What is done about a stalled attempt.
+//! The action taken on a stalled attempt.
 //!
 //! This protects against hung machines and failed zones. Without it, attempts there fail only by their
 //! time-out, which is often too late for a retry. A stall is noticed earlier, whatever its cause.
@@ -16,7 +16,7 @@
     pub max_attempts: u32,
     /// Number of the request's attempts in flight.
     pub in_flight: usize,
-    /// What the request's class allows after an attempt that may have run.
+    /// Whether another attempt of the request is safe once an earlier one may have run.
     pub idempotency: Idempotency,
     /// Two attempts of a request may be in flight at once, from the settings.
     pub hedging_allowed: bool,
@@ -26,7 +26,7 @@
     pub retry_tokens: f64,
 }
 
-/// What is done about a stalled attempt.
+/// The action taken on a stalled attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum StalledAction {
     /// A hedged attempt is sent in addition to the stalled one, if a retry is allowed.
@@ -37,10 +37,10 @@
     Leave,
 }
 
-/// Decides what is done about a stalled attempt. The attempt is cancelled only if the request has an attempt
-/// left, its class is not `NonIdempotent` and the gateway has a retry token. Whether there is time, whether
-/// the idempotency key's window is still open and whether there is an endpoint is checked only when the retry
-/// is decided, after the attempt has ended.
+/// Decides on the action taken on a stalled attempt. The attempt is cancelled only if the request has an
+/// attempt left, its class is not `NonIdempotent` and the gateway has a retry token. Whether there is time,
+/// whether the idempotency key's window is still open and whether there is an endpoint is checked only when
+/// the retry is decided, after the attempt has ended.
 pub(crate) fn stalled_action(input: &StalledActionInput) -> StalledAction {
     let has_attempt_left = has_attempt_left(input.is_closed, input.attempts, input.max_attempts);
     let is_hedged = input.in_flight > 1;
--- a/crates/admission/src/policy/retry/stalled_attempt.rs
+++ b/crates/admission/src/policy/retry/stalled_attempt.rs
@@ -1,5 +1,5 @@
-//! Large fleets: which attempts in flight are slow, and which are stalled. A gateway in a large fleet sends
-//! too few attempts to an endpoint to see that the endpoint stalls, so it goes by the age of each attempt.
+//! Large fleets: detects attempts in flight that are slow or stalled. A gateway in a large fleet sends too
+//! few attempts to an endpoint to see that the endpoint stalls, so it decides by the age of each attempt.
 use crate::policy::upkeep::UPKEEP_INTERVAL_MS;
 
 /// Age from which an attempt is slow, in mean response times.
@@ -23,7 +23,7 @@
     pub is_ejected_for_class: bool,
     /// The endpoint is an outlier.
     pub is_outlier: bool,
-    /// The endpoint gives no gateway a good response any more.
+    /// The endpoint no longer gives any gateway a good response.
     pub is_unresponsive: bool,
 }
 
--- a/crates/admission/src/policy/selection/attempt_cost.rs
+++ b/crates/admission/src/policy/selection/attempt_cost.rs
@@ -24,7 +24,7 @@
     pub max_tokens: f64,
 }
 
-/// What the cost of an attempt depends on in broadcast mode.
+/// Inputs of the cost of an attempt in broadcast mode.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct BroadcastCostInput {
     /// Number of this gateway's attempts in flight at the endpoint.
@@ -60,7 +60,7 @@
     Some(cost)
 }
 
-/// What the cost of an attempt depends on in a large fleet.
+/// Inputs of the cost of an attempt in a large fleet.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct LargeFleetCostInput {
     /// Number of this gateway's attempts in flight at the endpoint.
--- a/crates/admission/src/policy/selection/fitness.rs
+++ b/crates/admission/src/policy/selection/fitness.rs
@@ -1,7 +1,7 @@
-//! Whether an endpoint is fit for an attempt.
+//! Decides whether an endpoint is fit for an attempt.
 use crate::settings::Idempotency;
 
-/// What is known about an endpoint's health in broadcast mode.
+/// The health of an endpoint in broadcast mode.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct BroadcastFitnessInput {
     /// The endpoint is an outlier.
@@ -12,29 +12,29 @@
     pub in_flight: usize,
 }
 
-/// Whether, in broadcast mode, an endpoint is left out while enough others are healthy. After a failure one
-/// attempt at a time is sent to the endpoint, to find out whether it is healthy again.
+/// Returns whether, in broadcast mode, an endpoint is left out while enough others are healthy. After a
+/// failure one attempt at a time is sent to the endpoint, to find out whether it is healthy again.
 pub(crate) fn is_unfit_in_broadcast_mode(input: &BroadcastFitnessInput) -> bool {
     let awaits_first_response = input.consecutive_failures > 0 && input.in_flight > 0;
     input.is_outlier || awaits_first_response
 }
 
-/// What is known about an endpoint's health in a large fleet, and the idempotency of the request.
+/// The health of an endpoint in a large fleet, and the idempotency of the request.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct LargeFleetFitnessInput {
     /// The endpoint is an outlier by this gateway's own attempts.
     pub is_outlier: bool,
     /// The endpoint is ejected for the request's class or plan.
     pub is_ejected_for_request: bool,
-    /// The endpoint gives no gateway a good response any more.
+    /// The endpoint no longer gives any gateway a good response.
     pub is_unresponsive: bool,
     /// Number of observations of failed or slow attempts at the endpoint since its last good response.
     pub failure_observations: u32,
-    /// What the request's class allows after an attempt that may have run.
+    /// Whether another attempt of the request is safe once an earlier one may have run.
     pub idempotency: Idempotency,
 }
 
-/// How fit an endpoint is for a request.
+/// The fitness of an endpoint for a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct EndpointFitness {
     /// The endpoint is left out while enough others are healthy.
--- a/crates/admission/src/policy/selection/weighted_draw.rs
+++ b/crates/admission/src/policy/selection/weighted_draw.rs
@@ -38,7 +38,7 @@
     }
 }
 
-/// What a draw depends on besides the candidates.
+/// Inputs of a draw besides the candidates.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct DrawContext {
     /// A random number from 0 to 1.
--- a/crates/admission/src/policy/slow_start/warm_fraction.rs
+++ b/crates/admission/src/policy/slow_start/warm_fraction.rs
@@ -1,4 +1,4 @@
-//! How much of its full capacity an endpoint has at its age, and how much of that is used.
+//! The fraction of its full capacity that an endpoint has at its age, and the fraction of that which is used.
 
 /// Fraction of a warming endpoint's capacity that is used in broadcast mode. The rest is a margin, because
 /// requests differ in size and endpoints of a machine kind differ in speed.
--- a/crates/admission/src/policy/slow_start/warm_up_admission.rs
+++ b/crates/admission/src/policy/slow_start/warm_up_admission.rs
@@ -39,7 +39,7 @@
     }
 }
 
-/// Whether an attempt may be sent to an endpoint that is warming up.
+/// The decision whether an attempt may be sent to an endpoint that is warming up.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum WarmUpAdmission {
     /// The attempt may be sent to any endpoint, and warming endpoints weigh more: few attempts are admitted,
--- a/crates/admission/src/policy/slow_start/warm_up_budget.rs
+++ b/crates/admission/src/policy/slow_start/warm_up_budget.rs
@@ -13,7 +13,7 @@
 /// Time constant with which the rate of attempts sent to an endpoint is smoothed, in seconds.
 pub(crate) const SEND_RATE_TIME_CONSTANT_S: f64 = 3.0;
 
-/// What the budget of an endpoint that is warming up depends on.
+/// Inputs of the budget of an endpoint that is warming up.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct WarmUpBudgetInput {
     /// Lower bound of the endpoint's capacity, as a fraction of its full capacity.
--- a/crates/admission/src/state/endpoint/endpoint_table.rs
+++ b/crates/admission/src/state/endpoint/endpoint_table.rs
@@ -10,7 +10,7 @@
 pub(crate) struct EndpointTable {
     /// The record of each endpoint.
     by_id: BTreeMap<EndpointId, Endpoint>,
-    /// The id of each endpoint, by the tag that stands for it in messages.
+    /// The id of each endpoint, by the tag that represents it in messages.
     id_by_tag: BTreeMap<u32, EndpointId>,
     /// The list is too old to be used.
     list_expired: bool,
--- a/crates/admission/src/state/fleet/band_state.rs
+++ b/crates/admission/src/state/fleet/band_state.rs
@@ -46,9 +46,9 @@
     pub(crate) gateways: f64,
 }
 
-/// Which requests the band permits to be sent, as a position relative to its bounds. In broadcast mode it is
-/// the position of the fleet's attempts in flight, the same for all requests. In a large fleet it tells
-/// whether there is enough dispatch credit for one request, and is never between the bounds.
+/// A position relative to the band's bounds, which determines the requests that may be sent. In broadcast
+/// mode it is the position of the fleet's attempts in flight, the same for all requests. In a large fleet it
+/// tells whether there is enough dispatch credit for one request, and is never between the bounds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum BandPosition {
     /// Below the lower bound: queued and new requests may be sent. In a large fleet: the request may be sent.
--- a/crates/admission/src/state/fleet/coordination_state.rs
+++ b/crates/admission/src/state/fleet/coordination_state.rs
@@ -10,7 +10,7 @@
     Broadcast(Broadcast),
     /// One gateway owns each customer's quota, and means over the fleet travel with the quota messages.
     Gossip(Gossip),
-    /// Gateways may not send each other messages, and enforce quotas through the shared counter.
+    /// Gateways may not send each other messages, and enforce quotas through the quota counter.
     Counter(CounterCalls),
     /// Gateways may use neither messages nor the counter, so that each decides from its own records alone.
     #[default]
--- a/crates/admission/src/state/quota/counter_call_queue.rs
+++ b/crates/admission/src/state/quota/counter_call_queue.rs
@@ -1,10 +1,10 @@
-//! Counter mode: a customer's queue of calls to the shared counter, and the corrections that the customer's
+//! Counter mode: a customer's queue of calls to the quota counter, and the corrections that the customer's
 //! count needs.
 use crate::id::RequestId;
 use crate::settings::PlanSettings;
 use std::collections::VecDeque;
 
-/// A call to the shared counter, by its purpose.
+/// A call to the quota counter, by its purpose.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum CounterCall {
     /// Adds the units of a request; the total in the reply shows whether the customer had tokens for them.
@@ -22,7 +22,7 @@
     pub(crate) id: RequestId,
     /// Units of the request itself.
     pub(crate) units: f64,
-    /// Units that the call adds: those of the request and of the unsampled requests that it stands for.
+    /// Units that the call adds: those of the request and of the unsampled requests that it represents.
     pub(crate) added_units: f64,
 }
 
@@ -65,7 +65,7 @@
     recorded_ms: f64,
 }
 
-/// A customer's queue of calls to the shared counter. One call is in flight at a time, so that each reply
+/// A customer's queue of calls to the quota counter. One call is in flight at a time, so that each reply
 /// belongs to a known call.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct CounterCallQueue {
--- a/crates/admission/src/state/quota/counter_call_table.rs
+++ b/crates/admission/src/state/quota/counter_call_table.rs
@@ -1,9 +1,9 @@
-//! Counter mode: a gateway's calls in flight to the shared counter, and the fraction of requests for which it
+//! Counter mode: a gateway's calls in flight to the quota counter, and the fraction of requests for which it
 //! calls the counter.
 use crate::id::CustomerKey;
 use std::collections::BTreeMap;
 
-/// A gateway's calls to the shared counter, for all customers.
+/// A gateway's calls to the quota counter, for all customers.
 #[derive(Debug)]
 pub(crate) struct CounterCalls {
     /// Fraction of the requests for which the counter is called, 0 to 1.
--- a/crates/admission/src/state/quota/customer_reports.rs
+++ b/crates/admission/src/state/quota/customer_reports.rs
@@ -1,9 +1,10 @@
-//! Broadcast mode: what gateways report to each other about one customer.
+//! Broadcast mode: reports between gateways about one customer.
 use crate::id::GatewayIndex;
 use crate::messages::counts_message::ConsumedUnits;
 use std::collections::BTreeMap;
 
-/// What gateways have reported to each other about one customer, and what is still to be sent.
+/// Reports between gateways about one customer: the last ones received, and the contents of those still to be
+/// sent.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct CustomerReports {
     /// Units that this gateway has taken from its own bucket of the quota since the customer's record was
--- a/crates/admission/src/state/quota/pending_quota_requests.rs
+++ b/crates/admission/src/state/quota/pending_quota_requests.rs
@@ -13,7 +13,7 @@
     WithoutOwner(QuotaExpectation),
 }
 
-/// What this gateway expects of a customer when it decides on a request without the quota's owner.
+/// This gateway's expectation of a customer when it decides on a request without the quota's owner.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum QuotaExpectation {
     /// The customer is most likely within its quota.
@@ -60,7 +60,7 @@
         self.pending.get(&number).copied()
     }
 
-    /// Removes a quota request that awaits no response or grant any more.
+    /// Removes a quota request that no longer awaits a response or a grant.
     pub(crate) fn remove(&mut self, number: QuotaRequestNumber) {
         self.pending.remove(&number);
     }
--- a/crates/admission/src/state/quota/quota_grants.rs
+++ b/crates/admission/src/state/quota/quota_grants.rs
@@ -66,7 +66,7 @@
     }
 
     /// Adds requested units to the rate of requested units, including those of the requests that the sampled
-    /// one stands for.
+    /// one represents.
     pub(crate) fn record_demand(&mut self, units: f64, now_ms: f64, time_constant_s: f64) {
         self.requested_rate.add(units, now_ms, time_constant_s);
     }
--- a/crates/admission/src/state/quota/quota_state.rs
+++ b/crates/admission/src/state/quota/quota_state.rs
@@ -130,7 +130,7 @@
     }
 }
 
-/// Whether a request may be sent as far as its customer's quota is concerned.
+/// The decision whether a customer's quota permits a request to be sent.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum QuotaDecision {
     /// The request may be sent now.
--- a/crates/admission/src/tests/endpoint_rules/customer_usage_rules.rs
+++ b/crates/admission/src/tests/endpoint_rules/customer_usage_rules.rs
@@ -1,4 +1,4 @@
-//! How attempts change the usage of their customer at this gateway.
+//! Changes of a customer's usage at this gateway when an attempt starts or ends.
 use crate::id::GatewayIndex;
 use crate::messages::quota_message::QuotaRequestNumber;
 use crate::policy::customer_usage::{
--- a/crates/admission/src/tests/endpoint_rules/retry_rules.rs
+++ b/crates/admission/src/tests/endpoint_rules/retry_rules.rs
@@ -1,4 +1,5 @@
-//! Retries: where a request may be retried, whether it is, and what is done about a stalled attempt.
+//! Retries: the endpoints at which a request may be retried, whether it is, and the action taken on a stalled
+//! attempt.
 use super::is_close;
 use crate::event::{EndpointEntry, EndpointState, Outcome};
 use crate::id::{EndpointId, MachineKindIndex, ZoneIndex};
--- a/crates/admission/src/tests/load_rules/counted_endpoint_rules.rs
+++ b/crates/admission/src/tests/load_rules/counted_endpoint_rules.rs
@@ -1,4 +1,4 @@
-//! Which endpoints the band counts.
+//! Selection of the endpoints that the band counts.
 use crate::policy::band::counted_endpoints::{
     is_counted_in_broadcast_mode, is_counted_in_large_fleet, is_counted_or_correlated_failure,
     CountedEndpointInput,
--- a/crates/admission/src/tests/load_rules/customer_limit_rules.rs
+++ b/crates/admission/src/tests/load_rules/customer_limit_rules.rs
@@ -1,4 +1,4 @@
-//! Whether a customer's quota, concurrency limit and ceiling permit a request.
+//! The decision whether a customer's quota, concurrency limit and ceiling permit a request.
 use super::plan;
 use crate::policy::queue::customer_limits::{check_customer_limits, LimitDecision, LimitInput, SlotUse};
 use crate::settings::PlanSettings;
--- a/crates/admission/src/tests/load_rules/deadline_rules.rs
+++ b/crates/admission/src/tests/load_rules/deadline_rules.rs
@@ -1,4 +1,4 @@
-//! Which requests come too late, which are overdue, and how long a client has already waited.
+//! Requests that come too late or are overdue, and the time that a client has already waited.
 use crate::policy::admission::deadline::{is_overdue, RequestTimes};
 use crate::policy::admission::elapsed_wait::{already_waited_ms, TimeBudgetInput};
 use crate::policy::admission::retry_after::{
--- a/crates/admission/src/tests/load_rules/dispatch_order_rules.rs
+++ b/crates/admission/src/tests/load_rules/dispatch_order_rules.rs
@@ -1,4 +1,4 @@
-//! Which queued request is dispatched next, and how flows are weighted.
+//! Selection of the queued request that is dispatched next, and the weights of flows.
 use super::{is_close, plan};
 use crate::id::{CustomerKey, RequestId};
 use crate::mechanism::virtual_finish_queue::FlowHead;
--- a/crates/admission/src/tests/load_rules/new_request_rules.rs
+++ b/crates/admission/src/tests/load_rules/new_request_rules.rs
@@ -1,4 +1,4 @@
-//! Whether a new request is sent, queued or rejected.
+//! The decision whether a new request is sent, queued or rejected.
 use crate::policy::admission::deadline::RequestTimes;
 use crate::policy::admission::new_request::{
     admit_in_broadcast_mode, admit_in_large_fleet, lacks_only_ceiling_units, queue_or_reject,
--- a/crates/admission/src/tests/load_rules/request_end_rules.rs
+++ b/crates/admission/src/tests/load_rules/request_end_rules.rs
@@ -1,4 +1,4 @@
-//! What the end of a request means for its client and for its customer's quota.
+//! Consequences of the end of a request for its client and for its customer's quota.
 use crate::id::GatewayIndex;
 use crate::messages::quota_message::QuotaRequestNumber;
 use crate::policy::request_end::final_response::{final_response, FinalResponse};
--- a/crates/admission/src/tests/load_rules/upkeep_rules.rs
+++ b/crates/admission/src/tests/load_rules/upkeep_rules.rs
@@ -1,4 +1,4 @@
-//! When periodic work is due, and the time-out of an attempt.
+//! The times at which periodic work is due, and the time-out of an attempt.
 use crate::policy::retry::attempt_timeout_ms;
 use crate::policy::upkeep::{
     eviction_is_due, review_is_due, upkeep_interval_ms_in_broadcast_mode, upkeep_interval_ms_in_large_fleet,
--- a/crates/admission/src/tests/load_rules/watermark_rules.rs
+++ b/crates/admission/src/tests/load_rules/watermark_rules.rs
@@ -1,4 +1,4 @@
-//! When the watermark rises and falls.
+//! The rise and fall of the watermark.
 use super::is_close;
 use crate::policy::band::dispatch_credit::LargeFleetBand;
 use crate::policy::band::watermark::{
--- a/crates/admission/tests/it/admission.rs
+++ b/crates/admission/tests/it/admission.rs
@@ -69,11 +69,11 @@
 
 /// A request that is not marked as a client's retry arrives with 1900 ms left, while other requests of its
 /// class have 3000 ms. It is a retry all the same: its client has waited since an earlier request, and the
-/// latency objective of 1000 ms has passed. A response has no value for it any more, and would take
+/// latency objective of 1000 ms has passed. A response no longer has any value for it, and would take
 /// capacity from requests that can still be served in time. The gateway takes the time left that most
 /// requests of a class have as that of first requests. Before it has seen enough of them, it rejects no
-/// request for this reason. Afterwards it rejects the late retry at once, but not a request whose client
-/// has waited for 300 ms.
+/// request for this reason. Afterwards it rejects the late retry at once, but not a request whose client has
+/// waited for 300 ms.
 #[test]
 fn rejects_unmarked_retry_past_its_latency_objective_at_once() {
     let mut fleet = gossip_fleet(40, plan(100.0, 400.0));
--- a/crates/admission/tests/it/common/fleet.rs
+++ b/crates/admission/tests/it/common/fleet.rs
@@ -1,6 +1,5 @@
-//! A simulated fleet: many gateways that exchange messages, and endpoints that respond after 100 ms unless
-//! a test says otherwise. It makes no decisions of its own: it only carries out the actions of the
-//! gateways.
+//! A simulated fleet: many gateways that exchange messages, and endpoints that respond after 100 ms unless a
+//! test says otherwise. It makes no decisions of its own: it only executes the actions of the gateways.
 //!
 //! Not simulated are cancellations, the time-outs that gateways give attempts, and clients that stop waiting:
 //! each attempt ends with its outcome, `TimedOut` after 2000 ms and any other, such as `ConnectFailed`, after
@@ -151,7 +150,7 @@
         self.events.schedule(self.now_ms + after_ms, GatewayEvent { gateway, event });
     }
 
-    /// Passes an event to a gateway and carries out the actions. A gateway that is not running ignores the
+    /// Passes an event to a gateway and executes the actions. A gateway that is not running ignores the
     /// event.
     pub(crate) fn handle_event(&mut self, gateway: usize, event: Event) {
         let mut actions = Vec::new();
--- a/crates/admission/tests/it/common/fleet_counter.rs
+++ b/crates/admission/tests/it/common/fleet_counter.rs
@@ -5,7 +5,7 @@
 /// Interval after which the numbering of calls restarts at 1, in ms.
 const NUMBERING_INTERVAL_MS: f64 = 100.0;
 
-/// How the counter handles a call.
+/// The counter's handling of a call.
 #[derive(Clone, Copy, PartialEq)]
 pub(crate) enum CounterBehaviour {
     /// The counter adds the amount and replies with the total.
--- a/crates/admission/tests/it/in_flight_band.rs
+++ b/crates/admission/tests/it/in_flight_band.rs
@@ -1,4 +1,4 @@
-//! How many attempts may be in flight: the watermark, the bounds around it, and the attempts in flight that
+//! The limit on attempts in flight: the watermark, the bounds around it, and the attempts in flight that
 //! peers' messages state.
 use crate::common::*;
 use irishinge_admission::*;
--- a/crates/admission/tests/it/quota_counter.rs
+++ b/crates/admission/tests/it/quota_counter.rs
@@ -104,7 +104,7 @@
     }
 }
 
-/// An overloaded counter replies to few calls and still works through those that nobody waits for any more.
+/// An overloaded counter replies to few calls and still works through those that nobody waits for any longer.
 /// If it were called for all requests of all gateways, it would reply to no call in time, and no quota would
 /// be enforced. The gateways call it for a fraction of the requests, and each call also adds the units of the
 /// requests that it represents. There are fewer calls than requests, and for the customer over its quota
--- a/crates/admission/tests/it/slow_start_fleet/measurements.rs
+++ b/crates/admission/tests/it/slow_start_fleet/measurements.rs
@@ -21,7 +21,7 @@
     }
 }
 
-/// What one run or several runs of the simulation measured.
+/// Measurements of one run or several runs of the simulation.
 #[derive(Debug, Default, Clone, Copy)]
 pub(super) struct Measurements {
     /// Number of runs.
--- a/crates/admission/tests/it/slow_start_fleet/simulation.rs
+++ b/crates/admission/tests/it/slow_start_fleet/simulation.rs
@@ -33,7 +33,7 @@
 /// Time for which a run continues after the warm-up, in ms.
 const AFTER_WARM_UP_MS: f64 = 800.0;
 
-/// How requests are distributed over gateways and time.
+/// The distribution of requests over gateways and time.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) enum Traffic {
     /// Every gateway gets as much, at a constant rate.
@@ -44,7 +44,7 @@
     Waves,
 }
 
-/// What the runs of a measurement have in common.
+/// The parameters that the runs of a measurement have in common.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct Scenario {
     /// Number of gateways.
@@ -248,7 +248,7 @@
         self.handle_event(gateway, Event::Request(request));
     }
 
-    /// Passes an event to a gateway and carries out its actions.
+    /// Passes an event to a gateway and executes its actions.
     fn handle_event(&mut self, gateway: usize, event: Event) {
         let mut actions = Vec::new();
         self.gateways[gateway].on_event(self.now_ms, event, &mut actions);
@@ -257,7 +257,7 @@
         }
     }
 
-    /// Carries out an action. Cancellations are ignored, so that each attempt runs to its end, and so are
+    /// Executes an action. Cancellations are ignored, so that each attempt runs to its end, and so are
     /// rejections and failures.
     fn execute_action(&mut self, gateway: usize, action: Action) {
         match action {
--- a/crates/gateway/src/discovery/tests/list_lease.rs
+++ b/crates/gateway/src/discovery/tests/list_lease.rs
@@ -37,7 +37,7 @@
 }
 
 /// A discovery that was reached may have published a change that the gateway has not received. If a missing
-/// response or a lost connection renewed the lease, the gateway could send to a draining endpoint for ever.
+/// response or a lost connection renewed the lease, the gateway could send to a draining endpoint forever.
 /// Expected: only a list, a rejection, or an outage in which no connection is established renews the lease.
 /// Only a list renews an expired lease, a new address shortens the lease, and a pushed list has none.
 #[test]
--- a/crates/gateway/src/discovery/watch.rs
+++ b/crates/gateway/src/discovery/watch.rs
@@ -208,7 +208,7 @@
     }
 }
 
-/// Returns the list from a response, or the error that its status or body stands for.
+/// Returns the list from a response, or the error that its status or body indicates.
 fn parse_list(response: &Response<Bytes>) -> Result<EndpointListUpdate, DiscoveryError> {
     match response.status() {
         StatusCode::OK => {}
--- a/crates/gateway/src/dispatcher/actions.rs
+++ b/crates/gateway/src/dispatcher/actions.rs
@@ -1,4 +1,4 @@
-//! Carries out the actions that the admission library returns.
+//! Executes the actions that the admission library returns.
 use super::active_request::{Attempt, EndedAttempt};
 use super::final_response::FinalResponse;
 use super::timers::TimerKind;
@@ -10,7 +10,7 @@
 use tokio::time::Instant;
 
 impl Dispatcher {
-    /// Carries out one action. Events that it causes at once are queued in `state`.
+    /// Executes one action. Events that it causes at once are queued in `state`.
     pub(super) fn execute_action(self: &Rc<Self>, state: &mut State, action: Action) {
         match action {
             Action::Send { request, endpoint, timeout_ms } => self.send(state, request, endpoint, timeout_ms),
--- a/crates/gateway/src/dispatcher/mod.rs
+++ b/crates/gateway/src/dispatcher/mod.rs
@@ -1,6 +1,6 @@
 //! Connects the admission library to the sockets. The dispatcher is the only owner of the library's
-//! `Gateway`: it passes events to the `Gateway`, carries out the returned actions in order, and owns the
-//! active requests with their attempts.
+//! `Gateway`: it passes events to the `Gateway`, executes the returned actions in order, and owns the active
+//! requests with their attempts.
 mod actions;
 mod active_request;
 mod final_response;
@@ -208,11 +208,11 @@
         }
     }
 
-    /// Passes an event to the admission library and carries out the library's actions, then does the same
-    /// with each event that these actions cause at once.
+    /// Passes an event to the admission library and executes the library's actions, then does the same with
+    /// each event that these actions cause at once.
     ///
-    /// Such events are queued: if the library handled them while its actions are carried out, actions would
-    /// be carried out in another order than the library decided.
+    /// Such events are queued: if the library handled them while its actions are executed, actions would be
+    /// executed in another order than the library decided.
     fn on_event(self: &Rc<Self>, event: Event) {
         let mut state = self.state.borrow_mut();
         let mut actions = Vec::new();
--- a/crates/gateway/src/dispatcher/timers.rs
+++ b/crates/gateway/src/dispatcher/timers.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use tokio::time::{sleep_until, Instant};
 
-/// What happens when a timer expires.
+/// The action taken when a timer expires.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum TimerKind {
     /// The admission library gets an event with this token, which it set the timer with.
--- a/crates/gateway/src/downstream/request_error.rs
+++ b/crates/gateway/src/downstream/request_error.rs
@@ -1,7 +1,7 @@
 //! The reasons why a request is invalid, and the status and text of the response to each.
 use hyper::StatusCode;
 
-/// Why a request is invalid. An invalid request changes no state, and no attempt of it is sent.
+/// The reason why a request is invalid. An invalid request changes no state, and no attempt of it is sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum RequestError {
     /// The path is neither below `/api/` nor `/healthz`.
@@ -14,7 +14,7 @@
     RepeatedHeader,
     /// `Host` is missing.
     MissingHost,
-    /// `X-Call-Id` is missing where the request is forwarded. Parsing reports it as invalid before that.
+    /// `X-Call-Id` is missing when the request is forwarded. Parsing reports it as invalid before that.
     MissingCallId,
     /// `X-Call-Id` is missing or not 16 hexadecimal digits.
     InvalidCallId,
--- a/crates/gateway/src/downstream/request_rules.rs
+++ b/crates/gateway/src/downstream/request_rules.rs
@@ -45,7 +45,7 @@
     pub(super) is_draining: bool,
 }
 
-/// Why a connection closes after a response.
+/// The reason why a connection closes after a response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum CloseReason {
     /// The request was invalid, so it is unknown where it ends. What follows its head, such as a body that
--- a/crates/gateway/src/http_connection/mod.rs
+++ b/crates/gateway/src/http_connection/mod.rs
@@ -40,7 +40,7 @@
 /// The maximum number of interim (1xx) responses before the final one.
 const MAX_INTERIM_RESPONSES: u32 = 8;
 
-/// Why an exchange, a request with its response, returned no complete response.
+/// The reason why an exchange, a request with its response, returned no complete response.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ExchangeError {
     /// The server has closed the connection, or it failed.
--- a/crates/gateway/tests/it/attempts.rs
+++ b/crates/gateway/tests/it/attempts.rs
@@ -45,7 +45,7 @@
 }
 
 /// An endpoint receives a request and never responds. Without the deadline, the client and the attempt would
-/// wait for ever. Expected: the request ends with 502, the attempt's connection closes, and the client's
+/// wait forever. Expected: the request ends with 502, the attempt's connection closes, and the client's
 /// connection carries the next request.
 #[test]
 fn fails_a_request_whose_endpoint_does_not_respond() {
--- a/crates/gateway/tests/it/client_connections.rs
+++ b/crates/gateway/tests/it/client_connections.rs
@@ -14,7 +14,7 @@
 }
 
 /// Clients connect and send nothing, half a head, or half a body. Without a deadline they could hold their
-/// connections for ever. Expected: each gets an error or a close within 3 s, while a connection that has
+/// connections forever. Expected: each gets an error or a close within 3 s, while a connection that has
 /// carried a request may stay idle.
 #[test]
 fn closes_a_new_connection_without_a_complete_request_within_3_s() {
--- a/crates/gateway/tests/it/common/sequential_discovery.rs
+++ b/crates/gateway/tests/it/common/sequential_discovery.rs
@@ -7,7 +7,7 @@
 use std::sync::mpsc::{channel, Receiver, Sender};
 use std::thread;
 
-/// How discovery ends a call.
+/// The way in which discovery ends a call.
 enum CallEnd {
     /// Discovery responds with this list.
     List(Value),
--- a/crates/gateway/tests/it/common/stub_server.rs
+++ b/crates/gateway/tests/it/common/stub_server.rs
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Mutex};
 use std::thread;
 
-/// What the server does with a request.
+/// The server's reaction to a request.
 #[derive(Clone)]
 pub(crate) enum Reply {
     /// Writes this response.
@@ -25,7 +25,8 @@
     Reply::Response(http_response(status, headers, body))
 }
 
-/// What the server has received. Connections are numbered from 0 in the order in which they were accepted.
+/// An event that the server reports: a connection, a request or a close. Connections are numbered from 0 in
+/// the order in which they were accepted.
 #[derive(Debug)]
 pub(crate) enum Received {
     Connection,
--- a/crates/gateway/tests/it/disconnect_variants.rs
+++ b/crates/gateway/tests/it/disconnect_variants.rs
@@ -12,7 +12,7 @@
     /// The name that failure messages show.
     name: &'static str,
     trailing_bytes: fn() -> Vec<u8>,
-    /// What is done to the stream before it is closed.
+    /// The action on the stream before it is closed.
     before_close: fn(&TcpStream),
     /// Whether the client's end stays open for reading.
     stays_open_for_reading: bool,
--- a/crates/gateway/tests/it/list_lease.rs
+++ b/crates/gateway/tests/it/list_lease.rs
@@ -63,7 +63,7 @@
 /// Discovery responds to every call with 503 for longer than a lease. The 503 may come from a proxy in front
 /// of a discovery that is down, and a gateway whose list expired then would reject every request in an
 /// outage. Expected: rejections renew the lease, and requests are served. (The unit tests of the lease check
-/// that rejections do not renew it for ever.)
+/// that rejections do not renew it forever.)
 #[test]
 fn keeps_sending_while_discovery_answers_503() {
     let (endpoint, discovery) = (StubServer::serving(""), ConcurrentDiscovery::start());
@@ -79,7 +79,7 @@
 }
 
 /// Discovery accepts calls but never responds, so that the gateway is not notified if an endpoint is
-/// draining. A gateway that kept its list would send to that endpoint for ever. Expected: the gateway sends
+/// draining. A gateway that kept its list would send to that endpoint forever. Expected: the gateway sends
 /// until the lease expires, then nothing, and again once a list arrives.
 #[test]
 fn stops_sending_if_calls_get_no_response_until_the_lease_expires() {
--- a/crates/settings/src/deployment_settings.rs
+++ b/crates/settings/src/deployment_settings.rs
@@ -22,7 +22,7 @@
     pub drain_grace_ms: f64,
 }
 
-/// How the endpoint list reaches a gateway.
+/// The way in which the endpoint list reaches a gateway.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DiscoveryMode {
     /// Discovery pushes the list to an agent on the gateway's own machine, and the gateway receives it from
--- a/crates/settings/src/document.rs
+++ b/crates/settings/src/document.rs
@@ -33,7 +33,7 @@
     /// The plans that customers buy.
     #[serde(rename = "tiersOfService")]
     pub(crate) plans: Vec<PlanSection>,
-    /// What the deployment allows gateways to do.
+    /// Limits on what the deployment allows gateways to do.
     #[serde(rename = "ceilings")]
     pub(crate) deployment_limits: DeploymentLimitsSection,
     /// How the endpoint list reaches a deployed gateway: `pushed` or `on_request`. The simulator adapter
@@ -43,7 +43,7 @@
     /// Properties of the kind of service behind the gateways.
     #[serde(rename = "familyInfo")]
     pub(crate) service_family: ServiceFamilySection,
-    /// How endpoints drain, warm up and become overloaded.
+    /// The rules by which endpoints drain, warm up and become overloaded.
     #[serde(rename = "rules")]
     pub(crate) endpoint_rules: EndpointRulesSection,
 }
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -1,6 +1,6 @@
 //! The error for a settings object that cannot be used.
 
-/// Why a settings object cannot be used although it could be parsed.
+/// The reason why a settings object cannot be used although it could be parsed.
 ///
 /// Operators see the message. It names the key with its value and, if the key belongs to a request class,
 /// that class.
--- a/crates/settings/src/names.rs
+++ b/crates/settings/src/names.rs
@@ -17,7 +17,7 @@
     pub machine_kinds: Vec<String>,
 }
 
-/// What a name refers to.
+/// The kind of thing that a name refers to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NameKind {
     /// A request class.
@@ -45,7 +45,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("unknown {kind}: {name}")]
 pub struct UnknownName {
-    /// What the name was expected to refer to.
+    /// The kind of thing that the name was expected to refer to.
     pub kind: NameKind,
     /// The name as received.
     pub name: String,
--- a/crates/simulator-adapter/src/hosted_gateways.rs
+++ b/crates/simulator-adapter/src/hosted_gateways.rs
@@ -7,7 +7,7 @@
 use irishinge_settings::{Names, SettingsDocumentError, TranslatedSettings};
 use std::collections::BTreeMap;
 
-/// Why a batch could not be processed.
+/// The reason why a batch could not be processed.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum BatchError {
     /// The line cannot be parsed as a batch, or the reply cannot be serialized.
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -14,7 +14,7 @@
 use std::io::{BufRead, Write};
 use std::process::ExitCode;
 
-/// Why the adapter ended before the end of its input.
+/// The reason why the adapter ended before the end of its input.
 #[derive(Debug, thiserror::Error)]
 enum AdapterError {
     /// Standard input cannot be read.
--- a/crates/simulator-adapter/src/wire/action.rs
+++ b/crates/simulator-adapter/src/wire/action.rs
@@ -22,8 +22,8 @@
     }
 }
 
-/// Returns the wire's number of the gateway that a peer message is sent to. It is never -1, which stands for
-/// all other gateways.
+/// Returns the wire's number of the gateway that a peer message is sent to. It is never -1, which means all
+/// other gateways.
 fn recipient(peer: GatewayIndex) -> i64 {
     i64::try_from(peer.0).unwrap_or(i64::MAX)
 }
--- a/crates/simulator-adapter/src/wire/endpoint_list_messages.rs
+++ b/crates/simulator-adapter/src/wire/endpoint_list_messages.rs
@@ -6,14 +6,14 @@
 /// A message that updates the endpoint list.
 #[derive(Deserialize)]
 pub(crate) struct EndpointListMessage {
-    /// Which part of the list the entries are.
+    /// The part of the list that the entries make up.
     pub(super) kind: WireListUpdateKind,
     /// The entries of the list.
     #[serde(rename = "hosts")]
     pub(super) entries: Vec<WireEndpointEntry>,
 }
 
-/// Which part of the endpoint list a message has.
+/// The part of the endpoint list that a message has.
 #[derive(Deserialize)]
 pub(super) enum WireListUpdateKind {
     /// The entries that changed.
--- a/crates/simulator-adapter/src/wire/event.rs
+++ b/crates/simulator-adapter/src/wire/event.rs
@@ -13,7 +13,7 @@
 };
 use irishinge_settings::{Names, UnknownName};
 
-/// Why a well-formed message cannot be translated to an event.
+/// The reason why a well-formed message cannot be translated to an event.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum TranslationError {
     /// A class, plan, zone or machine kind is not among those of the settings.
@@ -151,7 +151,7 @@
     }
 }
 
-/// Returns `value` if it is above 0. On the wire, 0 stands for an absent value.
+/// Returns `value` if it is above 0. On the wire, 0 means that the value is absent.
 fn positive_or_none(value: Option<f64>) -> Option<f64> {
     value.filter(|value| *value > 0.0)
 }
--- a/crates/simulator-adapter/src/wire/event_messages.rs
+++ b/crates/simulator-adapter/src/wire/event_messages.rs
@@ -155,7 +155,7 @@
     load: LoadReport,
 }
 
-/// How an attempt or a health check ended.
+/// The outcome of an attempt or of a health check.
 #[derive(Deserialize)]
 pub(super) enum WireOutcome {
     /// The endpoint responded without an error.
--- a/crates/simulator-adapter/src/wire/ids.rs
+++ b/crates/simulator-adapter/src/wire/ids.rs
@@ -8,7 +8,7 @@
 /// The number of low bits of an [`EndpointId`] that hold the port. The IPv4 address is above them.
 const PORT_BITS: u32 = u16::BITS;
 
-/// Why a string is not an id or address that can be written exactly as it was read.
+/// The reason why a string is not an id or address that can be written exactly as it was read.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum IdError {
     /// The string is not 16 lower-case hex digits.
--- a/crates/simulator-adapter/src/wire/output.rs
+++ b/crates/simulator-adapter/src/wire/output.rs
@@ -16,13 +16,13 @@
     /// The simulator's id of the gateway.
     #[serde(rename = "gatewayId")]
     pub(crate) gateway_id: String,
-    /// The actions, in the order in which they are to be carried out.
+    /// The actions, in the order in which they are to be executed.
     #[serde(rename = "outbox")]
     pub(crate) messages: Vec<OutputMessage>,
 }
 
-/// A message that asks the simulator to carry out an action. Fields are written in the order in which they
-/// are declared.
+/// A message that asks the simulator to execute an action. Fields are written in the order in which they are
+/// declared.
 #[derive(Debug, PartialEq, Serialize)]
 #[serde(tag = "msg")]
 pub(crate) enum OutputMessage {
