--- a/crates/admission/src/tests/endpoint_rules/outlier_rules.rs
+++ b/crates/admission/src/tests/endpoint_rules/outlier_rules.rs
@@ -11,7 +11,7 @@
 use crate::state::{EndpointHealth, ObservedHealth};
 
 #[test]
-fn any_symptom_makes_an_endpoint_an_outlier() {
+fn gone_ejected_or_stalled_endpoint_is_an_outlier() {
     let healthy = OutlierInput { is_gone: false, is_ejected: false, stall_ratio: 1.0 };
     assert!(!is_outlier(&healthy));
     assert!(is_outlier(&OutlierInput { is_gone: true, ..healthy }));
