--- a/crates/admission/src/policy/admission/elapsed_wait.rs
+++ b/crates/admission/src/policy/admission/elapsed_wait.rs
@@ -1,4 +1,4 @@
-//! How long a client has already waited because of earlier requests that this gateway does not know of.
+//! The time that a client has already waited because of earlier requests that this gateway does not know of.
 //!
 //! A request carries its time budget, the time that its client will still wait, but not the time at which the
 //! client began to wait. Clients' first requests of a class all carry the same time budget, so the most
--- a/crates/admission/src/policy/customer_retention.rs
+++ b/crates/admission/src/policy/customer_retention.rs
@@ -1,4 +1,4 @@
-//! How long a customer without requests stays in a gateway's records.
+//! The time for which a customer without requests stays in a gateway's records.
 use crate::policy::peer_messages::message_capacity::PEER_TIMEOUT_MS;
 use crate::settings::PlanSettings;
 
--- a/crates/admission/src/policy/outlier/stall.rs
+++ b/crates/admission/src/policy/outlier/stall.rs
@@ -1,4 +1,5 @@
-//! How long an endpoint with attempts in flight has not responded, compared with the usual response time.
+//! The time for which an endpoint with attempts in flight has not responded, compared with the usual response
+//! time.
 //!
 //! Four times build on each other. The mean response time is the smoothed time that responses took. The
 //! typical age is that of the attempts now in flight, over all endpoints; in a large fleet it is estimated
--- a/crates/admission/src/policy/retry/attempt_timeout.rs
+++ b/crates/admission/src/policy/retry/attempt_timeout.rs
@@ -1,4 +1,4 @@
-//! How long an attempt may take.
+//! The time that an attempt may take.
 
 /// Time-out of an attempt, in latency objectives. A response after one objective has little value, but until
 /// the time-out the attempt counts as in flight, because the endpoint may still be working on it.
--- a/crates/admission/src/policy/upkeep.rs
+++ b/crates/admission/src/policy/upkeep.rs
@@ -1,4 +1,4 @@
-//! How often a gateway does its periodic work.
+//! The intervals of a gateway's periodic work.
 
 /// Time between two rounds of upkeep, in ms. It is short compared with any latency objective, so that overdue
 /// requests and stalled attempts are noticed in time.
--- a/crates/admission/src/tests/quota_rules/peer_message_rules.rs
+++ b/crates/admission/src/tests/quota_rules/peer_message_rules.rs
@@ -1,4 +1,4 @@
-//! How often gateways send each other messages, what reports change, and which mode a fleet uses.
+//! The schedule of messages between gateways, the changes that reports make, and the mode that a fleet uses.
 use super::is_close;
 use crate::policy::coordination_choice::{choose_coordination_mode, CoordinationMode, CoordinationModeInput};
 use crate::policy::peer_messages::ceiling_transfer::{ceiling_transfer_units, max_ceiling_units};
--- a/crates/admission/src/tests/quota_rules/retention_rules.rs
+++ b/crates/admission/src/tests/quota_rules/retention_rules.rs
@@ -1,4 +1,4 @@
-//! How long a gateway retains the records of idle customers.
+//! The time for which a gateway retains the records of idle customers.
 use crate::policy::customer_retention::{idle_limit_ms, is_evicted};
 use crate::settings::PlanSettings;
 use crate::tests::plan_builder::quota_plan;
--- a/crates/simulator-adapter/src/wire/endpoint_list_messages.rs
+++ b/crates/simulator-adapter/src/wire/endpoint_list_messages.rs
@@ -13,7 +13,7 @@
     pub(super) entries: Vec<WireEndpointEntry>,
 }
 
-/// The part of the endpoint list that a message has.
+/// The part of the endpoint list that a message carries.
 #[derive(Deserialize)]
 pub(super) enum WireListUpdateKind {
     /// The entries that changed.
