--- a/crates/admission/src/lifecycle/queue_dispatch.rs
+++ b/crates/admission/src/lifecycle/queue_dispatch.rs
@@ -1,4 +1,4 @@
-//! Sends queued requests in the order of the queue, as far as quota and band permit.
+//! Sends the queued requests that their quotas and the band permit, in the order of the queue.
 use crate::action::Action;
 use crate::gateway::Gateway;
 use crate::id::RequestId;
@@ -31,7 +31,7 @@
         let mode = self.coordination.fleet_mode();
         let mut next: Option<FlowHead> = None;
         for head in self.queue.heads() {
-            match self.judge_head(head.id, mode) {
+            match self.head_decision(head.id, mode) {
                 HeadDecision::Eligible => next = Some(earlier_head(next, head)),
                 HeadDecision::BlockedByBand => self.band.record_wait_for_band(),
                 HeadDecision::OverQuota => self.dispatch_over_quota(head, actions),
@@ -47,8 +47,8 @@
         next
     }
 
-    /// Decides what happens to the head of a flow.
-    fn judge_head(&mut self, id: RequestId, mode: FleetMode) -> HeadDecision {
+    /// Returns the decision on the head of a flow.
+    fn head_decision(&mut self, id: RequestId, mode: FleetMode) -> HeadDecision {
         let quota = self.quota_decision(id);
         match mode {
             FleetMode::Broadcast => head_decision_in_broadcast_mode(quota),
--- a/crates/admission/src/policy/admission/new_request.rs
+++ b/crates/admission/src/policy/admission/new_request.rs
@@ -1,4 +1,4 @@
-//! Whether a new request is sent at once, queued or rejected.
+//! Decides whether a new request is sent at once, queued or rejected.
 //!
 //! Both modes reject a request that comes too late to be answered in time. In broadcast mode a gateway itself
 //! knows the customer's quota and the fleet's attempts in flight, so it may send a request at once. In a
@@ -92,7 +92,7 @@
 
 /// Returns whether quota, band and concurrency limit permit a new request and only units of the customer's
 /// ceiling are lacking, so that peers are asked for some.
-pub(crate) fn lacks_ceiling_units_only(input: &BroadcastAdmissionInput) -> bool {
+pub(crate) fn lacks_only_ceiling_units(input: &BroadcastAdmissionInput) -> bool {
     input.quota.is_within_quota
         && input.band.permits_new_request()
         && input.limits == LimitDecision::WaitForCeiling
