--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -43,7 +43,9 @@
 pub use id::{
     ClassIndex, CustomerId, EndpointId, GatewayIndex, MachineKindIndex, PlanIndex, RequestId, ZoneIndex,
 };
-pub use settings::{ClassSettings, DedupGroup, Idempotency, PlanSettings, Settings, SettingsError};
+pub use settings::{
+    ClassSettings, DedupGroup, Idempotency, PlanSettings, SettingRange, Settings, SettingsError,
+};
 
 /// Compiles and runs the README's example with the tests.
 #[cfg(doctest)]
--- a/crates/admission/src/settings.rs
+++ b/crates/admission/src/settings.rs
@@ -1,5 +1,6 @@
 //! The settings that a gateway is started with.
 use crate::id::{ClassIndex, GatewayIndex, PlanIndex, ZoneIndex};
+use std::fmt;
 
 /// Whether another attempt of a request is safe once an earlier one may have run.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -82,13 +83,13 @@
 
     /// Checks that the plan's values are in range.
     fn check(&self) -> Result<(), SettingsError> {
-        require("rate_per_second", is_finite_non_negative(self.rate_per_second))?;
-        require("burst_units", is_finite_non_negative(self.burst_units))?;
-        require("over_quota_value", is_finite_non_negative(self.over_quota_value))?;
-        require("over_quota_cost", is_finite_non_negative(self.over_quota_cost))?;
-        require("plan_weight", is_finite_non_negative(self.plan_weight))?;
-        require("ceiling_rate_per_second", is_finite_non_negative(self.ceiling_rate_per_second))?;
-        require("ceiling_burst_units", is_finite_non_negative(self.ceiling_burst_units))
+        SettingRange::NonNegative.require("rate_per_second", self.rate_per_second)?;
+        SettingRange::NonNegative.require("burst_units", self.burst_units)?;
+        SettingRange::NonNegative.require("over_quota_value", self.over_quota_value)?;
+        SettingRange::NonNegative.require("over_quota_cost", self.over_quota_cost)?;
+        SettingRange::NonNegative.require("plan_weight", self.plan_weight)?;
+        SettingRange::NonNegative.require("ceiling_rate_per_second", self.ceiling_rate_per_second)?;
+        SettingRange::NonNegative.require("ceiling_burst_units", self.ceiling_burst_units)
     }
 }
 
@@ -176,8 +177,9 @@
         if self.plans.is_empty() {
             return Err(SettingsError::NoPlans);
         }
-        if self.this_gateway.0 >= self.gateways {
-            return Err(SettingsError::NotAmongGateways);
+        let (number, gateways) = (self.this_gateway.0, self.gateways);
+        if number >= gateways {
+            return Err(SettingsError::NotAmongGateways { number, gateways });
         }
         self.classes.iter().try_for_each(ClassSettings::check)?;
         self.plans.iter().try_for_each(PlanSettings::check)?;
@@ -187,56 +189,79 @@
 
     /// Checks the values that concern events, peer messages and clients.
     fn check_fleet(&self) -> Result<(), SettingsError> {
-        require("tick_ms", is_finite_non_negative(self.tick_ms))?;
-        require("peer_messages_per_second", is_finite_non_negative(self.peer_messages_per_second))?;
-        require("max_retry_after_ms", is_finite_non_negative(self.max_retry_after_ms))?;
-        require("max_units", is_finite_non_negative(self.max_units))
+        SettingRange::NonNegative.require("tick_ms", self.tick_ms)?;
+        SettingRange::NonNegative.require("peer_messages_per_second", self.peer_messages_per_second)?;
+        SettingRange::NonNegative.require("max_retry_after_ms", self.max_retry_after_ms)?;
+        SettingRange::NonNegative.require("max_units", self.max_units)
     }
 
     /// Checks the values that concern endpoints that are warming up.
     fn check_warm_up(&self) -> Result<(), SettingsError> {
-        let fraction = self.cold_start_fraction;
-        require("cold_start_fraction", is_finite_non_negative(fraction) && fraction <= 1.0)?;
-        require("warm_up_ms", is_finite_non_negative(self.warm_up_ms))?;
-        require("overload_multiple", is_finite_non_negative(self.overload_multiple))?;
-        require("overload_window_ms", is_finite_non_negative(self.overload_window_ms))
+        SettingRange::Fraction.require("cold_start_fraction", self.cold_start_fraction)?;
+        SettingRange::NonNegative.require("warm_up_ms", self.warm_up_ms)?;
+        SettingRange::NonNegative.require("overload_multiple", self.overload_multiple)?;
+        SettingRange::NonNegative.require("overload_window_ms", self.overload_window_ms)
     }
 }
 
 impl ClassSettings {
     /// Checks that the class's values are in range.
     fn check(&self) -> Result<(), SettingsError> {
-        require(
-            "latency_objective_ms",
-            is_finite_non_negative(self.latency_objective_ms) && self.latency_objective_ms > 0.0,
-        )?;
-        require("deadline_ms", is_finite_non_negative(self.deadline_ms) && self.deadline_ms > 0.0)?;
-        require("priority_weight", is_finite_non_negative(self.priority_weight))?;
+        SettingRange::Positive.require("latency_objective_ms", self.latency_objective_ms)?;
+        SettingRange::Positive.require("deadline_ms", self.deadline_ms)?;
+        SettingRange::NonNegative.require("priority_weight", self.priority_weight)?;
         match self.idempotency {
             Idempotency::IdempotencyKey { window_ms, .. } => {
-                require("window_ms", is_finite_non_negative(window_ms))
+                SettingRange::NonNegative.require("window_ms", window_ms)
             }
             Idempotency::Idempotent | Idempotency::NonIdempotent => Ok(()),
         }
     }
 }
 
-/// Returns whether a value is finite and not negative.
-fn is_finite_non_negative(value: f64) -> bool {
-    value.is_finite() && value >= 0.0
+/// The range in which the value of a setting must be.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum SettingRange {
+    /// A finite number of at least 0.
+    NonNegative,
+    /// A finite number above 0.
+    Positive,
+    /// A number from 0 to 1.
+    Fraction,
+}
+
+impl SettingRange {
+    /// Returns whether a value is in the range.
+    fn contains(self, value: f64) -> bool {
+        match self {
+            Self::NonNegative => value.is_finite() && value >= 0.0,
+            Self::Positive => value.is_finite() && value > 0.0,
+            Self::Fraction => (0.0..=1.0).contains(&value),
+        }
+    }
+
+    /// Returns an error about the named setting, unless its value is in the range.
+    fn require(self, name: &'static str, value: f64) -> Result<(), SettingsError> {
+        if self.contains(value) {
+            Ok(())
+        } else {
+            Err(SettingsError::OutOfRange { name, value, range: self })
+        }
+    }
 }
 
-/// Returns an error that names the setting, unless its value is in range.
-fn require(name: &'static str, in_range: bool) -> Result<(), SettingsError> {
-    if in_range {
-        Ok(())
-    } else {
-        Err(SettingsError::OutOfRange(name))
+impl fmt::Display for SettingRange {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            Self::NonNegative => "a finite number of at least 0",
+            Self::Positive => "a finite number above 0",
+            Self::Fraction => "a number from 0 to 1",
+        })
     }
 }
 
 /// The reason why a gateway cannot use its settings.
-#[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
+#[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum SettingsError {
     /// The settings have no request class.
     #[error("settings have no request class")]
@@ -245,9 +270,21 @@
     #[error("settings have no plan")]
     NoPlans,
     /// `this_gateway` is not below the number of gateways.
-    #[error("this gateway's number is not below the number of gateways")]
-    NotAmongGateways,
-    /// The named setting is negative, not finite, 0 although it must be above 0, or above its maximum.
-    #[error("setting out of range: {0}")]
-    OutOfRange(&'static str),
+    #[error("this gateway's number is {number}, expected a number below {gateways}, the number of gateways")]
+    NotAmongGateways {
+        /// This gateway's number.
+        number: usize,
+        /// The number of gateways in the fleet.
+        gateways: usize,
+    },
+    /// The value of a setting is not in its range.
+    #[error("{name} is {value}, expected {range}")]
+    OutOfRange {
+        /// The name of the setting's field.
+        name: &'static str,
+        /// The value found.
+        value: f64,
+        /// The range in which the value must be.
+        range: SettingRange,
+    },
 }
