--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -108,9 +108,14 @@
     /// The content is not JSON, or a field is missing or has the wrong type.
     #[error(transparent)]
     Malformed(#[from] serde_json::Error),
-    /// `seed` is not a hexadecimal number.
-    #[error("seed is not a hexadecimal number of at most 64 bits")]
-    InvalidSeed(#[source] ParseIntError),
+    /// `seed` is not a hexadecimal number of at most 64 bits.
+    #[error("seed is {value:?}, expected a hexadecimal number of at most 64 bits")]
+    InvalidSeed {
+        /// The value found. The message quotes and escapes it, so that it stays on one line.
+        value: String,
+        /// Why the value could not be parsed.
+        source: ParseIntError,
+    },
     /// A value in `settings` is unknown or out of range.
     #[error("invalid settings")]
     Settings(#[from] SettingsDocumentError),
@@ -118,7 +123,7 @@
     #[error("invalid settings")]
     RejectedSettings(#[from] SettingsError),
     /// `limits.sockets` is below [`MIN_DESCRIPTORS`].
-    #[error("limits.sockets is {0}, but must be at least {MIN_DESCRIPTORS}")]
+    #[error("limits.sockets is {0}, expected at least {MIN_DESCRIPTORS}")]
     TooFewDescriptors(usize),
     /// `peer_listen` is set, and `peers` is not empty but has another number of addresses than the settings
     /// have gateways.
@@ -148,7 +153,8 @@
     /// Parses and validates the content of a configuration file.
     fn parse(text: &[u8]) -> Result<Self, InvalidConfig> {
         let file: ConfigFile = serde_json::from_slice(text)?;
-        let seed = u64::from_str_radix(&file.seed, 16).map_err(InvalidConfig::InvalidSeed)?;
+        let seed = u64::from_str_radix(&file.seed, 16)
+            .map_err(|source| InvalidConfig::InvalidSeed { value: file.seed, source })?;
         let deployment_settings = file.settings.deployment_settings()?;
         let TranslatedSettings { settings, names } = file.settings.translate()?;
         settings.check()?;
