--- a/crates/admission/src/policy/retry/retry_decision.rs
+++ b/crates/admission/src/policy/retry/retry_decision.rs
@@ -13,7 +13,7 @@
 /// be done twice.
 pub(crate) const RETRY_COST_AFTER_POSSIBLE_RUN: f64 = 1.0;
 
-/// Retry tokens that an attempt costs if no earlier attempt of the request ran.
+/// Retry tokens that an attempt costs if no earlier attempt of the request can have run.
 const RETRY_COST_AFTER_NO_RUN: f64 = 0.2;
 
 /// The state of a request that may be retried, and of the retry budget.
--- a/crates/admission/src/state/endpoint/outlier_detection_state.rs
+++ b/crates/admission/src/state/endpoint/outlier_detection_state.rs
@@ -4,20 +4,20 @@
 /// The state of outlier detection that concerns all endpoints together.
 #[derive(Debug, Default)]
 pub(crate) struct OutlierDetectionState {
-    /// More than three quarters of the endpoints are outliers.
+    /// More than three quarters of the ready endpoints are outliers.
     correlated_failure: bool,
     /// Rate of good responses that this gateway and those it receives messages from observe, per second.
     response_rate: DecayingRate,
 }
 
 impl OutlierDetectionState {
-    /// Returns whether more than three quarters of the endpoints are outliers, so that the cause must lie
-    /// outside them.
+    /// Returns whether more than three quarters of the ready endpoints are outliers, so that the cause must
+    /// lie outside them.
     pub(crate) fn is_correlated_failure(&self) -> bool {
         self.correlated_failure
     }
 
-    /// Sets whether more than three quarters of the endpoints are outliers.
+    /// Sets whether more than three quarters of the ready endpoints are outliers.
     pub(crate) fn set_correlated_failure(&mut self, correlated: bool) {
         self.correlated_failure = correlated;
     }
--- a/crates/gateway/src/downstream/response.rs
+++ b/crates/gateway/src/downstream/response.rs
@@ -41,7 +41,8 @@
 }
 
 /// Returns the response to a rejected request. Its status is 429 if the admission library gives a time after
-/// which to retry, because a quota is used up or there is no capacity in time, and 503 otherwise.
+/// which to retry, and 503 otherwise. The library may give a time if a quota is used up, if there is no
+/// capacity in time or if the queue is full.
 fn rejection(retry_after_ms: Option<f64>, max_retry_after_ms: Option<f64>) -> Response<Full<Bytes>> {
     let status = match retry_after_ms {
         Some(_) => StatusCode::TOO_MANY_REQUESTS,
